--- a/src/main/java/granitefold/Rehearsal.java
+++ b/src/main/java/granitefold/CdsTrainingRun.java
@@ -1,6 +1,6 @@
 package granitefold;
 
-import granitefold.net.Loop;
+import granitefold.net.EventLoop;
 import granitefold.net.checks.Ops;
 import granitefold.wire.Config;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * Loads the program's classes, serves one request on loopback, and ends. The build runs this once, so that the JVM can
  * write what that took to the archive that {@code serve} starts from: it is most of a start's time.
  */
-final class Rehearsal {
+final class CdsTrainingRun {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String REQUEST = "POST /job?sid=1 HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining-Ms: 900\r\n"
             + "X-Estimate: 1000\r\nX-Labels: slots=1\r\nContent-Length: 4\r\nConnection: close\r\n\r\nsoup";
@@ -30,7 +30,7 @@
     private static final String ELSEWHERE = "granitefold\\.(rollout\\.|cli\\.(rollout|Commands|ControlClient|JsonLines|StateCommand)|operator\\.(OperatorFile|HoconFile"
             + "|Section)|net\\.checks\\.(Checks|HttpCheck|Agent|Control)|state\\.|recovery\\.Ageing|shaded\\.jackson\\.(databind|annotation|dataformat)).*";
 
-    private Rehearsal() { }
+    private CdsTrainingRun() { }
 
     static void run() throws Exception {
         loadClasses();
@@ -44,7 +44,7 @@
                 + "\",\"known\":" + list + ",\"settings\":{\"limits\":{\"attemptsCap\":1,\"connectTimeoutMs\":900},"
                 + "\"classes\":[{\"name\":\"job\",\"effect\":\"retryable\",\"onTimeMs\":900,\"deadlineMs\":900}]}}");
         Config config = Config.read(file);
-        Loop loop = new Loop(config);
+        EventLoop loop = new EventLoop(config);
         InetSocketAddress ops = new Ops(config.ops(), loop, config.words().classNames()).start();
         Files.delete(file);
         loop.start();
--- a/src/main/java/granitefold/Main.java
+++ b/src/main/java/granitefold/Main.java
@@ -17,7 +17,7 @@
         switch (command) {
             case "serve" -> Serve.run(System.getenv("LB_CONFIG"), null);
             case "benchlink" -> System.exit(BenchLink.run());
-            case "load" -> Rehearsal.run();
+            case "load" -> CdsTrainingRun.run();
             default -> {
                 int status = Commands.run(args);
                 if (status >= 0) {
--- a/src/main/java/granitefold/cli/Serve.java
+++ b/src/main/java/granitefold/cli/Serve.java
@@ -2,7 +2,7 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Loop;
+import granitefold.net.EventLoop;
 import granitefold.net.checks.Checks;
 import granitefold.net.checks.Ops;
 import granitefold.operator.Operator;
@@ -25,7 +25,7 @@
     private final Path config;
     private final Path operatorFile;
     private Operator operator = Operator.NONE;
-    private Loop loop;
+    private EventLoop loop;
     private Checks checks;
     private StateKeeper keeper;
 
@@ -66,10 +66,10 @@
             EventLog.log(LogEvent.RELOAD_OFF);
         }
         Config platform = Config.read(config);
-        loop = new Loop(platform, operator);
+        loop = new EventLoop(platform, operator);
         if (operator.state() != null) {
-            keeper = new StateKeeper(operator.state().dir(), operator.state().keep(), platform.places(), loop::recovered);
-            loop.keeper(keeper::keep);
+            keeper = new StateKeeper(operator.state().dir(), operator.state().keep(), platform.places(), loop::restore);
+            loop.saveStateWith(keeper::keep);
         }
         if (platform.ops() != null) {
             new Ops(platform.ops(), loop, platform.words().classNames()).start();
@@ -101,7 +101,7 @@
                 checks.reload(next);
             }
             if (operator.tells()) {
-                loop.retune(next.availability());
+                loop.updateAvailabilitySettings(next.availability());
             }
         } catch (BrokenFile e) {
             EventLog.log(LogEvent.OPERATOR_KEPT, e.getMessage());
--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -22,7 +22,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** A client's side: reads one request at a time, and while that is unanswered watches for the client to leave. */
-final class ClientConnection extends LoopConnection {
+final class ClientConnection extends NonBlockingConnection {
     private static final int BUFFER = 4096;
     /** So much is read after the last answer: without it a polite client's answer would be lost in the reset. */
     private static final int LINGER_MOST = 4 * ClientRequest.BODY_MOST;
@@ -38,7 +38,7 @@
         LINGERING
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long id;
     private final RequestReader reader;
     /** The connection came then, at the earliest, and its first request with it. */
@@ -67,7 +67,7 @@
     private boolean metrics;
 
     /** {@code waitsSinceNs}: when it came, at the earliest; of {@link System#nanoTime}. */
-    ClientConnection(EndPoint endPoint, Loop loop, long id, long waitsSinceNs) {
+    ClientConnection(EndPoint endPoint, EventLoop loop, long id, long waitsSinceNs) {
         super(endPoint);
         this.loop = loop;
         this.id = id;
@@ -246,7 +246,7 @@
         }
         try {
             Submission s = reader.decode(loop.words());
-            metrics = loop.clientRules().orca() && reader.asks(Insight.METRICS_WANTED, "text");
+            metrics = loop.clientRules().orca() && reader.asks(StatusReporter.METRICS_WANTED, "text");
             if (left()) {
                 gone(CloseReason.CLIENT);
             } else {
--- a/src/main/java/granitefold/net/ClientListener.java
+++ b/src/main/java/granitefold/net/ClientListener.java
@@ -19,8 +19,8 @@
  */
 final class ClientListener implements ManagedSelector.Selectable {
     /** Takes a client that was accepted, and may have waited for that since {@code waitsSinceNs}. */
-    interface Taking {
-        void take(SocketChannel channel, long waitsSinceNs) throws IOException;
+    interface AcceptHandler {
+        void onAccepted(SocketChannel channel, long waitsSinceNs) throws IOException;
     }
 
     /** How a round of accepts came to its end. */
@@ -29,9 +29,9 @@
     /** Accepts in a row that bring nobody though somebody waits: then the listener rests. */
     private static final int MISSES_MOST = 16;
 
-    private final Sockets sockets;
+    private final SelectorThread sockets;
     private final ServerSocketChannel listener;
-    private final Taking taking;
+    private final AcceptHandler taking;
     /** Tells whether the queue is empty; of the acceptor's thread. */
     private final Selector queue;
     private final ExecutorService acceptor = Executors.newSingleThreadExecutor(ClientListener::thread);
@@ -41,11 +41,11 @@
     private long queuedSinceNs;
 
     /** From a thread that may wait. */
-    ClientListener(Sockets sockets, ServerSocketChannel listener, Taking taking) throws IOException {
+    ClientListener(SelectorThread sockets, ServerSocketChannel listener, AcceptHandler taking) throws IOException {
         this.sockets = sockets;
         this.listener = listener;
         this.taking = taking;
-        queue = Listeners.opened(Selector::open);
+        queue = SocketOpener.openWithRetry(Selector::open);
         listener.register(queue, SelectionKey.OP_ACCEPT);
     }
 
@@ -90,7 +90,7 @@
         expectClients();
         key.interestOps(0);
         acceptor.execute(() -> {
-            Round round = acceptUpTo(Sockets.ACCEPTED_A_ROUND);
+            Round round = acceptUpTo(SelectorThread.ACCEPTED_A_ROUND);
             sockets.submit(() -> goOn(round));
         });
         return null;
@@ -145,7 +145,7 @@
     /** One that cannot be set up is closed, and the others go on. */
     private void take(SocketChannel channel) {
         try {
-            taking.take(channel, queuedSinceNs);
+            taking.onAccepted(channel, queuedSinceNs);
         } catch (IOException e) {
             IO.close(channel);
         }
--- a/src/main/java/granitefold/net/Loop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -37,7 +37,7 @@
  * The one loop: it brings events to the reducer and does what that asks for. All but the methods marked so runs on
  * the selector's thread.
  */
-public final class Loop implements Sockets.Host {
+public final class EventLoop implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 1024;
     private static final long AFTER_ERROR_US = 10_000;
     /**
@@ -54,7 +54,7 @@
 
     private final Config config;
     private final Clock clock = new Clock();
-    private final Sockets sockets = new Sockets("dispatcher", this);
+    private final SelectorThread sockets = new SelectorThread("dispatcher", this);
     private final Reducer reducer;
     private final Reducer.Bounds bounds;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
@@ -69,33 +69,33 @@
     private long lastClient;
     private long heldBytes;
     /** What the operator's file adds; null where no part of it needs the loop. */
-    private final Insight insight;
+    private final StatusReporter insight;
     private final Operator operator;
     private Consumer<Learned> keeper;
-    private final Links links;
+    private final OutboundConnections links;
     /** The other processes that serve at our address; null where nobody may start one. */
-    private final Company company;
+    private final ProcessRegistry company;
     /** Null where no other process may share our folder. */
-    private final Handover handover;
+    private final StateHandover handover;
     private volatile Figures figures;
 
     /** As the platform starts it. */
-    public Loop(Config config) {
+    public EventLoop(Config config) {
         this(config, Operator.NONE);
     }
 
-    public Loop(Config config, Operator operator) {
+    public EventLoop(Config config, Operator operator) {
         this.config = config;
         this.operator = operator;
-        insight = operator.tells() ? new Insight(clock, operator.clients(), config.cores()) : null;
+        insight = operator.tells() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
         if (operator.health() != null && operator.health().probes() && !config.probing()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
         // a request holds a connection on either side
         boolean ops = config.ops() != null;
-        links = new Links(this, sockets, config, operator);
-        company = ops ? Company.at(config.listen()) : null;
-        handover = ops && company.stem != null ? new Handover(company.stem, config.places()) : null;
+        links = new OutboundConnections(this, sockets, config, operator);
+        company = ops ? ProcessRegistry.at(config.listen()) : null;
+        handover = ops && company.stem != null ? new StateHandover(company.stem, config.places()) : null;
         int checks = operator.descriptors() + (ops ? OPS_DESCRIPTORS : 0);
         if (operator.descriptors() > config.sockets() / 4) {
             throw new BadWire("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
@@ -113,13 +113,13 @@
             // the old version serves meanwhile, so that a cold start need not be any client's
             String word = handover == null ? null : handover.ask();
             long at = clock.micros();
-            EventLog.log(LogEvent.WARMED, Warmup.run(config, bounds), (clock.micros() - at) / 1000);
+            EventLog.log(LogEvent.WARMED, JitWarmup.run(config, bounds), (clock.micros() - at) / 1000);
             inherited = word == null ? null : handover.await(word, INHERIT_MS);
         }
         Learned former = inherited;
         // where the next version may start beside this one, it listens on the same address
         long openedNs = System.nanoTime();
-        listener = new ClientListener(sockets, Listeners.tcp(config.listen(), BACKLOG, company != null), this::accepted);
+        listener = new ClientListener(sockets, SocketOpener.openTcpListener(config.listen(), BACKLOG, company != null), this::accepted);
         DatagramChannel siblings = links.bindSiblings(company != null);
         EventLog.log(LogEvent.LISTENING, Address.text(address()));
         sockets.start();
@@ -174,12 +174,12 @@
     }
 
     /** Who keeps what was learned; set before the start, where the operator has named a folder. */
-    public void keeper(Consumer<Learned> who) {
+    public void saveStateWith(Consumer<Learned> who) {
         keeper = who;
     }
 
     /** What a former life left; from any thread. */
-    public void recovered(Learned learned) {
+    public void restore(Learned learned) {
         sockets.submit(() -> post(new Event.Recovered(learned)));
     }
 
@@ -189,7 +189,7 @@
     }
 
     /** Looks whether a new version asks what was learned; {@code writer} runs what may wait for a file. */
-    public void passOn(Consumer<Runnable> writer) {
+    public void answerHandoverRequests(Consumer<Runnable> writer) {
         // while this one does not serve, the wish is its own
         if (handover != null && figures != null && figures.serves()) {
             handover.look(word -> sockets.submit(() -> {
@@ -200,12 +200,12 @@
     }
 
     /** How the dispatcher stands, readable from any thread; null where nothing tells it. */
-    public Insight insight() {
+    public StatusReporter statusReporter() {
         return insight;
     }
 
     /** An operator's word; from any thread. {@code then} runs on the loop's, once it has been taken in. */
-    public void wish(Wish wish, Runnable then) {
+    public void setOperatorOverride(Wish wish, Runnable then) {
         sockets.submit(() -> {
             post(new Event.Wished(wish));
             then.run();
@@ -213,12 +213,12 @@
     }
 
     /** Other figures of availability; from any thread. */
-    public void retune(AvailabilitySettings availability) {
+    public void updateAvailabilitySettings(AvailabilitySettings availability) {
         sockets.submit(() -> post(new Event.Retuned(availability)));
     }
 
     /** The phase's name; from any thread, as it was at some moment lately. */
-    public String standing() {
+    public String phaseName() {
         return reducer.phase().name();
     }
 
@@ -281,14 +281,14 @@
 
     /** Milliseconds, rounded up, until the reducer is to be woken. */
     @Override
-    public long untilWake() {
+    public long millisUntilTimer() {
         return wakeAt == Long.MAX_VALUE ? TimeUnit.SECONDS.toMillis(1)
                 : Math.max(0, (wakeAt - clock.micros() + 999) / 1000);
     }
 
     @Override
-    public void wake() {
-        if (untilWake() <= 0) {
+    public void onTimer() {
+        if (millisUntilTimer() <= 0) {
             if (insight != null) {
                 insight.woken(wakeAt);
             }
@@ -367,10 +367,10 @@
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         long id = ++lastClient;
-        sockets.accept(channel, new Sockets.Opening() {
+        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
-                ClientConnection client = new ClientConnection(endPoint, Loop.this, id, waitsSinceNs);
+                ClientConnection client = new ClientConnection(endPoint, EventLoop.this, id, waitsSinceNs);
                 clients.put(id, client);
                 post(new Event.ClientOpened(id));
                 return client;
--- a/src/main/java/granitefold/net/Warmup.java
+++ b/src/main/java/granitefold/net/JitWarmup.java
@@ -28,7 +28,7 @@
  * of their own, with this dispatcher's settings and workers, and end there. Nothing is opened, sent or kept. Worth its time only
  * where another process serves meanwhile.
  */
-final class Warmup {
+final class JitWarmup {
     /** The JVM's client compiler takes what has run some 200 times, or 2,000 with its loops. */
     private static final int REQUESTS = 1_500;
     /** The new version has 6 s to say that it serves, and needs about one to start. */
@@ -45,7 +45,7 @@
     private long now = 1_000_000_000L;
     private int answered;
 
-    private Warmup(Config config, Reducer.Bounds bounds) {
+    private JitWarmup(Config config, Reducer.Bounds bounds) {
         this.config = config;
         reducer = new Reducer(config.words().settings(), bounds, config.seed());
         classes = config.words().classes().keySet().toArray(String[]::new);
@@ -54,7 +54,7 @@
 
     /** Runs it; returns how many requests were answered, for the log. */
     static int run(Config config, Reducer.Bounds bounds) {
-        return new Warmup(config, bounds).run();
+        return new JitWarmup(config, bounds).run();
     }
 
     private int run() {
--- a/src/main/java/granitefold/net/LoopConnection.java
+++ b/src/main/java/granitefold/net/NonBlockingConnection.java
@@ -6,11 +6,11 @@
 import org.eclipse.jetty.util.thread.Invocable.InvocationType;
 
 /** A connection whose callbacks say that they never block, so that Jetty runs them right where it selects. */
-public abstract class LoopConnection extends AbstractConnection {
+public abstract class NonBlockingConnection extends AbstractConnection {
     private final Callback readable =
             Callback.from(InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
 
-    protected LoopConnection(EndPoint endPoint) {
+    protected NonBlockingConnection(EndPoint endPoint) {
         super(endPoint, Runnable::run);
     }
 
--- a/src/main/java/granitefold/net/Links.java
+++ b/src/main/java/granitefold/net/OutboundConnections.java
@@ -16,17 +16,17 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** What the dispatcher opens by itself: connections to workers and to discovery, probes, and the siblings' datagrams. */
-final class Links {
-    private final Loop loop;
-    private final Sockets sockets;
+final class OutboundConnections {
+    private final EventLoop loop;
+    private final SelectorThread sockets;
     private final Config config;
     private final Operator operator;
-    private final Map<Long, WorkerLink> workers = new HashMap<>();
-    private final Map<Long, ProbeLink> probes = new HashMap<>(0);
+    private final Map<Long, WorkerHttpConnection> workers = new HashMap<>();
+    private final Map<Long, ProbeHttpConnection> probes = new HashMap<>(0);
     private SiblingConnection siblings;
-    private WatchLink watch;
+    private WatchHttpConnection watch;
 
-    Links(Loop loop, Sockets sockets, Config config, Operator operator) {
+    OutboundConnections(EventLoop loop, SelectorThread sockets, Config config, Operator operator) {
         this.loop = loop;
         this.sockets = sockets;
         this.config = config;
@@ -40,11 +40,11 @@
 
     void perform(Effect effect) {
         if (effect instanceof Effect.Connect e) {
-            WorkerLink link = new WorkerLink(loop, this, e.connection(), e.address());
+            WorkerHttpConnection link = new WorkerHttpConnection(loop, this, e.connection(), e.address());
             workers.put(e.connection(), link);
             link.connect(sockets);
         } else if (effect instanceof Effect.SendRequest e) {
-            WorkerLink link = workers.get(e.connection());
+            WorkerHttpConnection link = workers.get(e.connection());
             if (link != null) {
                 // else it has just closed by itself, which the reducer hears next
                 link.send(e.payload(), e.expiresAt());
@@ -52,15 +52,15 @@
         } else if (effect instanceof Effect.Look e) {
             sockets.afterLook(() -> loop.post(new Event.Looked(e.connection())));
         } else if (effect instanceof Effect.CloseWorker e) {
-            WorkerLink link = workers.remove(e.connection());
+            WorkerHttpConnection link = workers.remove(e.connection());
             if (link != null) {
                 link.close();
             }
         } else if (effect instanceof Effect.OpenWatch e) {
-            watch = new WatchLink(loop, this, Address.of(e.address()), e.version());
+            watch = new WatchHttpConnection(loop, this, Address.of(e.address()), e.version());
             watch.connect(sockets);
         } else if (effect instanceof Effect.CloseWatch) {
-            WatchLink last = watch;
+            WatchHttpConnection last = watch;
             watch = null;
             if (last != null) {
                 last.close();
@@ -75,11 +75,11 @@
                 siblings = null;
             }
         } else if (effect instanceof Effect.Probe e) {
-            ProbeLink probe = new ProbeLink(this, e.worker(), e.address(), operator.probe().path());
+            ProbeHttpConnection probe = new ProbeHttpConnection(this, e.worker(), e.address(), operator.probe().path());
             probes.put(e.worker(), probe);
             probe.connect(sockets);
         } else if (effect instanceof Effect.EndProbe e) {
-            ProbeLink probe = probes.remove(e.worker());
+            ProbeHttpConnection probe = probes.remove(e.worker());
             if (probe != null) {
                 probe.close();
             }
@@ -87,7 +87,7 @@
     }
 
     /** A probe has come to its end by itself. */
-    void probed(ProbeLink probe, boolean well, String reason) {
+    void probed(ProbeHttpConnection probe, boolean well, String reason) {
         if (probes.remove(probe.worker(), probe)) {
             probe.close();
             loop.post(new Event.Probed(probe.worker(), well, reason));
@@ -95,18 +95,18 @@
     }
 
     /** A worker connection ended by itself. */
-    void closed(WorkerLink link, String why) {
+    void closed(WorkerHttpConnection link, String why) {
         if (workers.remove(link.id(), link)) {
             loop.post(new Event.WorkerClosed(link.id(), why));
         }
     }
 
     /** Whether this is the watch that counts: one that was given up may still have words in its buffers. */
-    boolean current(WatchLink link) {
+    boolean current(WatchHttpConnection link) {
         return watch == link;
     }
 
-    void closed(WatchLink link, String why) {
+    void closed(WatchHttpConnection link, String why) {
         if (watch == link) {
             watch = null;
             loop.post(new Event.WatchEnded(why));
@@ -131,7 +131,7 @@
     }
 
     private DatagramChannel openDatagrams(boolean shared) throws IOException {
-        DatagramChannel channel = Listeners.opened(DatagramChannel::open);
+        DatagramChannel channel = SocketOpener.openWithRetry(DatagramChannel::open);
         try {
             if (shared) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -150,7 +150,7 @@
         if (channel == null) {
             return;
         }
-        sockets.accept(channel, new Sockets.Opening() {
+        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
                 siblings = new SiblingConnection(endPoint, loop, config.siblings(), config.words().key());
--- a/src/main/java/granitefold/net/Link.java
+++ b/src/main/java/granitefold/net/OutboundHttpConnection.java
@@ -18,7 +18,7 @@
 import org.eclipse.jetty.util.IO;
 
 /** A connection that the dispatcher opens, and whose answers come as lines. */
-abstract class Link implements Sockets.Opening, HttpParser.ResponseHandler {
+abstract class OutboundHttpConnection implements SelectorThread.ConnectionHandler, HttpParser.ResponseHandler {
     private static final int BUFFER = 4096, HEAD_MOST = 8192, LINE_KEPT = 8192;
     private static final byte[] NOTHING = {};
 
@@ -33,7 +33,7 @@
     private boolean closed;
     private boolean writing;
 
-    Link(InetSocketAddress address, int lineMost) {
+    OutboundHttpConnection(InetSocketAddress address, int lineMost) {
         this.address = address;
         this.lineMost = lineMost;
     }
@@ -53,7 +53,7 @@
     /** The connection has ended without our doing. */
     abstract void ended(String why);
 
-    final void connect(Sockets sockets) {
+    final void connect(SelectorThread sockets) {
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
@@ -83,7 +83,7 @@
         parser.reset();
         lineLength = 0;
         writing = true;
-        reader.getEndPoint().write(LoopConnection.whenWritten(() -> {
+        reader.getEndPoint().write(NonBlockingConnection.whenWritten(() -> {
             writing = false;
             written.run();
         }, () -> end("write failed")), message);
@@ -118,7 +118,7 @@
     }
 
     /** The end point's connection: it only reads. */
-    private final class Reader extends LoopConnection {
+    private final class Reader extends NonBlockingConnection {
         private final ByteBuffer in = BufferUtil.allocate(BUFFER);
 
         Reader(EndPoint endPoint) {
--- a/src/main/java/granitefold/net/ProbeLink.java
+++ b/src/main/java/granitefold/net/ProbeHttpConnection.java
@@ -4,15 +4,15 @@
 import granitefold.wire.HttpMessages;
 
 /** One probe of a worker: a GET on a connection of its own, which must be answered by 200. */
-final class ProbeLink extends Link {
+final class ProbeHttpConnection extends OutboundHttpConnection {
     private static final int LINE_MOST = 4096;
 
-    private final Links links;
+    private final OutboundConnections links;
     private final long worker;
     private final String address;
     private final String path;
 
-    ProbeLink(Links links, long worker, String address, String path) {
+    ProbeHttpConnection(OutboundConnections links, long worker, String address, String path) {
         super(Address.of(address), LINE_MOST);
         this.links = links;
         this.worker = worker;
--- a/src/main/java/granitefold/net/Company.java
+++ b/src/main/java/granitefold/net/ProcessRegistry.java
@@ -16,7 +16,7 @@
  * Which processes serve at one address: each that serves holds the lock on a byte of a file that they share. The kernel
  * lets go of it when a process ends, however it ends, so that what a killed one left says nothing.
  */
-final class Company {
+final class ProcessRegistry {
     /** Two serve together while a new version takes over; more only where such a start was given up half way. */
     private static final int SLOTS = 8;
 
@@ -25,25 +25,25 @@
     private final FileChannel file;
     private int slot = -1;
 
-    private Company(Path stem, FileChannel file) {
+    private ProcessRegistry(Path stem, FileChannel file) {
         this.stem = stem;
         this.file = file;
     }
 
     /** Those that serve at this address and share our {@code $TMPDIR}; nobody is known where there is no such folder. */
-    static Company at(InetSocketAddress address) {
+    static ProcessRegistry at(InetSocketAddress address) {
         String folder = System.getenv("TMPDIR");
         if (folder == null || folder.isEmpty()) {
-            return new Company(null, null);
+            return new ProcessRegistry(null, null);
         }
         Path stem = Path.of(folder, "granitefold-" + Address.text(address).replaceAll("[^0-9A-Za-z.]", "-"));
         Path path = stem.resolveSibling(stem.getFileName() + ".serving");
         try {
-            return new Company(stem, FileChannel.open(path,
+            return new ProcessRegistry(stem, FileChannel.open(path,
                     Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)));
         } catch (IOException e) {
             EventLog.log(LogEvent.COMPANY_UNKNOWN, path, e);
-            return new Company(null, null);
+            return new ProcessRegistry(null, null);
         }
     }
 
--- a/src/main/java/granitefold/net/SocketEndPoint.java
+++ b/src/main/java/granitefold/net/RetryingEndPoint.java
@@ -12,12 +12,12 @@
  * A socket whose interrupted reads are tried again. The JDK reports a read that a signal has interrupted (EINTR) as a
  * number below -1, which must not pass for the end of the stream.
  */
-final class SocketEndPoint extends SocketChannelEndPoint {
+final class RetryingEndPoint extends SocketChannelEndPoint {
     private static final int END_OF_STREAM = -1;
     /** Where more reads in a row are interrupted, the selector tells of the bytes once more. */
     private static final int TRIES = 16;
 
-    SocketEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
+    RetryingEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
         super(channel, selector, key, scheduler);
     }
 
--- a/src/main/java/granitefold/net/Sockets.java
+++ b/src/main/java/granitefold/net/SelectorThread.java
@@ -27,11 +27,11 @@
  * Jetty's selector manager, cut down to one selector on one thread. Tasks that Jetty would hand to a pool run on
  * that thread too, between two selects, so that connections and the reducer need no locks.
  */
-public final class Sockets extends SelectorManager {
+public final class SelectorThread extends SelectorManager {
     static final int ACCEPTED_A_ROUND = 8;
     private static final long ACCEPT_BACK_OFF_MS = 10;
 
-    private final Host host;
+    private final TimerHandler host;
     /** When the last select returned, and how long the loop was busy between the one before and that. */
     private long selectedNs = System.nanoTime();
     private long busyNs;
@@ -40,28 +40,28 @@
     private final Map<SelectionKey, Long> backingOff = new HashMap<>(1);
 
     /** What goes on beside the sockets, on the same thread. */
-    public interface Host {
-        /** Milliseconds, rounded up, until {@link #wake} is to be called; at most 1000. */
-        long untilWake();
+    public interface TimerHandler {
+        /** Milliseconds, rounded up, until {@link #onTimer} is to be called; at most 1000. */
+        long millisUntilTimer();
 
-        void wake();
+        void onTimer();
     }
 
     /** Takes a connection that a listener has accepted. */
-    public interface Taking {
+    public interface AcceptHandler {
         /** Whether there is room for another now; asked before each. */
-        default boolean ready() {
+        default boolean canAccept() {
             return true;
         }
 
-        void take(SocketChannel channel) throws IOException;
+        void onAccepted(SocketChannel channel) throws IOException;
     }
 
-    public Sockets(String name, Host host) {
+    public SelectorThread(String name, TimerHandler host) {
         this(host, new OneThread(name));
     }
 
-    private Sockets(Host host, OneThread thread) {
+    private SelectorThread(TimerHandler host, OneThread thread) {
         super(thread, new NoTimeouts(), 1);
         this.host = host;
         thread.sockets = this;
@@ -81,7 +81,7 @@
     }
 
     /** Takes new connections from a listener on the selector's thread, which stands still while accept does. */
-    public void listen(ServerSocketChannel listener, Taking taking) {
+    public void listen(ServerSocketChannel listener, AcceptHandler taking) {
         chooseSelector().submit(selector -> {
             try {
                 Acceptor acceptor = new Acceptor(listener, taking);
@@ -135,7 +135,7 @@
     }
 
     /** Stops or goes on taking connections from a listener; on the selector's thread. */
-    public void pause(ServerSocketChannel listener, boolean on) {
+    public void setPaused(ServerSocketChannel listener, boolean on) {
         chooseSelector().submit(selector -> {
             SelectionKey key = listener.keyFor(selector);
             if (key != null && key.isValid()) {
@@ -150,7 +150,7 @@
             /** A select that also ends when the reducer is to be woken. */
             @Override
             protected int nioSelect(Selector selector, boolean now) throws IOException {
-                long wait = Math.min(host.untilWake(), untilAccepting());
+                long wait = Math.min(host.millisUntilTimer(), untilAccepting());
                 busyNs = System.nanoTime() - selectedNs;
                 // who comes while a select waits has not waited: whether somebody is there already is asked first
                 boolean look = clientListeners.stream().anyMatch(ClientListener::mayHoldClients);
@@ -158,8 +158,8 @@
                 selectedNs = System.nanoTime();
                 clientListeners.forEach(listener -> listener.selected(selector));
                 acceptAgain(selector);
-                if (host.untilWake() <= 0) {
-                    submit(s -> host.wake());
+                if (host.millisUntilTimer() <= 0) {
+                    submit(s -> host.onTimer());
                 }
                 return n;
             }
@@ -170,26 +170,26 @@
     protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
         return channel instanceof DatagramChannel datagrams
                 ? new DatagramChannelEndPoint(datagrams, selector, key, getScheduler())
-                : new SocketEndPoint((SocketChannel) channel, selector, key, getScheduler());
+                : new RetryingEndPoint((SocketChannel) channel, selector, key, getScheduler());
     }
 
     @Override
     public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-        return ((Opening) attachment).opened(endPoint);
+        return ((ConnectionHandler) attachment).opened(endPoint);
     }
 
     @Override
     protected void connectionFailed(SelectableChannel channel, Throwable ex, Object attachment) {
-        ((Opening) attachment).failed(ex);
+        ((ConnectionHandler) attachment).failed(ex);
     }
 
     /** Takes in a few new clients a round: a flood must not use up the descriptors before others are closed. */
     private final class Acceptor implements ManagedSelector.Selectable {
         private final ServerSocketChannel listener;
-        private final Taking taking;
+        private final AcceptHandler taking;
         private SelectionKey key;
 
-        Acceptor(ServerSocketChannel listener, Taking taking) {
+        Acceptor(ServerSocketChannel listener, AcceptHandler taking) {
             this.listener = listener;
             this.taking = taking;
         }
@@ -198,7 +198,7 @@
         public Runnable onSelected() {
             try {
                 int taken = 0;
-                while (taken < ACCEPTED_A_ROUND && taking.ready() && takeNext()) {
+                while (taken < ACCEPTED_A_ROUND && taking.canAccept() && takeNext()) {
                     taken++;
                 }
             } catch (IOException e) {
@@ -215,7 +215,7 @@
                 return false;
             }
             try {
-                taking.take(channel);
+                taking.onAccepted(channel);
             } catch (IOException e) {
                 IO.close(channel);
             }
@@ -230,7 +230,7 @@
     }
 
     /** What a channel is opened for. */
-    public interface Opening {
+    public interface ConnectionHandler {
         Connection opened(EndPoint endPoint);
 
         void failed(Throwable why);
@@ -238,7 +238,7 @@
 
     /** The first task is the selector's own loop and gets the thread; all later ones are queued to it. */
     private static final class OneThread implements Executor {
-        private Sockets sockets;
+        private SelectorThread sockets;
         private final String name;
         private Thread thread;
 
--- a/src/main/java/granitefold/net/SiblingConnection.java
+++ b/src/main/java/granitefold/net/SiblingConnection.java
@@ -19,11 +19,11 @@
  * sender's settings: tenants and dispatchers go by their places in those, and an address may have been another deployment's a
  * moment ago.
  */
-final class SiblingConnection extends LoopConnection {
+final class SiblingConnection extends NonBlockingConnection {
     private static final int MOST = 256, KEY = 2;
 
     private final DatagramChannelEndPoint datagrams;
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<InetSocketAddress> addresses;
     private final byte[] key;
     /** One line tells of words of other settings. */
@@ -31,7 +31,7 @@
     /** One byte more than is legal, so that a longer datagram shows. */
     private final ByteBuffer in = BufferUtil.allocate(MOST + 1);
 
-    SiblingConnection(EndPoint endPoint, Loop loop, List<InetSocketAddress> addresses, String settings) {
+    SiblingConnection(EndPoint endPoint, EventLoop loop, List<InetSocketAddress> addresses, String settings) {
         super(endPoint);
         datagrams = (DatagramChannelEndPoint) endPoint;
         this.loop = loop;
--- a/src/main/java/granitefold/net/Listeners.java
+++ b/src/main/java/granitefold/net/SocketOpener.java
@@ -7,21 +7,21 @@
 import java.util.concurrent.TimeUnit;
 
 /** Opens what a start cannot do without, though {@code socket} may fail for a moment (ENFILE, ENOBUFS). */
-public final class Listeners {
+public final class SocketOpener {
     /** Bad input has to be told within 3 s. */
     private static final long PATIENCE_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
     private static final long PAUSE_MS = 20;
 
     /** Opens a socket. */
-    public interface Opening<T> {
+    public interface SocketSupplier<T> {
         T open() throws IOException;
     }
 
-    private Listeners() { }
+    private SocketOpener() { }
 
     /** A listener for connections; {@code shared}: other processes may listen at the same address. */
-    public static ServerSocketChannel tcp(InetSocketAddress address, int backlog, boolean shared) throws IOException {
-        ServerSocketChannel listener = opened(ServerSocketChannel::open);
+    public static ServerSocketChannel openTcpListener(InetSocketAddress address, int backlog, boolean shared) throws IOException {
+        ServerSocketChannel listener = openWithRetry(ServerSocketChannel::open);
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
@@ -37,7 +37,7 @@
     }
 
     /** Tries until a socket can be had, or could not for too long; from a thread that may wait. */
-    public static <T> T opened(Opening<T> socket) throws IOException {
+    public static <T> T openWithRetry(SocketSupplier<T> socket) throws IOException {
         long from = System.nanoTime();
         while (true) {
             try {
--- a/src/main/java/granitefold/net/Handover.java
+++ b/src/main/java/granitefold/net/StateHandover.java
@@ -20,7 +20,7 @@
  * never read. The answer is a state file, checked and versioned, and comes under its name whole or not at all. Without an
  * answer in time the new one starts as any other.
  */
-final class Handover {
+final class StateHandover {
     private static final long LOOK_MS = 10;
 
     private final Path wish;
@@ -28,7 +28,7 @@
     private String answered = "";
 
     /** {@code stem}: the shared path that file names begin with. */
-    Handover(Path stem, Places places) {
+    StateHandover(Path stem, Places places) {
         wish = named(stem, ".wish");
         this.places = places;
     }
--- a/src/main/java/granitefold/net/Insight.java
+++ b/src/main/java/granitefold/net/StatusReporter.java
@@ -17,14 +17,14 @@
  * What the loop measures of itself, and what it last published for others to read. Made only where something tells how
  * the dispatcher stands.
  */
-public final class Insight {
+public final class StatusReporter {
     /** A client asks for load metrics on its answer by this request header, and gets them in that one. */
     static final String METRICS_WANTED = "endpoint-load-metrics-format", METRICS = "endpoint-load-metrics";
     /** Envoy, "Health checking": a host that answers with this is taken out at once, before the next check. */
     private static final HttpField LEAVE = new HttpField("x-envoy-immediate-health-check-fail", "true");
 
     /** What others see: the report and the moment at which it was published ({@link System#nanoTime}). */
-    public record Published(Report report, long nanos) {
+    public record PublishedReport(Report report, long nanos) {
         /** How long ago, in microseconds. */
         public long ageUs() {
             return (System.nanoTime() - nanos) / 1000;
@@ -42,16 +42,16 @@
     private long cpuNs = system.getProcessCpuTime();
     private long measuredAt = System.nanoTime();
     private String metrics = "";
-    private volatile Published published;
+    private volatile PublishedReport published;
 
-    Insight(Clock clock, Operator.Clients clients, double cores) {
+    StatusReporter(Clock clock, Operator.Clients clients, double cores) {
         this.clock = clock;
         this.clients = clients;
         this.cores = cores;
     }
 
     /** The last report; null before the first. From any thread. */
-    public Published published() {
+    public PublishedReport published() {
         return published;
     }
 
@@ -78,7 +78,7 @@
     }
 
     void publish(Report report) {
-        published = new Published(report, System.nanoTime());
+        published = new PublishedReport(report, System.nanoTime());
         if (clients.orca()) {
             metrics = LoadMetrics.text(report);
         }
--- a/src/main/java/granitefold/net/WatchLink.java
+++ b/src/main/java/granitefold/net/WatchHttpConnection.java
@@ -9,16 +9,16 @@
 import java.net.InetSocketAddress;
 
 /** The watch on discovery. */
-final class WatchLink extends Link {
+final class WatchHttpConnection extends OutboundHttpConnection {
     private static final int LINE_MOST = 4 * 1024 * 1024;
 
-    private final Loop loop;
-    private final Links links;
+    private final EventLoop loop;
+    private final OutboundConnections links;
     private final InetSocketAddress discovery;
     private final long version;
     private final Frames frames = new Frames(LINE_MOST);
 
-    WatchLink(Loop loop, Links links, InetSocketAddress discovery, long version) {
+    WatchHttpConnection(EventLoop loop, OutboundConnections links, InetSocketAddress discovery, long version) {
         super(discovery, LINE_MOST);
         this.loop = loop;
         this.links = links;
--- a/src/main/java/granitefold/net/WorkerLink.java
+++ b/src/main/java/granitefold/net/WorkerHttpConnection.java
@@ -10,17 +10,17 @@
 import granitefold.wire.WorkerLine;
 
 /** A connection to a worker. */
-final class WorkerLink extends Link {
+final class WorkerHttpConnection extends OutboundHttpConnection {
     /** A result is about as long as a body may be; JSON may write it several times as long. */
     private static final int LINE_MOST = 512 * 1024;
 
-    private final Loop loop;
-    private final Links links;
+    private final EventLoop loop;
+    private final OutboundConnections links;
     private final long id;
     private final String address;
     private String txn;
 
-    WorkerLink(Loop loop, Links links, long id, String address) {
+    WorkerHttpConnection(EventLoop loop, OutboundConnections links, long id, String address) {
         super(Address.of(address), LINE_MOST);
         this.loop = loop;
         this.links = links;
--- a/src/main/java/granitefold/net/checks/CheckConnection.java
+++ b/src/main/java/granitefold/net/checks/CheckConnection.java
@@ -1,13 +1,13 @@
 package granitefold.net.checks;
 
-import granitefold.net.LoopConnection;
+import granitefold.net.NonBlockingConnection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 
 /** A connection to one of the check fronts: it is bounded in time by its front and in bytes here. */
-abstract class CheckConnection extends LoopConnection {
+abstract class CheckConnection extends NonBlockingConnection {
     private static final int BUFFER = 1024;
     /** What a connection may send in all before it is closed, answers or not. */
     private static final int SENT_MOST = 64 * 1024;
--- a/src/main/java/granitefold/net/checks/Checks.java
+++ b/src/main/java/granitefold/net/checks/Checks.java
@@ -7,10 +7,10 @@
 import granitefold.core.Report;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Insight;
-import granitefold.net.Listeners;
-import granitefold.net.Loop;
-import granitefold.net.Sockets;
+import granitefold.net.StatusReporter;
+import granitefold.net.SocketOpener;
+import granitefold.net.EventLoop;
+import granitefold.net.SelectorThread;
 import granitefold.operator.Operator;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
@@ -28,7 +28,7 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** The check fronts of one dispatcher, on a thread of their own. */
-public final class Checks implements Sockets.Host {
+public final class Checks implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 256;
     /** The loop publishes several times a second; after this much silence nothing that it said counts. */
     private static final long SILENT_US = 2_000_000;
@@ -36,9 +36,9 @@
     private static final Operator.Bounds CONTROL = new Operator.Bounds(8, 1000, 5_000_000);
 
     private final String name;
-    private final Loop loop;
-    private final Insight insight;
-    private final Sockets sockets = new Sockets("checks", this);
+    private final EventLoop loop;
+    private final StatusReporter insight;
+    private final SelectorThread sockets = new SelectorThread("checks", this);
     private volatile Operator operator;
     private volatile Front agent;
     private volatile Front http;
@@ -51,11 +51,11 @@
     private boolean away;
 
     /** {@code name}: the dispatcher's. */
-    public Checks(String name, Loop loop, Operator operator) {
+    public Checks(String name, EventLoop loop, Operator operator) {
         this.name = name;
         this.loop = loop;
         this.operator = operator;
-        insight = loop.insight();
+        insight = loop.statusReporter();
     }
 
     /** Opens what the operator has set; an address or a socket that can't be had is told by {@link BadWire}. */
@@ -96,7 +96,7 @@
 
     private static ServerSocketChannel bind(String key, InetSocketAddress address) {
         try {
-            return Listeners.tcp(address, BACKLOG, false);
+            return SocketOpener.openTcpListener(address, BACKLOG, false);
         } catch (IOException e) {
             throw new BadWire(key + ": cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
@@ -179,13 +179,13 @@
 
     // ---------------------------------------------------------------- time
     @Override
-    public long untilWake() {
+    public long millisUntilTimer() {
         return Math.max(0, (sweepAt - System.nanoTime() + 999_999) / 1_000_000);
     }
 
     @Override
-    public void wake() {
-        if (untilWake() <= 0) {
+    public void onTimer() {
+        if (millisUntilTimer() <= 0) {
             boolean busy = false;
             for (Front f : new Front[] {agent, http, control}) {
                 busy |= f != null && f.sweep();
@@ -200,11 +200,11 @@
     }
 
     // ---------------------------------------------------------------- what is said
-    private Insight.Published published() {
+    private StatusReporter.PublishedReport published() {
         return insight.published();
     }
 
-    private static boolean silent(Insight.Published p) {
+    private static boolean silent(StatusReporter.PublishedReport p) {
         return p != null && p.ageUs() > SILENT_US;
     }
 
@@ -213,7 +213,7 @@
     }
 
     private byte[] agentLine() {
-        Insight.Published p = published();
+        StatusReporter.PublishedReport p = published();
         if (p == null) {
             return AgentLine.starting();
         }
@@ -234,7 +234,7 @@
         int q = target.indexOf('?');
         String path = q < 0 ? target : target.substring(0, q);
         boolean verbose = q >= 0 && java.util.Arrays.asList(target.substring(q + 1).split("&")).contains("verbose");
-        Insight.Published p = published();
+        StatusReporter.PublishedReport p = published();
         return switch (path) {
             case "/livez" -> text(silent(p) ? 503 : 200, silent(p) ? "the loop is silent\n" : "ok\n", HttpFields.EMPTY);
             case "/readyz" -> readiness(p, verbose);
@@ -253,7 +253,7 @@
      * 200 where new traffic may come, 404 (or as set) where an operator or the process's end sends it elsewhere, as
      * HAProxy's {@code http-check disable-on-404} has it, else 503. The Envoy fields are harmless to all others.
      */
-    private HttpCheckConnection.Answer readiness(Insight.Published p, boolean verbose) {
+    private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport p, boolean verbose) {
         Report r = p == null ? null : p.report();
         Standing s = r == null ? Standing.STARTING : r.verdict().standing();
         boolean leaves = s == Standing.DRAINING || s == Standing.MAINT;
@@ -281,7 +281,7 @@
         return (well ? "[+]" + check + " ok" : "[-]" + check + " failed: " + why) + "\n";
     }
 
-    private byte[] json(Insight.Published p) {
+    private byte[] json(StatusReporter.PublishedReport p) {
         return ReportJson.encode(name, p == null ? null : p.report(), p == null ? 0 : p.ageUs(), silent(p));
     }
 
@@ -293,7 +293,7 @@
             case "ready" -> Wish.READY;
             default -> null;
         };
-        Insight.Published p = published();
+        StatusReporter.PublishedReport p = published();
         if (command.equals("status")) {
             answer.accept(json(p));
         } else if (wish == null) {
@@ -303,7 +303,7 @@
         } else {
             EventLog.log(LogEvent.CONTROL, command);
             // answered once the loop has taken it in, so that the answer shows what it did
-            loop.wish(wish, () -> sockets.submit(() -> answer.accept(json(insight.published()))));
+            loop.setOperatorOverride(wish, () -> sockets.submit(() -> answer.accept(json(insight.published()))));
         }
     }
 
--- a/src/main/java/granitefold/net/checks/ControlSocket.java
+++ b/src/main/java/granitefold/net/checks/ControlSocket.java
@@ -1,6 +1,6 @@
 package granitefold.net.checks;
 
-import granitefold.net.Listeners;
+import granitefold.net.SocketOpener;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
@@ -50,7 +50,7 @@
             folder = Files.createTempDirectory(path.toAbsolutePath().getParent(), ".c",
                     PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
             Path inside = folder.resolve("s");
-            ServerSocketChannel listener = Listeners.opened(() -> ServerSocketChannel.open(StandardProtocolFamily.UNIX));
+            ServerSocketChannel listener = SocketOpener.openWithRetry(() -> ServerSocketChannel.open(StandardProtocolFamily.UNIX));
             listener.bind(UnixDomainSocketAddress.of(inside), BACKLOG);
             listener.configureBlocking(false);
             Files.setPosixFilePermissions(inside, PosixFilePermissions.fromString("rw-------"));
--- a/src/main/java/granitefold/net/checks/Front.java
+++ b/src/main/java/granitefold/net/checks/Front.java
@@ -2,7 +2,7 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Sockets;
+import granitefold.net.SelectorThread;
 import granitefold.operator.Operator.Bounds;
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -17,14 +17,14 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** One listener and its connections, within its bounds. All on the checks' thread but the constructor. */
-final class Front implements Sockets.Taking {
+final class Front implements SelectorThread.AcceptHandler {
     /** So much of a second's allowance may be used at once. */
     private static final double BURST_S = 0.1;
 
     final String name;
     final ServerSocketChannel listener;
     private final Bounds bounds;
-    private final Sockets sockets;
+    private final SelectorThread sockets;
     /** Asks for {@link #sweep} soon. */
     private final Runnable stir;
     private final BiFunction<EndPoint, Front, CheckConnection> make;
@@ -34,7 +34,7 @@
     private long allowedAt = System.nanoTime();
     private boolean paused;
 
-    Front(String name, ServerSocketChannel listener, Bounds bounds, Sockets sockets,
+    Front(String name, ServerSocketChannel listener, Bounds bounds, SelectorThread sockets,
             Runnable stir, BiFunction<EndPoint, Front, CheckConnection> make) {
         this.name = name;
         this.listener = listener;
@@ -54,20 +54,20 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean canAccept() {
         long now = System.nanoTime();
         allowance = Math.min(burst(), allowance + (now - allowedAt) / 1e9 * bounds.perS());
         allowedAt = now;
         if (allowance < 1 && !paused) {
             paused = true;
-            sockets.pause(listener, true);
+            sockets.setPaused(listener, true);
             stir.run();
         }
         return allowance >= 1;
     }
 
     @Override
-    public void take(SocketChannel channel) throws IOException {
+    public void onAccepted(SocketChannel channel) throws IOException {
         allowance--;
         if (open.size() >= bounds.connections()) {
             // whoever holds on longest has had the most of it
@@ -79,7 +79,7 @@
         if (channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         }
-        sockets.accept(channel, new Sockets.Opening() {
+        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
                 CheckConnection c = make.apply(endPoint, Front.this);
@@ -113,9 +113,9 @@
             // closing tells, but not if it never came to be open
             open.remove(c);
         }
-        if (paused && ready()) {
+        if (paused && canAccept()) {
             paused = false;
-            sockets.pause(listener, false);
+            sockets.setPaused(listener, false);
         }
         return paused || !open.isEmpty();
     }
--- a/src/main/java/granitefold/net/checks/Ops.java
+++ b/src/main/java/granitefold/net/checks/Ops.java
@@ -3,9 +3,9 @@
 import granitefold.figures.Figures;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Listeners;
-import granitefold.net.Loop;
-import granitefold.net.Sockets;
+import granitefold.net.SocketOpener;
+import granitefold.net.EventLoop;
+import granitefold.net.SelectorThread;
 import granitefold.operator.Operator;
 import granitefold.wire.Address;
 import granitefold.wire.BadWire;
@@ -21,21 +21,21 @@
  * The second address, where staff and the platform ask how this process stands: a line in, an answer out. It has a thread
  * of its own and reads what the loop last published, so that neither a busy loop nor a crowd of clients delays it.
  */
-public final class Ops implements Sockets.Host {
+public final class Ops implements SelectorThread.TimerHandler {
     /** Callers who say nothing give way to new ones, so few places are enough. */
-    private static final int CONNECTIONS = Loop.OPS_DESCRIPTORS - 8, PER_S = 1000, BACKLOG = 256;
+    private static final int CONNECTIONS = EventLoop.OPS_DESCRIPTORS - 8, PER_S = 1000, BACKLOG = 256;
     private static final long LIFE_US = 2_500_000;
     private static final long SWEEP_MS = 20, IDLE_MS = 250;
 
     private final InetSocketAddress address;
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<String> classes;
-    private final Sockets sockets = new Sockets("ops", this);
+    private final SelectorThread sockets = new SelectorThread("ops", this);
     private Front front;
     private long sweepAt = System.nanoTime();
 
     /** {@code classes}: their names, in the order of the settings. */
-    public Ops(InetSocketAddress address, Loop loop, List<String> classes) {
+    public Ops(InetSocketAddress address, EventLoop loop, List<String> classes) {
         this.address = address;
         this.loop = loop;
         this.classes = classes;
@@ -46,7 +46,7 @@
         ServerSocketChannel listener;
         InetSocketAddress bound;
         try {
-            listener = Listeners.tcp(address, BACKLOG, false);
+            listener = SocketOpener.openTcpListener(address, BACKLOG, false);
             bound = (InetSocketAddress) listener.getLocalAddress();
         } catch (IOException e) {
             throw new BadWire("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
@@ -62,7 +62,7 @@
     private void answer(String call, Consumer<byte[]> answer) {
         Figures f = loop.figures();
         switch (call) {
-            case "check" -> answer.accept(text(f == null ? "NAK starting" : f.serves() ? "ACK" : "NAK " + loop.standing()));
+            case "check" -> answer.accept(text(f == null ? "NAK starting" : f.serves() ? "ACK" : "NAK " + loop.phaseName()));
             case "vars" -> answer.accept(f == null ? text("NAK starting") : vars(f));
             default -> answer.accept(text("NAK known are check and vars"));
         }
@@ -77,15 +77,15 @@
     }
 
     @Override
-    public long untilWake() {
+    public long millisUntilTimer() {
         return Math.max(0, (sweepAt - System.nanoTime() + 999_999) / 1_000_000);
     }
 
     @Override
-    public void wake() {
-        if (untilWake() <= 0) {
+    public void onTimer() {
+        if (millisUntilTimer() <= 0) {
             // on this thread, which may wait for a file; while callers come more often, so does this
-            loop.passOn(sockets::submit);
+            loop.answerHandoverRequests(sockets::submit);
             sweepAt = System.nanoTime() + (front != null && front.sweep() ? SWEEP_MS : IDLE_MS) * 1_000_000;
         }
     }
--- a/src/test/java/granitefold/net/SocketsTest.java
+++ b/src/test/java/granitefold/net/SelectorThreadTest.java
@@ -22,7 +22,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
-class SocketsTest {
+class SelectorThreadTest {
     private static final long BUSY_MS = 200;
 
     private static final class Silent extends AbstractConnection {
@@ -34,14 +34,14 @@
         public void onFillable() { }
     }
 
-    private static final class Idle implements Sockets.Host {
+    private static final class Idle implements SelectorThread.TimerHandler {
         @Override
-        public long untilWake() {
+        public long millisUntilTimer() {
             return 1_000;
         }
 
         @Override
-        public void wake() { }
+        public void onTimer() { }
     }
 
     /** A connection that came while the loop was busy is reported before whoever asked to look is told. */
@@ -49,7 +49,7 @@
     void whatCameWhileTheLoopWasBusyIsReportedBeforeTheLook() throws Exception {
         List<String> order = new CopyOnWriteArrayList<>();
         CountDownLatch looked = new CountDownLatch(1);
-        Sockets sockets = new Sockets("test", new Idle());
+        SelectorThread sockets = new SelectorThread("test", new Idle());
         sockets.start();
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -58,7 +58,7 @@
             sockets.submit(() -> {
                 try {
                     boolean up = channel.connect(server.getLocalAddress());
-                    Sockets.Opening opening = new Sockets.Opening() {
+                    SelectorThread.ConnectionHandler opening = new SelectorThread.ConnectionHandler() {
                         @Override
                         public Connection opened(EndPoint endPoint) {
                             order.add("opened");
@@ -96,7 +96,7 @@
     /** Clients' time runs from when they come: whoever came while the loop was busy with others has waited. */
     @Test
     void aConnectionThatCameWhileTheLoopWasBusyIsKnownToHaveWaited() throws Exception {
-        Sockets sockets = new Sockets("test", new Idle());
+        SelectorThread sockets = new SelectorThread("test", new Idle());
         sockets.start();
         BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
@@ -127,7 +127,7 @@
     /** A process's listener is open some time before its loop runs, and who comes meanwhile waits in the queue. */
     @Test
     void aConnectionThatCameBeforeTheLoopRanIsKnownToHaveWaited() throws Exception {
-        Sockets sockets = new Sockets("test", new Idle());
+        SelectorThread sockets = new SelectorThread("test", new Idle());
         BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
         long openedNs = System.nanoTime();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
@@ -150,7 +150,7 @@
 
     /** So many come at once, and after a quiet time another one: taken to have waited since the others came, its time would be over. */
     private static void comesAfterAQuietTime(int before) throws Exception {
-        Sockets sockets = new Sockets("test", new Idle());
+        SelectorThread sockets = new SelectorThread("test", new Idle());
         sockets.start();
         BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
         List<SocketChannel> open = new CopyOnWriteArrayList<>();
@@ -194,14 +194,14 @@
 
     @Test
     void whoComesAfterARoundThatTookAllHasNotWaited() throws Exception {
-        comesAfterAQuietTime(Sockets.ACCEPTED_A_ROUND);
+        comesAfterAQuietTime(SelectorThread.ACCEPTED_A_ROUND);
     }
 
     /** What had connected but was not taken yet was reset when the listener closed. */
     @Test
     void aListenerThatClosesTakesWhatIsInItsQueue() throws Exception {
         int clients = 40;
-        Sockets sockets = new Sockets("test", new Idle());
+        SelectorThread sockets = new SelectorThread("test", new Idle());
         sockets.start();
         CountDownLatch taken = new CountDownLatch(clients);
         List<SocketChannel> open = new CopyOnWriteArrayList<>();
@@ -242,7 +242,7 @@
     /** Taken to have waited since the one before, its time would be over. */
     @Test
     void whoIsTakenAsAQuietListenerClosesHasNotWaited() throws Exception {
-        Sockets sockets = new Sockets("test", new Idle());
+        SelectorThread sockets = new SelectorThread("test", new Idle());
         sockets.start();
         BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
         ServerSocketChannel listener = ServerSocketChannel.open();
--- a/src/test/java/granitefold/net/HandoverTest.java
+++ b/src/test/java/granitefold/net/StateHandoverTest.java
@@ -17,22 +17,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What passes from one version to the next, and what must not. */
-class HandoverTest {
+class StateHandoverTest {
     private static final Learned LEARNED = new Learned(5_000_000, 2e5, 4, 1e6, 99, List.of(new Learned.Kind(0, 1, 2, 3)),
             List.of(new Learned.Worker(7, 0, 0, 0, 1, 2, 5, 0, List.of(11L))),
             List.of(new Learned.Bucket(0, List.of(4L), 9, 5_000_000)), List.of());
 
     @TempDir
     private Path folder;
-    private Handover old;
-    private Handover next;
+    private StateHandover old;
+    private StateHandover next;
     private final List<String> asked = new ArrayList<>();
 
     @BeforeEach
     void both() {
         Places places = new Places("n0", "s", 0, 1, List.of("acme"), List.of("m"));
-        old = new Handover(folder.resolve("granitefold-a"), places);
-        next = new Handover(folder.resolve("granitefold-a"), places);
+        old = new StateHandover(folder.resolve("granitefold-a"), places);
+        next = new StateHandover(folder.resolve("granitefold-a"), places);
     }
 
     private List<String> left() throws IOException {
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -90,13 +90,13 @@
                 + "load { rate = 150, retries = 0, impatient = 1 }, classes.ficha { work = 20ms, on-time = 8s, deadline = 3s }\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms }, { do = well, to = [s0], at = 1500ms } ]",
             new Patch("core/Requests.java", "        RequestContext c = owed.remove(client);", "        RequestContext c = null;"),
-            new Patch("net/Loop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
+            new Patch("net/EventLoop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
         {"a watch that falls silent is not opened anew", Rule.DRAIN, "for = 12s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = hush, at = 500ms }, { do = drain, to = [s0], at = 700ms } ]",
             new Patch("core/Watch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
         {"restarts take long", Rule.SLOW_START, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load.rate = 30\n"
                 + "steps = [ { do = kill, to = [n1], at = 500ms, lasts = 100ms } ]",
-            new Patch("net/Loop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
+            new Patch("net/EventLoop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
         {"each dispatcher takes the whole of what a cold cocinero bears", Rule.COLD, "for = 5s, dispatchers.count = 8, load { rate = 400, retries = 0 }\n"
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -169,7 +169,7 @@
     public void aTermDuringTheStartStillAnswersWhoHasConnected() throws Exception {
         deadlines(DEADLINE_MS);
         Path folder = Files.createTempDirectory("start");
-        Path jar = Variant.make(Path.of("target/granitefold.jar"), folder, "slow-start", new Variant.Patch("net/Loop.java",
+        Path jar = Variant.make(Path.of("target/granitefold.jar"), folder, "slow-start", new Variant.Patch("net/EventLoop.java",
                 "        sockets.start();", "        Thread.sleep(" + START_MS + ");\n        sockets.start();"));
         program = new RealProgram(null, Map.of(RealProgram.JAR, jar.toString()), fields, a);
         Exchange client = program.connect(program.addressIn(" listening on "), null);
