--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -21,64 +21,64 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** A client's side: reads one request at a time, and while that is unanswered watches for the client to leave. */
+/** A connection from a client: reads one request at a time, and detects a disconnect while the request is in progress. */
 final class ClientConnection extends NonBlockingConnection {
-    private static final int BUFFER = 4096;
-    /** So much is read after the last answer: without it a polite client's answer would be lost in the reset. */
-    private static final int LINGER_MOST = 4 * ClientRequest.BODY_MOST;
+    private static final int BUFFER_BYTES = 4096;
+    /** The limit of input discarded after the last response: closing over unread input would reset the connection and lose the response. */
+    private static final int MAX_DISCARDED_BYTES = 4 * ClientRequest.BODY_MOST;
     private static final ByteBuffer CONTINUE =
             ByteBuffer.wrap("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII)).asReadOnlyBuffer();
 
     private enum State {
         READING,
-        /** A request is with the reducer. */
-        OWED,
+        /** The reducer is processing a request. */
+        PROCESSING,
         WRITING,
-        /** The answer is out and the client was told to close: what it still sends is thrown away. */
+        /** The last response is written and the output shut down: further input is discarded. */
         LINGERING
     }
 
     private final EventLoop loop;
     private final long id;
     private final RequestReader reader;
-    /** The connection came then, at the earliest, and its first request with it. */
-    private final long waitsSinceNs;
-    /** What it brought with it is being read. */
-    private boolean opening;
-    private ByteBuffer in = BufferUtil.allocate(BUFFER);
+    /** The earliest time at which the connection, and its first request with it, may have arrived. */
+    private final long waitingSinceNs;
+    /** Whether the input that arrived with the connection is being read. */
+    private boolean readingInitialInput;
+    private ByteBuffer input = BufferUtil.allocate(BUFFER_BYTES);
     private State state = State.READING;
-    private boolean advancing;
-    /** A next request on this connection has begun to come, and the reducer knows. */
-    private boolean begun = true;
-    /** It has brought a request: it may be shut between two of them. Who has just connected is about to bring one. */
-    private boolean used;
-    /** Something has come since the last time that there was nothing more to read. */
-    private boolean heard;
-    /** A 100 is being written; an answer waits for that. */
-    private boolean continuing;
-    private Runnable behindContinue;
-    /** Bytes thrown away after the last answer. */
-    private int discarded;
-    /** A PROXY header must come first, and has not yet. */
-    private boolean headed;
-    /** Who has really connected, where a proxy told. */
-    private SocketAddress source;
-    /** The answer is to carry load metrics. */
-    private boolean metrics;
-
-    /** {@code waitsSinceNs}: when it came, at the earliest; of {@link System#nanoTime}. */
-    ClientConnection(EndPoint endPoint, EventLoop loop, long id, long waitsSinceNs) {
+    private boolean readingInput;
+    /** Whether the reducer was notified that a request has begun to arrive. */
+    private boolean requestBegun = true;
+    /** Whether a request was received: only then may the connection be shut down while idle, since a new one is about to carry a request. */
+    private boolean hasReceivedRequest;
+    /** Whether input has arrived since the input was last read to its end. */
+    private boolean inputArrived;
+    /** Whether a 100 (Continue) is being written; a response has to wait for that. */
+    private boolean writingContinue;
+    private Runnable afterContinue;
+    /** The number of bytes discarded after the last response. */
+    private int discardedBytes;
+    /** Whether a PROXY header is required and has not been read yet. */
+    private boolean proxyHeaderPending;
+    /** The address of the client, as reported by the proxy if there is one. */
+    private SocketAddress sourceAddress;
+    /** Whether the response must carry load metrics. */
+    private boolean wantsMetrics;
+
+    /** @param waitingSinceNs the earliest time ({@link System#nanoTime}) at which the connection may have arrived */
+    ClientConnection(EndPoint endPoint, EventLoop loop, long id, long waitingSinceNs) {
         super(endPoint);
         this.loop = loop;
         this.id = id;
-        this.waitsSinceNs = waitsSinceNs;
-        reader = new RequestReader(loop::hold, this::goOn);
-        headed = loop.clientRules().proxy();
-        source = endPoint.getRemoteSocketAddress();
+        this.waitingSinceNs = waitingSinceNs;
+        reader = new RequestReader(loop::reserveBodyBytes, this::writeContinue);
+        proxyHeaderPending = loop.clientSettings().proxy();
+        sourceAddress = endPoint.getRemoteSocketAddress();
     }
 
     boolean wantsMetrics() {
-        return metrics;
+        return wantsMetrics;
     }
 
     long id() {
@@ -93,189 +93,189 @@
         return state == State.WRITING;
     }
 
-    /** Reads what came with the connection; what it finds later has come after that. */
+    /** Reads the input that arrived with the connection; all later input arrived after that. */
     @Override
     public void onOpen() {
         super.onOpen();
-        opening = true;
-        advance();
-        opening = false;
+        readingInitialInput = true;
+        readInput();
+        readingInitialInput = false;
     }
 
     @Override
     public void onFillable() {
-        advance();
+        readInput();
     }
 
     @Override
     public void onFillInterestedFailed(Throwable cause) {
-        gone(CloseReason.BROKEN);
+        closeConnection(CloseReason.BROKEN);
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        gone(CloseReason.CLIENT);
+        closeConnection(CloseReason.CLIENT);
     }
 
-    /** Reads and parses as far as it goes. What ends in an answer at once comes back here, but not deeper. */
-    private void advance() {
-        if (advancing) {
+    /** Reads and parses all available input. An immediate response calls this again, which has no effect while it is running. */
+    private void readInput() {
+        if (readingInput) {
             return;
         }
-        advancing = true;
+        readingInput = true;
         try {
-            while (getEndPoint().isOpen() && step()) { }
+            while (getEndPoint().isOpen() && readOnce()) { }
         } catch (IOException e) {
-            gone(CloseReason.BROKEN);
+            closeConnection(CloseReason.BROKEN);
         } finally {
-            advancing = false;
+            readingInput = false;
         }
     }
 
-    private boolean step() throws IOException {
-        if (headed && in.hasRemaining() && !header()) {
+    private boolean readOnce() throws IOException {
+        if (proxyHeaderPending && input.hasRemaining() && !readProxyHeader()) {
             return false;
         }
-        if (state == State.READING && in.hasRemaining()) {
-            if (reader.read(in) && state == State.READING) {
-                received();
+        if (state == State.READING && input.hasRemaining()) {
+            if (reader.read(input) && state == State.READING) {
+                handleRequest();
             }
             return true;
         }
         if (state == State.LINGERING) {
-            discarded += in.remaining();
-            BufferUtil.clear(in);
-            if (discarded > LINGER_MOST) {
-                gone(CloseReason.FLOOD);
+            discardedBytes += input.remaining();
+            BufferUtil.clear(input);
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
+                closeConnection(CloseReason.FLOOD);
                 return false;
             }
-        } else if (BufferUtil.isFull(in) && !widen()) {
-            // were we to stop reading, its leaving would go unseen; who sends so much ahead of an answer is no usual client
-            gone(CloseReason.FLOOD);
+        } else if (BufferUtil.isFull(input) && !enlargeBuffer()) {
+            // without reading on, a disconnect would go unnoticed; no regular client pipelines this much
+            closeConnection(CloseReason.FLOOD);
             return false;
         }
-        int n = getEndPoint().fill(in);
-        heard |= n > 0;
-        if (n < 0) {
-            gone(CloseReason.CLIENT);
-        } else if (n == 0) {
-            if (state == State.READING && heard && !reader.isStart()) {
-                loop.post(begun ? new Event.RequestGoesOn(id) : new Event.RequestBegun(id));
-                begun = true;
+        int count = getEndPoint().fill(input);
+        inputArrived |= count > 0;
+        if (count < 0) {
+            closeConnection(CloseReason.CLIENT);
+        } else if (count == 0) {
+            if (state == State.READING && inputArrived && !reader.isAtStart()) {
+                loop.post(requestBegun ? new Event.RequestGoesOn(id) : new Event.RequestBegun(id));
+                requestBegun = true;
             }
-            heard = false;
+            inputArrived = false;
             awaitReadable();
         }
-        return n > 0;
+        return count > 0;
     }
 
-    /** Takes the PROXY header off the start; false where the connection ends for want of one. */
-    private boolean header() throws IOException {
+    /** Reads the PROXY header; returns false if its input is not available yet, or if the connection was closed for lack of a valid one. */
+    private boolean readProxyHeader() throws IOException {
         try {
-            InetSocketAddress proxy = (InetSocketAddress) source;
-            if (!loop.clientRules().from().isEmpty() && !loop.clientRules().from().contains(proxy.getAddress())) {
+            InetSocketAddress proxy = (InetSocketAddress) sourceAddress;
+            if (!loop.clientSettings().from().isEmpty() && !loop.clientSettings().from().contains(proxy.getAddress())) {
                 throw new BadRequest(400, "not one of clients.proxy-from");
             }
-            ProxyHeader header = ProxyHeader.decode(in);
+            ProxyHeader header = ProxyHeader.decode(input);
             if (header != null) {
-                headed = false;
-                source = header.source() == null ? source : header.source();
+                proxyHeaderPending = false;
+                sourceAddress = header.source() == null ? sourceAddress : header.source();
                 return true;
             }
-            int n = BufferUtil.isFull(in) ? -1 : getEndPoint().fill(in);
-            if (n < 0) {
+            int count = BufferUtil.isFull(input) ? -1 : getEndPoint().fill(input);
+            if (count < 0) {
                 throw new BadRequest(400, "closed within its PROXY header");
             }
-            if (n == 0) {
+            if (count == 0) {
                 awaitReadable();
             }
-            // what came is looked at in the next step
-            return n > 0;
+            // the new input is decoded in the next step
+            return count > 0;
         } catch (BadRequest e) {
-            // section 2 of the protocol: the receiver drops the connection, and says nothing to who may be anybody
-            EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
-            gone(CloseReason.NO_PROXY_HEADER);
+            // section 2 of the protocol: the receiver drops the connection, without a response to an unknown sender
+            EventLog.log(LogEvent.CLIENT_REFUSED, sourceAddress, e.getMessage());
+            closeConnection(CloseReason.NO_PROXY_HEADER);
             return false;
         }
     }
 
-    /** Makes room to read on while a request is unanswered: only by reading is a client's leaving seen. */
-    private boolean widen() {
-        int more = in.capacity();
-        if (more > ClientRequest.BODY_MOST || !loop.hold(more)) {
+    /** Enlarges the input buffer to read on during a request: a disconnect is only detected by reading. */
+    private boolean enlargeBuffer() {
+        int additional = input.capacity();
+        if (additional > ClientRequest.BODY_MOST || !loop.reserveBodyBytes(additional)) {
             return false;
         }
-        resize(2 * more);
+        resize(2 * additional);
         return true;
     }
 
-    private void narrow() {
-        if (in.capacity() > BUFFER && in.remaining() <= BUFFER) {
-            loop.hold(BUFFER - in.capacity());
-            resize(BUFFER);
+    private void shrinkBuffer() {
+        if (input.capacity() > BUFFER_BYTES && input.remaining() <= BUFFER_BYTES) {
+            loop.reserveBodyBytes(BUFFER_BYTES - input.capacity());
+            resize(BUFFER_BYTES);
         }
     }
 
     private void resize(int capacity) {
-        ByteBuffer other = BufferUtil.allocate(capacity);
-        BufferUtil.append(other, in);
-        in = other;
+        ByteBuffer resized = BufferUtil.allocate(capacity);
+        BufferUtil.append(resized, input);
+        input = resized;
     }
 
-    /** The client has closed, or its connection broke, or we close it. */
-    private void gone(CloseReason reason) {
+    /** Closes the connection, whichever side ended it. */
+    private void closeConnection(CloseReason reason) {
         reader.release();
-        BufferUtil.clear(in);
-        narrow();
+        BufferUtil.clear(input);
+        shrinkBuffer();
         state = State.LINGERING;
         loop.closed(this, reason);
         close();
-        loop.answered();
+        loop.stopIfAllWritten();
     }
 
-    /** A request is whole, or as much of it as shows that it is bad. */
-    private void received() {
-        state = State.OWED;
-        used = true;
-        if (reader.isFor("/healthz")) {
+    /** Handles a request that is complete, or known to be invalid. */
+    private void handleRequest() {
+        state = State.PROCESSING;
+        hasReceivedRequest = true;
+        if (reader.isTarget("/healthz")) {
             boolean ready = loop.phase() == Phase.SERVING;
             boolean close = reader.wantsClose();
-            answerHere(HttpMessages.plain(ready ? 200 : 503, loop.phase().name(), close), close);
+            answerDirectly(HttpMessages.plain(ready ? 200 : 503, loop.phase().name(), close), close);
             return;
         }
         try {
-            Submission s = reader.decode(loop.words());
-            metrics = loop.clientRules().orca() && reader.asks(StatusReporter.METRICS_WANTED, "text");
-            if (left()) {
-                gone(CloseReason.CLIENT);
+            Submission submission = reader.decode(loop.vocabulary());
+            wantsMetrics = loop.clientSettings().orca() && reader.hasHeader(StatusReporter.METRICS_REQUEST_HEADER, "text");
+            if (hasDisconnected()) {
+                closeConnection(CloseReason.CLIENT);
             } else {
-                loop.post(new Event.RequestArrived(id, s, unseenUs()));
+                loop.post(new Event.RequestArrived(id, submission, maxInputAgeUs()));
             }
         } catch (BadRequest e) {
-            if (loop.clientRules().proxy()) {
-                EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
+            if (loop.clientSettings().proxy()) {
+                EventLog.log(LogEvent.CLIENT_REFUSED, sourceAddress, e.getMessage());
             }
-            // what follows may not be what it looks like either: the connection ends
-            answerHere(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.because(Refusal.LIMIT), true)
+            // the input that follows cannot be trusted to be a request: the connection is closed
+            answerDirectly(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.because(Refusal.LIMIT), true)
                     : HttpMessages.plain(e.status(), e.getMessage(), true), true);
         }
     }
 
-    /** What is read now may have waited unread for so long. */
-    private long unseenUs() {
-        return opening ? TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - waitsSinceNs) : loop.unseenUs();
+    /** Returns the longest time that input which is read now may have been waiting. */
+    private long maxInputAgeUs() {
+        return readingInitialInput ? TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - waitingSinceNs) : loop.maxInputAgeUs();
     }
 
     /**
-     * Whether the client has gone by now, its end being behind its request: a loop that comes late to a request must not begin an
-     * attempt for somebody who has long left.
+     * Returns whether the client has closed the connection after its request: a loop that reads the request late must not start an
+     * attempt for a client that left long ago.
      */
-    private boolean left() {
+    private boolean hasDisconnected() {
         try {
-            for (int n = 1; n > 0 && (!BufferUtil.isFull(in) || widen()); ) {
-                n = getEndPoint().fill(in);
-                if (n < 0) {
+            for (int count = 1; count > 0 && (!BufferUtil.isFull(input) || enlargeBuffer()); ) {
+                count = getEndPoint().fill(input);
+                if (count < 0) {
                     return true;
                 }
             }
@@ -285,111 +285,111 @@
         }
     }
 
-    /** Takes in what has come by now; after that the loop knows whether the client has gone. */
-    void look() {
-        advance();
+    /** Reads the input that has arrived by now, which shows whether the client has disconnected. */
+    void readPending() {
+        readInput();
     }
 
-    /** The client waits for a word before it sends its body. */
-    private void goOn() {
-        continuing = true;
-        getEndPoint().write(whenWritten(this::continued, () -> gone(CloseReason.BROKEN)), CONTINUE.duplicate());
+    /** Writes a 100 (Continue), which the client awaits before it sends the body. */
+    private void writeContinue() {
+        writingContinue = true;
+        getEndPoint().write(whenWritten(this::continueWritten, () -> closeConnection(CloseReason.BROKEN)), CONTINUE.duplicate());
     }
 
-    private void continued() {
-        continuing = false;
-        Runnable next = behindContinue;
-        behindContinue = null;
-        if (next != null) {
-            next.run();
+    private void continueWritten() {
+        writingContinue = false;
+        Runnable response = afterContinue;
+        afterContinue = null;
+        if (response != null) {
+            response.run();
         }
     }
 
-    private void answerHere(ByteBuffer[] message, boolean last) {
+    private void answerDirectly(ByteBuffer[] message, boolean last) {
         loop.post(new Event.AnsweredHere(id));
         answer(message, last);
     }
 
-    /** Writes an answer; after it the connection reads on or ends. */
+    /** Writes a response; after that the connection reads the next request, or is closed if {@code last}. */
     void answer(ByteBuffer[] message, boolean last) {
-        boolean end = last || reader.wantsClose();
+        boolean close = last || reader.wantsClose();
         state = State.WRITING;
-        if (continuing) {
-            behindContinue = () -> write(message, end);
+        if (writingContinue) {
+            afterContinue = () -> write(message, close);
         } else {
-            write(message, end);
+            write(message, close);
         }
     }
 
-    private void write(ByteBuffer[] message, boolean end) {
-        getEndPoint().write(whenWritten(() -> written(end), () -> gone(CloseReason.BROKEN)), message);
+    private void write(ByteBuffer[] message, boolean close) {
+        getEndPoint().write(whenWritten(() -> written(close), () -> closeConnection(CloseReason.BROKEN)), message);
     }
 
-    private void written(boolean end) {
+    private void written(boolean close) {
         reader.release();
-        if (end) {
+        if (close) {
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
         } else {
             state = State.READING;
-            begun = false;
-            reader.next();
-            narrow();
+            requestBegun = false;
+            reader.startNext();
+            shrinkBuffer();
         }
-        loop.post(new Event.AnswerWritten(id, end));
-        loop.answered();
-        advance();
+        loop.post(new Event.AnswerWritten(id, close));
+        loop.stopIfAllWritten();
+        readInput();
     }
 
-    /** The time for a request is over. */
+    /** Called when the time to receive a request is up. */
     void timeOut() {
-        advance();
+        readInput();
         if (state == State.READING) {
-            if (reader.isStart()) {
-                gone(CloseReason.TIMED_OUT);
+            if (reader.isAtStart()) {
+                closeConnection(CloseReason.TIMED_OUT);
             } else {
-                reader.giveUp(new BadRequest(408, "the request did not come to its end"));
-                received();
+                reader.fail(new BadRequest(408, "the request did not come to its end"));
+                handleRequest();
             }
         }
     }
 
     /**
-     * Makes room: closes, but for a request that turns out to have come whole, which is read first. One that has begun to come is
-     * told that it is rejected: a close that crosses its end would lose it.
+     * Closes the connection to make room, unless a request turns out to have arrived completely, which is then processed. A partly
+     * received request is answered with a rejection: if the close crossed its last bytes, the client would get no answer.
      */
-    void closeUnlessOwed(CloseReason reason) {
-        advance();
-        if (state == State.READING && !reader.isStart()) {
+    void closeUnlessBusy(CloseReason reason) {
+        readInput();
+        if (state == State.READING && !reader.isAtStart()) {
             reject();
-        } else if (state != State.OWED) {
-            gone(reason);
+        } else if (state != State.PROCESSING) {
+            closeConnection(reason);
         }
     }
 
     /**
-     * Tells a client that no more is read, where nothing is owed to it, then reads on without heed until it closes: a close over
-     * unread bytes would reset the connection, and the last answer with it. A request that has begun to come may come to its end,
-     * or is rejected where {@code begun} ones are ended too. A connection that has brought no request yet stays open: unlike
-     * between two requests, its client would not send that one again.
+     * Shuts the output down if no request is in progress, then discards input until the client closes: closing over unread input
+     * would reset the connection and lose the last response. A partly received request may still be completed, or is rejected
+     * if {@code rejectPartial}. A connection without any request so far stays open: unlike after a response, the client
+     * would not retry its first request.
      */
-    void shutUnlessOwed(boolean begun) {
-        advance();
-        if (state == State.READING && reader.isStart()) {
-            if (!used) {
+    void shutDownUnlessBusy(boolean rejectPartial) {
+        readInput();
+        if (state == State.READING && reader.isAtStart()) {
+            if (!hasReceivedRequest) {
                 return;
             }
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
             loop.post(new Event.ClientShut(id));
-            advance();
-        } else if (state == State.READING && begun) {
+            readInput();
+        } else if (state == State.READING && rejectPartial) {
             reject();
         }
     }
 
     private void reject() {
-        reader.giveUp(new BadRequest(503, "no room"));
-        received();
+        reader.fail(new BadRequest(503, "no room"));
+        handleRequest();
     }
 }
--- a/src/main/java/granitefold/net/ClientListener.java
+++ b/src/main/java/granitefold/net/ClientListener.java
@@ -14,93 +14,94 @@
 import org.eclipse.jetty.util.IO;
 
 /**
- * The listener that clients connect to. It accepts on a thread of its own: the JDK calls accept again and again while
- * that fails with ECONNABORTED, and the loop must not stand still meanwhile. All else runs on the selector's thread.
+ * The listener that clients connect to. It accepts on a separate thread: the JDK repeats accept for as long as it fails with
+ * ECONNABORTED, which must not block the loop. Everything else runs on the selector's thread.
  */
 final class ClientListener implements ManagedSelector.Selectable {
-    /** Takes a client that was accepted, and may have waited for that since {@code waitsSinceNs}. */
+    /** Handles accepted clients. */
     interface AcceptHandler {
-        void onAccepted(SocketChannel channel, long waitsSinceNs) throws IOException;
+        /** @param waitingSinceNs the earliest time ({@link System#nanoTime}) at which the client may have connected */
+        void onAccepted(SocketChannel channel, long waitingSinceNs) throws IOException;
     }
 
-    /** How a round of accepts came to its end. */
-    private enum End { EMPTY, FULL, FAILED }
+    /** Why a round of accepts ended. */
+    private enum End { EMPTY, LIMIT_REACHED, FAILED }
 
-    /** Accepts in a row that bring nobody though somebody waits: then the listener rests. */
-    private static final int MISSES_MOST = 16;
+    /** After this many accepts in a row without a result, though connections are pending, the listener is paused. */
+    private static final int MAX_EMPTY_ACCEPTS = 16;
 
-    private final SelectorThread sockets;
+    private final SelectorThread selectorThread;
     private final ServerSocketChannel listener;
-    private final AcceptHandler taking;
-    /** Tells whether the queue is empty; of the acceptor's thread. */
-    private final Selector queue;
-    private final ExecutorService acceptor = Executors.newSingleThreadExecutor(ClientListener::thread);
+    private final AcceptHandler acceptHandler;
+    /** Shows whether the queue is empty; used by the acceptor's thread only. */
+    private final Selector queueSelector;
+    private final ExecutorService acceptor = Executors.newSingleThreadExecutor(ClientListener::newThread);
     private SelectionKey key;
-    /** Whether the queue may hold somebody, and since when that one may have waited. */
-    private boolean mayHoldClients = true;
+    /** Whether the queue may hold clients, and since when the first of them may have been waiting. */
+    private boolean mayHavePendingClients = true;
     private long queuedSinceNs;
 
-    /** From a thread that may wait. */
-    ClientListener(SelectorThread sockets, ServerSocketChannel listener, AcceptHandler taking) throws IOException {
-        this.sockets = sockets;
+    /** Must be called on a thread that may block. */
+    ClientListener(SelectorThread selectorThread, ServerSocketChannel listener, AcceptHandler acceptHandler) throws IOException {
+        this.selectorThread = selectorThread;
         this.listener = listener;
-        this.taking = taking;
-        queue = SocketOpener.openWithRetry(Selector::open);
-        listener.register(queue, SelectionKey.OP_ACCEPT);
+        this.acceptHandler = acceptHandler;
+        queueSelector = SocketOpener.openWithRetry(Selector::open);
+        listener.register(queueSelector, SelectionKey.OP_ACCEPT);
     }
 
     InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static Thread thread(Runnable task) {
+    private static Thread newThread(Runnable task) {
         Thread thread = new Thread(task, "acceptor");
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Watches the listener, in whose queue the first may have waited since {@code openedNs}. */
-    void begin(Selector selector, long openedNs) {
+    /** Registers with the selector; the first client may have been waiting in the queue since {@code openedNs}. */
+    void register(Selector selector, long openedNs) {
         queuedSinceNs = openedNs;
         try {
             key = listener.register(selector, SelectionKey.OP_ACCEPT, this);
         } catch (ClosedChannelException e) {
-            // the program ends already
+            // the process is shutting down
         }
     }
 
-    /** Whether somebody may wait there that the next select shows. */
-    boolean mayHoldClients() {
-        return mayHoldClients && watched();
+    /** Returns whether the next select may report clients that are already in the queue. */
+    boolean mayHavePendingClients() {
+        return mayHavePendingClients && isInterested();
     }
 
-    /** A select has returned: a listener that it watched and does not show as ready has nobody in its queue. */
-    void selected(Selector selector) {
-        if (watched() && !selector.selectedKeys().contains(key)) {
-            mayHoldClients = false;
+    /** Called after each select: if it covered the listener and did not report it as ready, the queue is empty. */
+    void afterSelect(Selector selector) {
+        if (isInterested() && !selector.selectedKeys().contains(key)) {
+            mayHavePendingClients = false;
         }
     }
 
-    private boolean watched() {
+    private boolean isInterested() {
         return key != null && key.isValid() && key.interestOps() == SelectionKey.OP_ACCEPT;
     }
 
     @Override
     public Runnable onSelected() {
-        expectClients();
+        recordArrival();
         key.interestOps(0);
         acceptor.execute(() -> {
-            Round round = acceptUpTo(SelectorThread.ACCEPTED_A_ROUND);
-            sockets.submit(() -> goOn(round));
+            Round round = acceptUpTo(SelectorThread.MAX_ACCEPTS_PER_ROUND);
+            selectorThread.submit(() -> resume(round));
         });
         return null;
     }
 
-    /** Who is accepted next has come, at the earliest, since the queue was last seen empty. */
-    private void expectClients() {
-        if (!mayHoldClients) {
-            mayHoldClients = true;
-            queuedSinceNs = sockets.unseenSinceNs();
+    /** Records the earliest arrival of the next client: the time at which the queue was last known to be empty. */
+    private void recordArrival() {
+        if (!mayHavePendingClients) {
+            mayHavePendingClients = true;
+            queuedSinceNs = selectorThread.earliestArrivalNs();
         }
     }
 
@@ -110,68 +111,68 @@
     @Override
     public void replaceKey(SelectionKey newKey) { }
 
-    /** @param endedNs when the last accept of the round began */
+    /** @param endedNs the time at which the last accept of the round began */
     private record Round(End end, long endedNs) { }
 
-    /** Accepts and hands over one after the other; on the acceptor's thread. */
-    private Round acceptUpTo(int most) {
-        int misses = 0;
-        for (int accepted = 0; accepted < most && misses < MISSES_MOST; ) {
-            long beganNs = System.nanoTime();
+    /** Accepts clients and passes each on to the loop; runs on the acceptor's thread. */
+    private Round acceptUpTo(int max) {
+        int emptyAccepts = 0;
+        for (int accepted = 0; accepted < max && emptyAccepts < MAX_EMPTY_ACCEPTS; ) {
+            long startNs = System.nanoTime();
             try {
                 SocketChannel channel = listener.accept();
                 if (channel != null) {
-                    sockets.submit(() -> take(channel));
+                    selectorThread.submit(() -> passOn(channel));
                     accepted++;
-                    misses = 0;
+                    emptyAccepts = 0;
                 } else if (isQueueEmpty()) {
-                    return new Round(End.EMPTY, beganNs);
+                    return new Round(End.EMPTY, startNs);
                 } else {
-                    misses++;
+                    emptyAccepts++;
                 }
             } catch (IOException e) {
-                return new Round(End.FAILED, beganNs);
+                return new Round(End.FAILED, startNs);
             }
         }
-        return new Round(misses == MISSES_MOST ? End.FAILED : End.FULL, System.nanoTime());
+        return new Round(emptyAccepts == MAX_EMPTY_ACCEPTS ? End.FAILED : End.LIMIT_REACHED, System.nanoTime());
     }
 
-    /** An accept that a signal interrupts (EINTR) brings nobody, as that of an empty queue does. */
+    /** Distinguishes an empty queue from an accept that a signal interrupted (EINTR): both return no connection. */
     private boolean isQueueEmpty() throws IOException {
-        queue.selectedKeys().clear();
-        return queue.selectNow() == 0;
+        queueSelector.selectedKeys().clear();
+        return queueSelector.selectNow() == 0;
     }
 
-    /** One that cannot be set up is closed, and the others go on. */
-    private void take(SocketChannel channel) {
+    /** Passes on an accepted client, and closes it if it cannot be set up. */
+    private void passOn(SocketChannel channel) {
         try {
-            taking.onAccepted(channel, queuedSinceNs);
+            acceptHandler.onAccepted(channel, queuedSinceNs);
         } catch (IOException e) {
             IO.close(channel);
         }
     }
 
-    /** Watches the listener again. While accept fails, those who wait go on waiting. */
-    private void goOn(Round round) {
+    /** Resumes accepting, at once or, if accept has failed, after a pause. */
+    private void resume(Round round) {
         if (round.end == End.EMPTY) {
             queuedSinceNs = round.endedNs;
         }
         if (key.isValid() && round.end == End.FAILED) {
-            // the listener is out of descriptors: the queue keeps whoever waits
-            sockets.backOff(key);
+            // descriptors have run out: pending connections stay in the queue
+            selectorThread.pauseAfterFailedAccept(key);
         } else if (key.isValid()) {
             key.interestOps(SelectionKey.OP_ACCEPT);
         }
     }
 
     /**
-     * Takes what has connected by now, then closes the listener: the kernel resets what it finds in the queue of one that
-     * closes. A channel that a selector knows closes only with its next select, when more may have come, so it is
-     * taken from the selector first. {@code closed} hears that it is closed and what it held has been read; or that a
-     * call of accept failed, and the listener is still open and to be emptied once more.
+     * Accepts all pending connections, then closes the listener: the kernel resets those that are still in the queue of a closed
+     * listener. A channel that is registered with a selector closes only at the next select, when more may have connected, so its key
+     * is cancelled first. {@code closed} receives true once the listener is closed and the input of the accepted clients has been
+     * processed, or false if accept failed and the listener is still open; close is then to be called once more.
      */
     void close(Consumer<Boolean> closed) {
-        sockets.submit(() -> {
+        selectorThread.submit(() -> {
             if (key != null) {
                 key.cancel();
             }
@@ -181,16 +182,16 @@
 
     private void closeUnregistered(Consumer<Boolean> closed) {
         if (key != null && listener.keyFor(key.selector()) != null) {
-            sockets.submit(() -> closeUnregistered(closed));
+            selectorThread.submit(() -> closeUnregistered(closed));
             return;
         }
-        expectClients();
+        recordArrival();
         acceptor.execute(() -> {
             boolean emptied = acceptUpTo(Integer.MAX_VALUE).end == End.EMPTY && closeListener();
-            // ENFILE, say: whoever is left in the queue would be reset with it
-            sockets.submit(() -> {
+            // if accept failed, for example with ENFILE, closing would reset the connections left in the queue
+            selectorThread.submit(() -> {
                 if (emptied) {
-                    sockets.afterLook(() -> closed.accept(true));
+                    selectorThread.afterPendingInput(() -> closed.accept(true));
                 } else {
                     closed.accept(!listener.isOpen());
                 }
@@ -200,9 +201,9 @@
 
     private boolean closeListener() {
         try {
-            // a channel that a selector knows closes with that one's next select
+            // a registered channel closes only when its selector closes or selects
             listener.close();
-            queue.close();
+            queueSelector.close();
             return true;
         } catch (IOException e) {
             return false;
--- a/src/main/java/granitefold/net/Clock.java
+++ b/src/main/java/granitefold/net/Clock.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Monotonic microseconds, set once to Unix time so that they compare with the times in lists. */
+/** A monotonic clock in microseconds, aligned to Unix time once, so that its values compare with the times in worker lists. */
 final class Clock {
-    private final long offset = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()) - System.nanoTime() / 1000;
+    private final long offsetUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis()) - System.nanoTime() / 1000;
 
     long micros() {
-        return offset + System.nanoTime() / 1000;
+        return offsetUs + System.nanoTime() / 1000;
     }
 }
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -34,52 +34,52 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * The one loop: it brings events to the reducer and does what that asks for. All but the methods marked so runs on
- * the selector's thread.
+ * The event loop of a dispatcher: passes events to the reducer and performs the effects that it returns. Unless stated otherwise,
+ * methods must be called on the selector's thread.
  */
 public final class EventLoop implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 1024;
-    private static final long AFTER_ERROR_US = 10_000;
+    private static final long ERROR_RETRY_DELAY_US = 10_000;
     /**
-     * Descriptors kept for files, the selector, the listener, the watch and datagrams (about 20), for a round of new
-     * clients that is still to be counted, and for what is closed already but held until the next select.
+     * Descriptors reserved for files, the selector, the listener, the watch and datagrams (about 20), for a round of accepted
+     * clients that are not counted yet, and for closed channels that are held until the next select.
      */
-    private static final int RESERVED = 48;
-    public static final int OPS_DESCRIPTORS = 20; // 12 connections, and its own
-    private static final int SPARE = 16; // client connections beside those that are owed an answer
-    /** The old version looks four times a second who asks, and the new one has warmed up meanwhile. */
-    private static final long INHERIT_MS = 700;
-    /** Bytes of requests held at once, as a share of the heap: with their copies on the way, well within it. */
-    private static final long HELD_SHARE = 5;
+    private static final int RESERVED_DESCRIPTORS = 48;
+    public static final int OPS_DESCRIPTORS = 20; // 12 connections, and 8 of its own
+    private static final int SPARE_CLIENT_CONNECTIONS = 16; // client connections beyond those with a request in progress
+    /** The old version checks for a handover request four times a second, also while the new one is warming up. */
+    private static final long HANDOVER_TIMEOUT_MS = 700;
+    /** Request bodies may take one part in this many of the heap, which must also hold their copies in transit. */
+    private static final long HELD_BYTES_HEAP_DIVISOR = 5;
 
     private final Config config;
     private final Clock clock = new Clock();
-    private final SelectorThread sockets = new SelectorThread("dispatcher", this);
+    private final SelectorThread selectorThread = new SelectorThread("dispatcher", this);
     private final Reducer reducer;
     private final Reducer.Bounds bounds;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final Map<Long, ClientConnection> clients = new HashMap<>();
     private final CountDownLatch started = new CountDownLatch(1);
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final long heldMost = Runtime.getRuntime().maxMemory() / HELD_SHARE;
+    private final long maxHeldBytes = Runtime.getRuntime().maxMemory() / HELD_BYTES_HEAP_DIVISOR;
     private ClientListener listener;
     private boolean reducing;
     private boolean stopping;
-    private long wakeAt = Long.MAX_VALUE;
-    private long lastClient;
+    private long wakeAtUs = Long.MAX_VALUE;
+    private long lastClientId;
     private long heldBytes;
-    /** What the operator's file adds; null where no part of it needs the loop. */
-    private final StatusReporter insight;
+    /** Null unless the operator has configured something that exposes the status. */
+    private final StatusReporter statusReporter;
     private final Operator operator;
-    private Consumer<Learned> keeper;
-    private final OutboundConnections links;
-    /** The other processes that serve at our address; null where nobody may start one. */
-    private final ProcessRegistry company;
-    /** Null where no other process may share our folder. */
+    private Consumer<Learned> stateSaver;
+    private final OutboundConnections outbound;
+    /** The processes that serve at the same address; null if there is no ops address, and so never a second process. */
+    private final ProcessRegistry processes;
+    /** Null if there is no folder that is shared with other processes. */
     private final StateHandover handover;
     private volatile Figures figures;
 
-    /** As the platform starts it. */
+    /** Creates a loop without an operator's file. */
     public EventLoop(Config config) {
         this(config, Operator.NONE);
     }
@@ -87,142 +87,142 @@
     public EventLoop(Config config, Operator operator) {
         this.config = config;
         this.operator = operator;
-        insight = operator.tells() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
+        statusReporter = operator.tells() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
         if (operator.health() != null && operator.health().probes() && !config.probing()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
-        // a request holds a connection on either side
-        boolean ops = config.ops() != null;
-        links = new OutboundConnections(this, sockets, config, operator);
-        company = ops ? ProcessRegistry.at(config.listen()) : null;
-        handover = ops && company.stem != null ? new StateHandover(company.stem, config.places()) : null;
-        int checks = operator.descriptors() + (ops ? OPS_DESCRIPTORS : 0);
+        // each request may take two connections: one to its client and one to a worker
+        boolean hasOps = config.ops() != null;
+        outbound = new OutboundConnections(this, selectorThread, config, operator);
+        processes = hasOps ? ProcessRegistry.forAddress(config.listen()) : null;
+        handover = hasOps && processes.pathPrefix != null ? new StateHandover(processes.pathPrefix, config.places()) : null;
+        int checkDescriptors = operator.descriptors() + (hasOps ? OPS_DESCRIPTORS : 0);
         if (operator.descriptors() > config.sockets() / 4) {
             throw new BadWire("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
                     + config.sockets());
         }
-        int each = Math.max(SPARE + 1, (config.sockets() - RESERVED - checks) / 2);
-        bounds = new Reducer.Bounds(each, each - SPARE, each, config.connectTimeoutUs(), config.idleCloseUs());
-        reducer = new Reducer(config.words().settings(), bounds, config.seed(), operator.extras(config.probing()).withFigures(ops));
+        int perSide = Math.max(SPARE_CLIENT_CONNECTIONS + 1, (config.sockets() - RESERVED_DESCRIPTORS - checkDescriptors) / 2);
+        bounds = new Reducer.Bounds(perSide, perSide - SPARE_CLIENT_CONNECTIONS, perSide, config.connectTimeoutUs(), config.idleCloseUs());
+        reducer = new Reducer(config.words().settings(), bounds, config.seed(), operator.extras(config.probing()).withFigures(hasOps));
     }
 
-    /** Opens the sockets and begins; from the main thread. */
+    /** Opens the sockets and starts the loop; called on the main thread. */
     public void start() throws Exception {
         Learned inherited = null;
-        if (company != null && company.others()) {
-            // the old version serves meanwhile, so that a cold start need not be any client's
-            String word = handover == null ? null : handover.ask();
-            long at = clock.micros();
-            EventLog.log(LogEvent.WARMED, JitWarmup.run(config, bounds), (clock.micros() - at) / 1000);
-            inherited = word == null ? null : handover.await(word, INHERIT_MS);
+        if (processes != null && processes.hasOthers()) {
+            // the old version serves in the meantime, so that no client is affected by the cold start
+            String token = handover == null ? null : handover.request();
+            long startUs = clock.micros();
+            EventLog.log(LogEvent.WARMED, JitWarmup.run(config, bounds), (clock.micros() - startUs) / 1000);
+            inherited = token == null ? null : handover.await(token, HANDOVER_TIMEOUT_MS);
         }
-        Learned former = inherited;
-        // where the next version may start beside this one, it listens on the same address
+        Learned inheritedState = inherited;
+        // if the next version may start while this one serves, both listen on the same address
         long openedNs = System.nanoTime();
-        listener = new ClientListener(sockets, SocketOpener.openTcpListener(config.listen(), BACKLOG, company != null), this::accepted);
-        DatagramChannel siblings = links.bindSiblings(company != null);
+        listener = new ClientListener(selectorThread, SocketOpener.openTcpListener(config.listen(), BACKLOG, processes != null), this::accepted);
+        DatagramChannel siblings = outbound.bindSiblingChannel(processes != null);
         EventLog.log(LogEvent.LISTENING, Address.text(address()));
-        sockets.start();
-        sockets.submit(() -> {
-            links.openSiblings(siblings);
+        selectorThread.start();
+        selectorThread.submit(() -> {
+            outbound.openSiblingChannel(siblings);
             post(new Event.Opened(config.known(), Address.text(config.discovery())));
-            if (former != null) {
-                post(new Event.Inherited(former));
+            if (inheritedState != null) {
+                post(new Event.Inherited(inheritedState));
             }
-            sockets.listen(listener, openedNs);
+            selectorThread.listen(listener, openedNs);
         });
         started.countDown();
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() throws IOException {
         return listener.address();
     }
 
     /**
-     * Reads the configuration anew and goes over to the discovery that it names; all else in it is for the next
-     * start. A broken file changes nothing. From any thread but the selector's, which must not wait for a file.
+     * Reloads the configuration and switches to the discovery address in it; all other settings take effect at the next start. An
+     * invalid file changes nothing. Must not be called on the selector's thread, since it reads a file.
      */
     public synchronized void reload(Path file) {
         try {
             String discovery = Address.text(Config.read(file).discovery());
             EventLog.log(LogEvent.CONFIGURATION_READ, discovery);
-            sockets.submit(() -> post(new Event.DiscoveryMoved(discovery)));
+            selectorThread.submit(() -> post(new Event.DiscoveryMoved(discovery)));
         } catch (RuntimeException e) {
             EventLog.log(LogEvent.CONFIGURATION_KEPT, e.getMessage());
         }
     }
 
     /**
-     * Tells the reducer that the program is to end, and waits until it has, or is about to be killed; from a shutdown hook.
-     * Returns how much is left of the time that the process has.
+     * Starts the graceful shutdown and waits until it is complete or its time is up; called from a shutdown hook.
+     * Returns how much of that time is left, in microseconds.
      */
     public long terminate() throws InterruptedException {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         started.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
-        boolean relieved = company != null && company.others();
-        if (relieved) {
+        boolean othersServe = processes != null && processes.hasOthers();
+        if (othersServe) {
             EventLog.log(LogEvent.RELIEVED, Address.text(config.listen()));
         }
-        sockets.submit(() -> post(new Event.Terminated(relieved)));
+        selectorThread.submit(() -> post(new Event.Terminated(othersServe)));
         stopped.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
-        return Math.max(0, reducer.exitUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - from));
+        return Math.max(0, reducer.exitUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs));
     }
 
     public String name() {
         return config.name();
     }
 
-    /** Who keeps what was learned; set before the start, where the operator has named a folder. */
-    public void saveStateWith(Consumer<Learned> who) {
-        keeper = who;
+    /** Sets what saves the learned state; called before the start if the operator has configured a state folder. */
+    public void saveStateWith(Consumer<Learned> saver) {
+        stateSaver = saver;
     }
 
-    /** What a former life left; from any thread. */
+    /** Restores the state saved by a previous process; may be called from any thread. */
     public void restore(Learned learned) {
-        sockets.submit(() -> post(new Event.Recovered(learned)));
+        selectorThread.submit(() -> post(new Event.Recovered(learned)));
     }
 
-    /** What the process has done and how it stands; null before the first. From any thread. */
+    /** Returns the last published metrics and status, or null before the first. May be called from any thread. */
     public Figures figures() {
         return figures;
     }
 
-    /** Looks whether a new version asks what was learned; {@code writer} runs what may wait for a file. */
-    public void answerHandoverRequests(Consumer<Runnable> writer) {
-        // while this one does not serve, the wish is its own
+    /** Answers a request of a new version for the learned state; {@code fileExecutor} runs the writing of the file. */
+    public void answerHandoverRequests(Consumer<Runnable> fileExecutor) {
+        // until this process serves, the pending request is its own
         if (handover != null && figures != null && figures.serves()) {
-            handover.look(word -> sockets.submit(() -> {
+            handover.poll(token -> selectorThread.submit(() -> {
                 Learned learned = reducer.learned();
-                writer.accept(() -> handover.tell(word, learned));
+                fileExecutor.accept(() -> handover.respond(token, learned));
             }));
         }
     }
 
-    /** How the dispatcher stands, readable from any thread; null where nothing tells it. */
+    /** Returns the status, which any thread may read; null unless the operator has configured something that exposes it. */
     public StatusReporter statusReporter() {
-        return insight;
+        return statusReporter;
     }
 
-    /** An operator's word; from any thread. {@code then} runs on the loop's, once it has been taken in. */
+    /** Sets an operator override; may be called from any thread. {@code then} runs on the loop's thread once the override is in effect. */
     public void setOperatorOverride(Wish wish, Runnable then) {
-        sockets.submit(() -> {
+        selectorThread.submit(() -> {
             post(new Event.Wished(wish));
             then.run();
         });
     }
 
-    /** Other figures of availability; from any thread. */
+    /** Replaces the availability settings; may be called from any thread. */
     public void updateAvailabilitySettings(AvailabilitySettings availability) {
-        sockets.submit(() -> post(new Event.Retuned(availability)));
+        selectorThread.submit(() -> post(new Event.Retuned(availability)));
     }
 
-    /** The phase's name; from any thread, as it was at some moment lately. */
+    /** Returns the name of the phase; from other threads it may be slightly out of date. */
     public String phaseName() {
         return reducer.phase().name();
     }
 
-    Operator.Clients clientRules() {
+    Operator.Clients clientSettings() {
         return operator.clients();
     }
 
@@ -230,20 +230,20 @@
         return reducer.phase();
     }
 
-    Vocabulary words() {
+    Vocabulary vocabulary() {
         return config.words();
     }
 
-    long now() {
+    long nowUs() {
         return clock.micros();
     }
 
-    /** What is read now may have waited unread for so long. */
-    long unseenUs() {
-        return sockets.unseenUs();
+    /** Returns the longest time that input which is read now may have been waiting. */
+    long maxInputAgeUs() {
+        return selectorThread.maxInputAgeUs();
     }
 
-    /** Takes an event to the reducer; one that comes up while effects are performed waits for its turn. */
+    /** Passes an event to the reducer; one that is posted while effects are performed is queued. */
     void post(Event event) {
         events.add(event);
         if (reducing) {
@@ -252,26 +252,26 @@
         reducing = true;
         try {
             while (!events.isEmpty()) {
-                step(events.remove());
+                handle(events.remove());
             }
         } finally {
             reducing = false;
         }
     }
 
-    private void step(Event event) {
+    private void handle(Event event) {
         try {
-            reducer.reduce(event, clock.micros()).forEach(this::attempt);
+            reducer.reduce(event, clock.micros()).forEach(this::performSafely);
         } catch (RuntimeException e) {
-            // one broken event must not end the program: what was decided before it broke is done, and its timers go on
+            // a failing event must not end the process: the effects decided before the failure are performed, and timers go on
             EventLog.error(LogEvent.INTERNAL_ERROR, e, event.getClass().getSimpleName());
-            List.copyOf(reducer.effects()).forEach(this::attempt);
-            wakeAt = clock.micros() + AFTER_ERROR_US;
+            List.copyOf(reducer.effects()).forEach(this::performSafely);
+            wakeAtUs = clock.micros() + ERROR_RETRY_DELAY_US;
         }
     }
 
-    /** Performs an effect; one that breaks must not take those behind it along. */
-    private void attempt(Effect effect) {
+    /** Performs an effect; its failure must not prevent those after it. */
+    private void performSafely(Effect effect) {
         try {
             perform(effect);
         } catch (RuntimeException e) {
@@ -279,20 +279,20 @@
         }
     }
 
-    /** Milliseconds, rounded up, until the reducer is to be woken. */
+    /** Returns the milliseconds, rounded up, until the next timer of the reducer. */
     @Override
     public long millisUntilTimer() {
-        return wakeAt == Long.MAX_VALUE ? TimeUnit.SECONDS.toMillis(1)
-                : Math.max(0, (wakeAt - clock.micros() + 999) / 1000);
+        return wakeAtUs == Long.MAX_VALUE ? TimeUnit.SECONDS.toMillis(1)
+                : Math.max(0, (wakeAtUs - clock.micros() + 999) / 1000);
     }
 
     @Override
     public void onTimer() {
         if (millisUntilTimer() <= 0) {
-            if (insight != null) {
-                insight.woken(wakeAt);
+            if (statusReporter != null) {
+                statusReporter.timerFired(wakeAtUs);
             }
-            wakeAt = Long.MAX_VALUE;
+            wakeAtUs = Long.MAX_VALUE;
             post(new Event.Woken());
         }
     }
@@ -302,7 +302,7 @@
         if (effect instanceof Effect.Answer e) {
             ClientConnection client = clients.get(e.client());
             if (client != null) {
-                client.answer(HttpMessages.answer(e.answer(), insight == null ? List.of() : insight.fields(client),
+                client.answer(HttpMessages.answer(e.answer(), statusReporter == null ? List.of() : statusReporter.headerFields(client),
                         e.close() || client.wantsClose()), e.close());
             }
         } else if (effect instanceof Effect.TimeOutClient e) {
@@ -313,77 +313,78 @@
         } else if (effect instanceof Effect.CloseClient e) {
             ClientConnection client = clients.get(e.client());
             if (client != null) {
-                client.closeUnlessOwed(e.reason());
+                client.closeUnlessBusy(e.reason());
             }
         } else if (effect instanceof Effect.WakeAt e) {
-            wakeAt = e.at();
+            wakeAtUs = e.at();
         } else if (effect instanceof Effect.StopListening) {
             listener.close(emptied -> post(new Event.ListenerClosed(emptied)));
         } else if (effect instanceof Effect.ShutIdle || effect instanceof Effect.ShutAll) {
             for (ClientConnection client : clients.values().toArray(ClientConnection[]::new)) {
-                client.shutUnlessOwed(effect instanceof Effect.ShutAll);
+                client.shutDownUnlessBusy(effect instanceof Effect.ShutAll);
             }
         } else if (effect instanceof Effect.SendRequest e) {
             ClientConnection client = clients.get(e.client());
             if (client != null) {
-                client.look();
+                client.readPending();
             }
             if (clients.containsKey(e.client())) {
-                links.perform(e);
+                outbound.perform(e);
             } else {
-                // its end is among the events by now
+                // the event of its closing is already queued
                 post(new Event.NotSent(e.connection()));
             }
         } else if (effect instanceof Effect.Stop) {
             stopping = true;
-            answered();
+            stopIfAllWritten();
         } else if (effect instanceof Effect.Sample) {
-            post(new Event.Sampled(insight.sample((double) (clients.size() + links.size() + RESERVED) / config.sockets())));
+            post(new Event.Sampled(statusReporter.sample(
+                    (double) (clients.size() + outbound.workerConnectionCount() + RESERVED_DESCRIPTORS) / config.sockets())));
         } else if (effect instanceof Effect.Keep e) {
-            keeper.accept(e.learned());
+            stateSaver.accept(e.learned());
         } else if (effect instanceof Effect.Publish e) {
-            insight.publish(e.report());
+            statusReporter.publish(e.report());
         } else if (effect instanceof Effect.Count e) {
             figures = e.figures();
-            if (company != null && figures.serves()) {
-                company.enter();
+            if (processes != null && figures.serves()) {
+                processes.register();
             }
         } else if (effect instanceof Effect.Log e) {
             EventLog.log(e.event(), e.values());
         } else {
-            links.perform(effect);
+            outbound.perform(effect);
         }
     }
 
-    /** An answer has been written: the last one of all lets the program end. */
-    void answered() {
+    /** Completes the shutdown once the last response has been written. */
+    void stopIfAllWritten() {
         if (stopping && clients.values().stream().noneMatch(ClientConnection::writing)) {
             stopped.countDown();
         }
     }
 
     // ---------------------------------------------------------------- clients
-    private void accepted(SocketChannel channel, long waitsSinceNs) throws IOException {
+    private void accepted(SocketChannel channel, long waitingSinceNs) throws IOException {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        long id = ++lastClient;
-        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
+        long id = ++lastClientId;
+        selectorThread.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
-                ClientConnection client = new ClientConnection(endPoint, EventLoop.this, id, waitsSinceNs);
+                ClientConnection client = new ClientConnection(endPoint, EventLoop.this, id, waitingSinceNs);
                 clients.put(id, client);
                 post(new Event.ClientOpened(id));
                 return client;
             }
 
             @Override
-            public void failed(Throwable why) { }
+            public void failed(Throwable cause) { }
         });
     }
 
-    /** Takes so many bytes of bodies into hand, or gives them back; false where that is too many. */
-    boolean hold(int bytes) {
-        if (bytes > 0 && heldBytes + bytes > heldMost) {
+    /** Reserves memory for request bodies, or releases it if {@code bytes} is negative; returns false if the limit is reached. */
+    boolean reserveBodyBytes(int bytes) {
+        if (bytes > 0 && heldBytes + bytes > maxHeldBytes) {
             return false;
         }
         heldBytes += bytes;
--- a/src/main/java/granitefold/net/JitWarmup.java
+++ b/src/main/java/granitefold/net/JitWarmup.java
@@ -24,26 +24,25 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /**
- * Lets the JVM compile what a request runs through, before any comes: made-up requests go through the codecs and a reducer
- * of their own, with this dispatcher's settings and workers, and end there. Nothing is opened, sent or kept. Worth its time only
- * where another process serves meanwhile.
+ * Makes the JVM compile the request path before the first client request: synthetic requests pass through the codecs and a separate
+ * reducer with this dispatcher's settings and workers. It opens no connection, sends nothing and keeps no state. It delays the
+ * start, so it is worthwhile only while another process is serving.
  */
 final class JitWarmup {
-    /** The JVM's client compiler takes what has run some 200 times, or 2,000 with its loops. */
+    /** C1 compiles a method after about 200 invocations, or after 2,000 invocations and loop iterations together. */
     private static final int REQUESTS = 1_500;
-    /** The new version has 6 s to say that it serves, and needs about one to start. */
-    private static final long MOST_NS = TimeUnit.MILLISECONDS.toNanos(2_000);
-    private static final long STEP_US = 10_000;
-    /** Requests in hand at a time. */
-    private static final int OPEN = 8;
+    /** A new version has 6 s to report that it serves, and takes about 1 s to start. */
+    private static final long MAX_DURATION_NS = TimeUnit.MILLISECONDS.toNanos(2_000);
+    private static final long REQUEST_INTERVAL_US = 10_000;
+    private static final int CONCURRENT_REQUESTS = 8;
 
     private final Config config;
     private final Reducer reducer;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final String[] classes;
     private final String[] tenants;
-    private long now = 1_000_000_000L;
-    private int answered;
+    private long nowUs = 1_000_000_000L;
+    private int answeredRequests;
 
     private JitWarmup(Config config, Reducer.Bounds bounds) {
         this.config = config;
@@ -52,7 +51,7 @@
         tenants = config.words().tenants().keySet().toArray(String[]::new);
     }
 
-    /** Runs it; returns how many requests were answered, for the log. */
+    /** Runs the warm-up; returns the number of answered requests, for the log. */
     static int run(Config config, Reducer.Bounds bounds) {
         return new JitWarmup(config, bounds).run();
     }
@@ -60,29 +59,29 @@
     private int run() {
         List<WorkerList.Entry> workers = new ArrayList<>();
         for (WorkerList.Entry e : config.known().entries()) {
-            // the reducer's clock is made up: none of them has just started
+            // this reducer's clock is simulated: start time 0 keeps workers from counting as just started
             workers.add(new WorkerList.Entry(e.name(), e.address(), e.state(), e.weight(), 0, e.zone(), e.cell(), e.kind()));
         }
-        play(new Event.Opened(new WorkerList(1, true, workers), "127.0.0.1:1"));
-        play(new Event.WatchNews(null));
-        long began = System.nanoTime();
-        long until = began + MOST_NS;
-        for (int i = 0; i < REQUESTS && System.nanoTime() - until < 0; i++) {
-            now += STEP_US;
-            Submission s = submission(i);
-            if (s != null) {
-                play(new Event.ClientOpened(i));
-                play(new Event.RequestArrived(i, s));
+        process(new Event.Opened(new WorkerList(1, true, workers), "127.0.0.1:1"));
+        process(new Event.WatchNews(null));
+        long sliceStartNs = System.nanoTime();
+        long deadlineNs = sliceStartNs + MAX_DURATION_NS;
+        for (int i = 0; i < REQUESTS && System.nanoTime() - deadlineNs < 0; i++) {
+            nowUs += REQUEST_INTERVAL_US;
+            Submission submission = submission(i);
+            if (submission != null) {
+                process(new Event.ClientOpened(i));
+                process(new Event.RequestArrived(i, submission));
             }
-            if (i % OPEN == OPEN - 1) {
-                now += OPEN * STEP_US;
-                play(new Event.Woken());
-                // the process that serves meanwhile has the same core: it gets every second slice of it
-                LockSupport.parkNanos(System.nanoTime() - began);
-                began = System.nanoTime();
+            if (i % CONCURRENT_REQUESTS == CONCURRENT_REQUESTS - 1) {
+                nowUs += CONCURRENT_REQUESTS * REQUEST_INTERVAL_US;
+                process(new Event.Woken());
+                // sleeps as long as it has run: the serving process may have to share the same core
+                LockSupport.parkNanos(System.nanoTime() - sliceStartNs);
+                sliceStartNs = System.nanoTime();
             }
         }
-        return answered;
+        return answeredRequests;
     }
 
     private Submission submission(int i) {
@@ -90,32 +89,32 @@
         String text = "POST /" + classes[i % classes.length] + "?sid=" + Integer.toHexString(i % 64) + " HTTP/1.1\r\nHost: x\r\nX-Txn: w"
                 + i + "\r\n" + tenant + "X-Remaining-Ms: 5000\r\nX-Estimate: 100000\r\nX-Labels: slots=1,memory=1\r\n"
                 + "Idempotency-Key: w" + i + "\r\nContent-Length: 4\r\n\r\nsoup";
-        Parsed parsed = new Parsed();
+        ParsedRequest parsed = new ParsedRequest();
         new HttpParser(parsed, text.length()).parseNext(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
         try {
-            return ClientRequest.decode("POST", parsed.target, parsed.head, new byte[4], config.words());
+            return ClientRequest.decode("POST", parsed.target, parsed.headers, new byte[4], config.words());
         } catch (BadRequest e) {
-            // a class or tenant whose name no target can hold
+            // the name of the class or tenant is not valid in a request target or header
             return null;
         }
     }
 
-    private void play(Event event) {
+    private void process(Event event) {
         events.add(event);
         while (!events.isEmpty()) {
-            for (Effect e : List.copyOf(reducer.reduce(events.remove(), now))) {
+            for (Effect e : List.copyOf(reducer.reduce(events.remove(), nowUs))) {
                 perform(e);
             }
         }
     }
 
-    /** Plays the workers and the clients, all of them well and at once. */
+    /** Simulates workers and clients that respond successfully and without delay. */
     private void perform(Effect effect) {
         if (effect instanceof Effect.Connect e) {
             events.add(new Event.WorkerConnected(e.connection()));
         } else if (effect instanceof Effect.SendRequest e) {
             ClientRequest request = (ClientRequest) e.payload();
-            HttpMessages.toWorker(request, "127.0.0.1:1", e.expiresAt() - now);
+            HttpMessages.toWorker(request, "127.0.0.1:1", e.expiresAt() - nowUs);
             events.add(new Event.RequestWritten(e.connection()));
             for (String state : new String[] {"started", "done\",\"result\":\"made"}) {
                 byte[] line = ("{\"id\":\"" + request.txn() + "\",\"from\":\"w\",\"state\":\"" + state + "\"}")
@@ -125,16 +124,16 @@
             }
             events.add(new Event.AnswerEnded(e.connection(), true));
         } else if (effect instanceof Effect.Answer e) {
-            answered++;
+            answeredRequests++;
             HttpMessages.answer(e.answer(), false);
             events.add(new Event.AnswerWritten(e.client(), false));
             events.add(new Event.ClientClosed(e.client()));
         }
     }
 
-    /** What the parser finds. */
-    private static final class Parsed implements HttpParser.RequestHandler {
-        private final HttpFields.Mutable head = HttpFields.build();
+    /** Collects the target and the header fields of a parsed request. */
+    private static final class ParsedRequest implements HttpParser.RequestHandler {
+        private final HttpFields.Mutable headers = HttpFields.build();
         private String target;
 
         @Override
@@ -144,7 +143,7 @@
 
         @Override
         public void parsedHeader(HttpField field) {
-            head.add(field);
+            headers.add(field);
         }
 
         @Override
--- a/src/main/java/granitefold/net/NonBlockingConnection.java
+++ b/src/main/java/granitefold/net/NonBlockingConnection.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Invocable.InvocationType;
 
-/** A connection whose callbacks say that they never block, so that Jetty runs them right where it selects. */
+/** A connection whose callbacks are declared non-blocking, so that Jetty runs them on the selector thread. */
 public abstract class NonBlockingConnection extends AbstractConnection {
     private final Callback readable =
             Callback.from(InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
@@ -20,14 +20,15 @@
         awaitReadable();
     }
 
-    /** Waits for more to read, if it does not wait already. */
+    /** Registers interest in reading, unless it is registered already. */
     protected final void awaitReadable() {
         if (!isFillInterested()) {
             fillInterested(readable);
         }
     }
 
+    /** Returns a non-blocking callback for the end of a write. */
     protected static Callback whenWritten(Runnable written, Runnable failed) {
-        return Callback.from(InvocationType.NON_BLOCKING, written, why -> failed.run());
+        return Callback.from(InvocationType.NON_BLOCKING, written, cause -> failed.run());
     }
 }
--- a/src/main/java/granitefold/net/OutboundConnections.java
+++ b/src/main/java/granitefold/net/OutboundConnections.java
@@ -15,10 +15,10 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 
-/** What the dispatcher opens by itself: connections to workers and to discovery, probes, and the siblings' datagrams. */
+/** Owns what the dispatcher opens: connections to workers and to discovery, probes, and the datagram socket for siblings. */
 final class OutboundConnections {
     private final EventLoop loop;
-    private final SelectorThread sockets;
+    private final SelectorThread selectorThread;
     private final Config config;
     private final Operator operator;
     private final Map<Long, WorkerHttpConnection> workers = new HashMap<>();
@@ -26,48 +26,48 @@
     private SiblingConnection siblings;
     private WatchHttpConnection watch;
 
-    OutboundConnections(EventLoop loop, SelectorThread sockets, Config config, Operator operator) {
+    OutboundConnections(EventLoop loop, SelectorThread selectorThread, Config config, Operator operator) {
         this.loop = loop;
-        this.sockets = sockets;
+        this.selectorThread = selectorThread;
         this.config = config;
         this.operator = operator;
     }
 
-    /** Connections to workers. */
-    int size() {
+    /** Returns the number of connections to workers. */
+    int workerConnectionCount() {
         return workers.size();
     }
 
     void perform(Effect effect) {
         if (effect instanceof Effect.Connect e) {
-            WorkerHttpConnection link = new WorkerHttpConnection(loop, this, e.connection(), e.address());
-            workers.put(e.connection(), link);
-            link.connect(sockets);
+            WorkerHttpConnection connection = new WorkerHttpConnection(loop, this, e.connection(), e.address());
+            workers.put(e.connection(), connection);
+            connection.connect(selectorThread);
         } else if (effect instanceof Effect.SendRequest e) {
-            WorkerHttpConnection link = workers.get(e.connection());
-            if (link != null) {
-                // else it has just closed by itself, which the reducer hears next
-                link.send(e.payload(), e.expiresAt());
+            WorkerHttpConnection connection = workers.get(e.connection());
+            if (connection != null) {
+                // otherwise it has just closed: the event for the reducer is already queued
+                connection.send(e.payload(), e.expiresAt());
             }
         } else if (effect instanceof Effect.Look e) {
-            sockets.afterLook(() -> loop.post(new Event.Looked(e.connection())));
+            selectorThread.afterPendingInput(() -> loop.post(new Event.Looked(e.connection())));
         } else if (effect instanceof Effect.CloseWorker e) {
-            WorkerHttpConnection link = workers.remove(e.connection());
-            if (link != null) {
-                link.close();
+            WorkerHttpConnection connection = workers.remove(e.connection());
+            if (connection != null) {
+                connection.close();
             }
         } else if (effect instanceof Effect.OpenWatch e) {
             watch = new WatchHttpConnection(loop, this, Address.of(e.address()), e.version());
-            watch.connect(sockets);
+            watch.connect(selectorThread);
         } else if (effect instanceof Effect.CloseWatch) {
-            WatchHttpConnection last = watch;
+            WatchHttpConnection closing = watch;
             watch = null;
-            if (last != null) {
-                last.close();
+            if (closing != null) {
+                closing.close();
             }
         } else if (effect instanceof Effect.Tell e) {
             if (siblings != null) {
-                siblings.tell(e.sibling(), e.message());
+                siblings.send(e.sibling(), e.message());
             }
         } else if (effect instanceof Effect.LeaveSiblings) {
             if (siblings != null) {
@@ -77,7 +77,7 @@
         } else if (effect instanceof Effect.Probe e) {
             ProbeHttpConnection probe = new ProbeHttpConnection(this, e.worker(), e.address(), operator.probe().path());
             probes.put(e.worker(), probe);
-            probe.connect(sockets);
+            probe.connect(selectorThread);
         } else if (effect instanceof Effect.EndProbe e) {
             ProbeHttpConnection probe = probes.remove(e.worker());
             if (probe != null) {
@@ -86,51 +86,51 @@
         }
     }
 
-    /** A probe has come to its end by itself. */
-    void probed(ProbeHttpConnection probe, boolean well, String reason) {
+    /** Reports the result of a probe that was not cancelled. */
+    void probeFinished(ProbeHttpConnection probe, boolean healthy, String reason) {
         if (probes.remove(probe.worker(), probe)) {
             probe.close();
-            loop.post(new Event.Probed(probe.worker(), well, reason));
+            loop.post(new Event.Probed(probe.worker(), healthy, reason));
         }
     }
 
-    /** A worker connection ended by itself. */
-    void closed(WorkerHttpConnection link, String why) {
-        if (workers.remove(link.id(), link)) {
-            loop.post(new Event.WorkerClosed(link.id(), why));
+    /** Reports that a worker connection failed or was closed by the worker. */
+    void closed(WorkerHttpConnection connection, String reason) {
+        if (workers.remove(connection.id(), connection)) {
+            loop.post(new Event.WorkerClosed(connection.id(), reason));
         }
     }
 
-    /** Whether this is the watch that counts: one that was given up may still have words in its buffers. */
-    boolean current(WatchHttpConnection link) {
-        return watch == link;
+    /** Returns whether this is the current watch: a replaced one may still have unprocessed data in its buffers. */
+    boolean isCurrent(WatchHttpConnection connection) {
+        return watch == connection;
     }
 
-    void closed(WatchHttpConnection link, String why) {
-        if (watch == link) {
+    void closed(WatchHttpConnection connection, String reason) {
+        if (watch == connection) {
             watch = null;
-            loop.post(new Event.WatchEnded(why));
+            loop.post(new Event.WatchEnded(reason));
         }
     }
 
     /**
-     * Where siblings' datagrams come in, or null; not from the selector's thread. {@code shared}: another process of this dispatcher may
-     * listen there too; each sibling's words reach one of them.
+     * Opens the datagram socket for siblings; returns null if none is configured or it cannot be opened. Must not be called on the selector's
+     * thread. {@code shared}: another process of this dispatcher may be bound to the address too; a sibling's messages reach one of them.
      */
-    DatagramChannel bindSiblings(boolean shared) {
+    DatagramChannel bindSiblingChannel(boolean shared) {
         if (config.siblingListen() == null) {
             return null;
         }
         try {
-            return openDatagrams(shared);
+            return openDatagramChannel(shared);
         } catch (IOException e) {
-            // words between siblings may be lost at any time: the program serves without them
+            // messages between siblings may be lost at any time: the dispatcher serves without them
             EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), e);
             return null;
         }
     }
 
-    private DatagramChannel openDatagrams(boolean shared) throws IOException {
+    private DatagramChannel openDatagramChannel(boolean shared) throws IOException {
         DatagramChannel channel = SocketOpener.openWithRetry(DatagramChannel::open);
         try {
             if (shared) {
@@ -145,12 +145,12 @@
         }
     }
 
-    /** Takes in what comes there from now on. */
-    void openSiblings(DatagramChannel channel) {
+    /** Starts receiving siblings' messages on the channel; has no effect if it is null. */
+    void openSiblingChannel(DatagramChannel channel) {
         if (channel == null) {
             return;
         }
-        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
+        selectorThread.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
                 siblings = new SiblingConnection(endPoint, loop, config.siblings(), config.words().key());
@@ -158,8 +158,8 @@
             }
 
             @Override
-            public void failed(Throwable why) {
-                EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), why);
+            public void failed(Throwable cause) {
+                EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), cause);
             }
         });
     }
--- a/src/main/java/granitefold/net/OutboundHttpConnection.java
+++ b/src/main/java/granitefold/net/OutboundHttpConnection.java
@@ -17,51 +17,51 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.IO;
 
-/** A connection that the dispatcher opens, and whose answers come as lines. */
+/** An HTTP connection that the dispatcher opens, whose response bodies consist of lines. */
 abstract class OutboundHttpConnection implements SelectorThread.ConnectionHandler, HttpParser.ResponseHandler {
-    private static final int BUFFER = 4096, HEAD_MOST = 8192, LINE_KEPT = 8192;
-    private static final byte[] NOTHING = {};
+    private static final int BUFFER_BYTES = 4096, MAX_HEAD_BYTES = 8192, MAX_RETAINED_LINE_BYTES = 8192;
+    private static final byte[] EMPTY = {};
 
     private final InetSocketAddress address;
-    private final int lineMost;
-    private final HttpParser parser = new HttpParser(this, HEAD_MOST);
+    private final int maxLineBytes;
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES);
     private SocketChannel channel;
-    private Reader reader;
-    private byte[] line = NOTHING;
+    private ReadingConnection connection;
+    private byte[] lineBuffer = EMPTY;
     private int lineLength;
     private boolean persistent;
     private boolean closed;
     private boolean writing;
 
-    OutboundHttpConnection(InetSocketAddress address, int lineMost) {
+    OutboundHttpConnection(InetSocketAddress address, int maxLineBytes) {
         this.address = address;
-        this.lineMost = lineMost;
+        this.maxLineBytes = maxLineBytes;
     }
 
-    /** The connection is up. */
-    abstract void connected();
+    /** Called when the connection is established. */
+    abstract void onConnected();
 
-    /** A status other than 200 has come, or 200. */
-    abstract void status(int status, String turnedAway);
+    /** Called with the status of each response, 200 or any other; {@code turnedAway} is the value of X-Turned-Away, or null. */
+    abstract void onStatus(int status, String turnedAway);
 
-    /** A line has come whole; it may be empty. */
-    abstract void line(byte[] buf, int from, int length);
+    /** Called for each complete line of a body of status 200; it may be empty. */
+    abstract void onLine(byte[] buffer, int from, int length);
 
-    /** The answer has come to its end; {@code reusable}: the connection may carry another request. */
-    abstract void answered(boolean reusable);
+    /** Called at the end of a response; {@code reusable}: the connection may carry another request. */
+    abstract void onResponseEnd(boolean reusable);
 
-    /** The connection has ended without our doing. */
-    abstract void ended(String why);
+    /** Called when the connection failed, or the remote end closed it. */
+    abstract void onClosed(String reason);
 
-    final void connect(SelectorThread sockets) {
+    final void connect(SelectorThread selectorThread) {
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             if (channel.connect(address)) {
-                sockets.accept(channel, this);
+                selectorThread.accept(channel, this);
             } else {
-                sockets.connect(channel, this);
+                selectorThread.connect(channel, this);
             }
         } catch (IOException e) {
             failed(e);
@@ -70,32 +70,32 @@
 
     @Override
     public final Connection opened(EndPoint endPoint) {
-        reader = new Reader(endPoint);
-        return reader;
+        connection = new ReadingConnection(endPoint);
+        return connection;
     }
 
     @Override
-    public final void failed(Throwable why) {
-        end(why.toString());
+    public final void failed(Throwable cause) {
+        fail(cause.toString());
     }
 
     final void write(ByteBuffer[] message, Runnable written) {
         parser.reset();
         lineLength = 0;
         writing = true;
-        reader.getEndPoint().write(NonBlockingConnection.whenWritten(() -> {
+        connection.getEndPoint().write(NonBlockingConnection.whenWritten(() -> {
             writing = false;
             written.run();
-        }, () -> end("write failed")), message);
+        }, () -> fail("write failed")), message);
     }
 
     /**
-     * Whether nothing waits to be read: neither the other side's end nor words out of turn, which would pass for the answer to
-     * what is to be written.
+     * Returns whether there is nothing to read: neither a close by the remote end nor unsolicited data, which would be taken for
+     * the response to the next request.
      */
-    final boolean quiet() {
+    final boolean hasNothingToRead() {
         try {
-            return reader.getEndPoint().fill(reader.in) == 0;
+            return connection.getEndPoint().fill(connection.input) == 0;
         } catch (IOException e) {
             return false;
         }
@@ -103,25 +103,25 @@
 
     final void close() {
         closed = true;
-        if (reader != null) {
-            reader.close();
+        if (connection != null) {
+            connection.close();
         } else if (channel != null) {
             IO.close(channel);
         }
     }
 
-    final void end(String why) {
+    final void fail(String reason) {
         if (!closed) {
             close();
-            ended(why);
+            onClosed(reason);
         }
     }
 
-    /** The end point's connection: it only reads. */
-    private final class Reader extends NonBlockingConnection {
-        private final ByteBuffer in = BufferUtil.allocate(BUFFER);
+    /** Reads and parses responses; requests are written to its end point directly. */
+    private final class ReadingConnection extends NonBlockingConnection {
+        private final ByteBuffer input = BufferUtil.allocate(BUFFER_BYTES);
 
-        Reader(EndPoint endPoint) {
+        ReadingConnection(EndPoint endPoint) {
             super(endPoint);
         }
 
@@ -131,50 +131,50 @@
                 close();
             } else {
                 super.onOpen();
-                connected();
+                onConnected();
             }
         }
 
         @Override
         public void onFillInterestedFailed(Throwable cause) {
-            end("read failed");
+            fail("read failed");
         }
 
         @Override
         public void onClose(Throwable cause) {
             super.onClose(cause);
-            end("closed");
+            fail("closed");
         }
 
         @Override
         public void onFillable() {
             try {
                 while (!closed) {
-                    int n = getEndPoint().fill(in);
-                    if (n == 0) {
+                    int count = getEndPoint().fill(input);
+                    if (count == 0) {
                         awaitReadable();
                         return;
                     }
-                    if (n < 0) {
-                        // what was cut off never counts as an answer
-                        end("closed by the other side");
+                    if (count < 0) {
+                        // a truncated response is never taken as complete
+                        fail("closed by the remote end");
                         return;
                     }
-                    while (!closed && in.hasRemaining()) {
+                    while (!closed && input.hasRemaining()) {
                         if (parser.isComplete() || parser.isClosed()) {
-                            end("words out of turn");
+                            fail("unsolicited data");
                             return;
                         }
-                        parser.parseNext(in);
+                        parser.parseNext(input);
                     }
                 }
             } catch (IOException e) {
-                end("read failed");
+                fail("read failed");
             }
         }
     }
 
-    // ---------------------------------------------------------------- what the parser finds
+    // ---------------------------------------------------------------- parser callbacks
     private int status;
     private String turnedAway;
 
@@ -196,7 +196,7 @@
 
     @Override
     public final boolean headerComplete() {
-        status(status, turnedAway);
+        onStatus(status, turnedAway);
         return closed;
     }
 
@@ -207,14 +207,14 @@
             if (b == '\n') {
                 int length = lineLength;
                 lineLength = 0;
-                line(line, 0, length);
-            } else if (lineLength == lineMost) {
-                end("a line is too long");
+                onLine(lineBuffer, 0, length);
+            } else if (lineLength == maxLineBytes) {
+                fail("response line too long");
             } else {
-                if (lineLength == line.length) {
-                    line = Arrays.copyOf(line, Math.min(lineMost, Math.max(256, lineLength * 2)));
+                if (lineLength == lineBuffer.length) {
+                    lineBuffer = Arrays.copyOf(lineBuffer, Math.min(maxLineBytes, Math.max(256, lineLength * 2)));
                 }
-                line[lineLength++] = b;
+                lineBuffer[lineLength++] = b;
             }
         }
         content.position(content.limit());
@@ -228,24 +228,24 @@
 
     @Override
     public final boolean messageComplete() {
-        if (line.length > LINE_KEPT) {
-            // one long answer must not hold its memory for as long as the connection is kept
-            line = NOTHING;
+        if (lineBuffer.length > MAX_RETAINED_LINE_BYTES) {
+            // a single long line must not hold its memory for the lifetime of the connection
+            lineBuffer = EMPTY;
         }
         if (!closed) {
-            // an answer may overtake the end of its request: two writes at once would break the connection
-            answered(persistent && !writing);
+            // a response may end before its request is fully written: a second request would then start a concurrent write
+            onResponseEnd(persistent && !writing);
         }
         return true;
     }
 
     @Override
     public final void badMessage(HttpException failure) {
-        end("malformed answer");
+        fail("malformed response");
     }
 
     @Override
     public final void earlyEOF() {
-        end("closed by the other side");
+        fail("closed by the remote end");
     }
 }
--- a/src/main/java/granitefold/net/ProbeHttpConnection.java
+++ b/src/main/java/granitefold/net/ProbeHttpConnection.java
@@ -3,18 +3,18 @@
 import granitefold.wire.Address;
 import granitefold.wire.HttpMessages;
 
-/** One probe of a worker: a GET on a connection of its own, which must be answered by 200. */
+/** One health probe of a worker: a GET on a separate connection, which succeeds if the status of the response is 200. */
 final class ProbeHttpConnection extends OutboundHttpConnection {
-    private static final int LINE_MOST = 4096;
+    private static final int MAX_LINE_BYTES = 4096;
 
-    private final OutboundConnections links;
+    private final OutboundConnections connections;
     private final long worker;
     private final String address;
     private final String path;
 
-    ProbeHttpConnection(OutboundConnections links, long worker, String address, String path) {
-        super(Address.of(address), LINE_MOST);
-        this.links = links;
+    ProbeHttpConnection(OutboundConnections connections, long worker, String address, String path) {
+        super(Address.of(address), MAX_LINE_BYTES);
+        this.connections = connections;
         this.worker = worker;
         this.address = address;
         this.path = path;
@@ -25,23 +25,23 @@
     }
 
     @Override
-    void connected() {
+    void onConnected() {
         write(HttpMessages.get(path, address), () -> { });
     }
 
     @Override
-    void status(int status, String turnedAway) {
-        links.probed(this, status == 200, "its probe was answered by " + status);
+    void onStatus(int status, String turnedAway) {
+        connections.probeFinished(this, status == 200, "probe answered with status " + status);
     }
 
     @Override
-    void line(byte[] buf, int from, int length) { }
+    void onLine(byte[] buffer, int from, int length) { }
 
     @Override
-    void answered(boolean reusable) { }
+    void onResponseEnd(boolean reusable) { }
 
     @Override
-    void ended(String why) {
-        links.probed(this, false, "its probe ended: " + why);
+    void onClosed(String reason) {
+        connections.probeFinished(this, false, "probe failed: " + reason);
     }
 }
--- a/src/main/java/granitefold/net/ProcessRegistry.java
+++ b/src/main/java/granitefold/net/ProcessRegistry.java
@@ -13,33 +13,36 @@
 import java.util.Set;
 
 /**
- * Which processes serve at one address: each that serves holds the lock on a byte of a file that they share. The kernel
- * lets go of it when a process ends, however it ends, so that what a killed one left says nothing.
+ * Registers the processes that serve at one address: each holds a lock on one byte of a shared file. The kernel releases
+ * the lock when a process ends, however it ends, so that a killed process leaves no stale entry.
  */
 final class ProcessRegistry {
-    /** Two serve together while a new version takes over; more only where such a start was given up half way. */
-    private static final int SLOTS = 8;
+    /** Two processes serve at once during an upgrade; more only after an upgrade was abandoned half-way. */
+    private static final int MAX_PROCESSES = 8;
 
-    /** The path that names of shared files begin with; null where there is no such folder. */
-    final Path stem;
+    /** The common prefix of the paths of shared files; null if there is no shared folder. */
+    final Path pathPrefix;
     private final FileChannel file;
-    private int slot = -1;
+    private int ownOffset = -1;
 
-    private ProcessRegistry(Path stem, FileChannel file) {
-        this.stem = stem;
+    private ProcessRegistry(Path pathPrefix, FileChannel file) {
+        this.pathPrefix = pathPrefix;
         this.file = file;
     }
 
-    /** Those that serve at this address and share our {@code $TMPDIR}; nobody is known where there is no such folder. */
-    static ProcessRegistry at(InetSocketAddress address) {
+    /**
+     * Returns the registry of the processes that serve at this address and share {@code $TMPDIR}. Without that folder the registry
+     * is empty and registers nothing.
+     */
+    static ProcessRegistry forAddress(InetSocketAddress address) {
         String folder = System.getenv("TMPDIR");
         if (folder == null || folder.isEmpty()) {
             return new ProcessRegistry(null, null);
         }
-        Path stem = Path.of(folder, "granitefold-" + Address.text(address).replaceAll("[^0-9A-Za-z.]", "-"));
-        Path path = stem.resolveSibling(stem.getFileName() + ".serving");
+        Path pathPrefix = Path.of(folder, "granitefold-" + Address.text(address).replaceAll("[^0-9A-Za-z.]", "-"));
+        Path path = pathPrefix.resolveSibling(pathPrefix.getFileName() + ".serving");
         try {
-            return new ProcessRegistry(stem, FileChannel.open(path,
+            return new ProcessRegistry(pathPrefix, FileChannel.open(path,
                     Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)));
         } catch (IOException e) {
             EventLog.log(LogEvent.COMPANY_UNKNOWN, path, e);
@@ -47,21 +50,21 @@
         }
     }
 
-    /** This process serves from now on. */
-    void enter() {
-        if (file != null && slot < 0) {
-            for (int i = 0; i < SLOTS && slot < 0; i++) {
-                slot = lock(i) == null ? -1 : i;
+    /** Registers this process as serving; has no effect if it is registered already. */
+    void register() {
+        if (file != null && ownOffset < 0) {
+            for (int i = 0; i < MAX_PROCESSES && ownOffset < 0; i++) {
+                ownOffset = lockByte(i) == null ? -1 : i;
             }
         }
     }
 
-    /** Whether another process serves. */
-    boolean others() {
+    /** Returns whether another process is registered. */
+    boolean hasOthers() {
         boolean others = false;
-        for (int i = 0; file != null && i < SLOTS && !others; i++) {
-            if (i != slot) {
-                FileLock lock = lock(i);
+        for (int i = 0; file != null && i < MAX_PROCESSES && !others; i++) {
+            if (i != ownOffset) {
+                FileLock lock = lockByte(i);
                 others = lock == null;
                 release(lock);
             }
@@ -69,10 +72,10 @@
         return others;
     }
 
-    /** The lock on a byte, or null where another process has it. */
-    private FileLock lock(int at) {
+    /** Locks one byte; returns null if another process holds its lock or the file cannot be locked. */
+    private FileLock lockByte(int offset) {
         try {
-            return file.tryLock(at, 1, false);
+            return file.tryLock(offset, 1, false);
         } catch (IOException e) {
             return null;
         }
@@ -84,7 +87,7 @@
                 lock.release();
             }
         } catch (IOException e) {
-            // the process ends next, and the lock with it
+            // the lock is released at the latest when this process ends
         }
     }
 }
--- a/src/main/java/granitefold/net/RequestReader.java
+++ b/src/main/java/granitefold/net/RequestReader.java
@@ -17,106 +17,109 @@
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** Takes one request at a time from a client's bytes, up to its end or to what shows that it is bad. */
+/** Parses one request at a time from a client's input, up to its end or to the first error. */
 final class RequestReader implements HttpParser.RequestHandler {
-    private static final int HEAD_MOST = 8192;
+    private static final int MAX_HEAD_BYTES = 8192;
 
-    private final HttpParser parser = new HttpParser(this, HEAD_MOST, HttpCompliance.STRICT);
-    /** Takes so many bytes of body into hand, or gives them back; false where that is too many. */
-    private final IntPredicate hold;
-    private final Runnable goOn;
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.STRICT);
+    /** Reserves memory for a number of body bytes, or releases it if negative; returns false if the limit is reached. */
+    private final IntPredicate reserveBytes;
+    private final Runnable sendContinue;
     private boolean complete;
-    private boolean close;
+    private boolean wantsClose;
     private String method;
     private String target;
-    private HttpFields.Mutable head;
+    private HttpFields.Mutable headers;
     private ByteArrayOutputStream body;
-    private BadRequest bad;
-    /** Bytes of body that count as held for this request. */
-    private int held;
+    private BadRequest error;
+    /** The body bytes that are reserved for this request. */
+    private int reservedBytes;
 
-    /** {@code goOn} tells a client to send its body. */
-    RequestReader(IntPredicate hold, Runnable goOn) {
-        this.hold = hold;
-        this.goOn = goOn;
+    /** @param sendContinue asks the client to send the body */
+    RequestReader(IntPredicate reserveBytes, Runnable sendContinue) {
+        this.reserveBytes = reserveBytes;
+        this.sendContinue = sendContinue;
     }
 
-    /** Takes in as much as belongs to the present request; true once it is whole, or known to be bad. */
-    boolean read(ByteBuffer in) {
-        parser.parseNext(in);
-        return complete || bad != null;
+    /** Consumes the input that belongs to the current request; returns true once it is complete or known to be invalid. */
+    boolean read(ByteBuffer input) {
+        parser.parseNext(input);
+        return complete || error != null;
     }
 
-    /** Nothing of a request has come yet. */
-    boolean isStart() {
+    /** Returns whether nothing of the current request has arrived yet. */
+    boolean isAtStart() {
         return parser.isStart();
     }
 
-    /** The next request may come. */
-    void next() {
+    /** Prepares for the next request. */
+    void startNext() {
         complete = false;
         parser.reset();
     }
 
-    /** The request is not to be waited for any longer, for this reason. */
-    void giveUp(BadRequest why) {
-        bad = why;
+    /** Ends the current request as invalid, for this reason. */
+    void fail(BadRequest reason) {
+        error = reason;
     }
 
+    /** Releases the memory that is reserved for the current request. */
     void release() {
-        hold.test(-held);
-        held = 0;
+        reserveBytes.test(-reservedBytes);
+        reservedBytes = 0;
     }
 
-    /** The client wants its connection closed after the answer. */
+    /** Returns whether the client wants the connection closed after the response. */
     boolean wantsClose() {
-        return close;
+        return wantsClose;
     }
 
-    /** Whether it is a good request for this target. */
-    boolean isFor(String path) {
-        return bad == null && target.equals(path);
+    /** Returns whether it is a valid request for this target. */
+    boolean isTarget(String path) {
+        return error == null && target.equals(path);
     }
 
-    boolean asks(String field, String value) {
-        return value.equalsIgnoreCase(head.get(field));
+    /** Returns whether the request has a header field of this name and value. */
+    boolean hasHeader(String name, String value) {
+        return value.equalsIgnoreCase(headers.get(name));
     }
 
-    Submission decode(Vocabulary words) throws BadRequest {
-        if (bad != null) {
-            throw bad;
+    /** Decodes the request; throws the error if it is invalid. */
+    Submission decode(Vocabulary vocabulary) throws BadRequest {
+        if (error != null) {
+            throw error;
         }
-        Submission s = ClientRequest.decode(method, target, head, body.toByteArray(), words);
+        Submission submission = ClientRequest.decode(method, target, headers, body.toByteArray(), vocabulary);
         body = null;
-        return s;
+        return submission;
     }
 
-    // ---------------------------------------------------------------- what the parser finds
+    // ---------------------------------------------------------------- parser callbacks
     @Override
     public void startRequest(String method, String uri, HttpVersion version) {
         this.method = method;
         target = uri;
-        head = HttpFields.build();
+        headers = HttpFields.build();
         body = new ByteArrayOutputStream();
-        close = version.compareTo(HttpVersion.HTTP_1_1) < 0;
+        wantsClose = version.compareTo(HttpVersion.HTTP_1_1) < 0;
     }
 
     @Override
     public void parsedHeader(HttpField field) {
-        head.add(field);
+        headers.add(field);
     }
 
     @Override
     public boolean headerComplete() {
-        if (head.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
-            close = true;
+        if (headers.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
+            wantsClose = true;
         }
         if (parser.getContentLength() > ClientRequest.BODY_MOST) {
-            bad = new BadRequest(413, "body too long");
+            error = new BadRequest(413, "body too long");
             return true;
         }
-        if (head.contains(HttpHeader.EXPECT, HttpHeaderValue.CONTINUE.asString())) {
-            goOn.run();
+        if (headers.contains(HttpHeader.EXPECT, HttpHeaderValue.CONTINUE.asString())) {
+            sendContinue.run();
         }
         return false;
     }
@@ -124,14 +127,14 @@
     @Override
     public boolean content(ByteBuffer content) {
         if (body.size() + content.remaining() > ClientRequest.BODY_MOST) {
-            bad = new BadRequest(413, "body too long");
+            error = new BadRequest(413, "body too long");
             return true;
         }
-        if (!hold.test(content.remaining())) {
-            bad = new BadRequest(503, "too much in hand");
+        if (!reserveBytes.test(content.remaining())) {
+            error = new BadRequest(503, "too much in hand");
             return true;
         }
-        held += content.remaining();
+        reservedBytes += content.remaining();
         byte[] part = BufferUtil.toArray(content);
         content.position(content.limit());
         body.write(part, 0, part.length);
@@ -152,12 +155,12 @@
     @Override
     public void badMessage(HttpException failure) {
         int status = failure.getCode();
-        bad = new BadRequest(status >= 400 && status < 500 ? status : 400, "malformed request");
+        error = new BadRequest(status >= 400 && status < 500 ? status : 400, "malformed request");
     }
 
     @Override
     public void earlyEOF() {
-        // so the parser calls what is malformed behind the head
-        bad = new BadRequest(400, "malformed body");
+        // the parser reports an error after the head in this way
+        error = new BadRequest(400, "malformed body");
     }
 }
--- a/src/main/java/granitefold/net/RetryingEndPoint.java
+++ b/src/main/java/granitefold/net/RetryingEndPoint.java
@@ -9,13 +9,13 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A socket whose interrupted reads are tried again. The JDK reports a read that a signal has interrupted (EINTR) as a
- * number below -1, which must not pass for the end of the stream.
+ * An end point that retries interrupted reads. The JDK reports a read that a signal has interrupted (EINTR) as a number
+ * below -1, which must not be taken for the end of the stream.
  */
 final class RetryingEndPoint extends SocketChannelEndPoint {
     private static final int END_OF_STREAM = -1;
-    /** Where more reads in a row are interrupted, the selector tells of the bytes once more. */
-    private static final int TRIES = 16;
+    /** After this many interrupted reads in a row, the selector reports the socket as readable once more. */
+    private static final int MAX_ATTEMPTS = 16;
 
     RetryingEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
         super(channel, selector, key, scheduler);
@@ -23,10 +23,10 @@
 
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
-        for (int tries = 0; tries < TRIES; tries++) {
-            int read = super.fill(buffer);
-            if (read >= END_OF_STREAM) {
-                return read;
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            int count = super.fill(buffer);
+            if (count >= END_OF_STREAM) {
+                return count;
             }
         }
         return 0;
--- a/src/main/java/granitefold/net/SelectorThread.java
+++ b/src/main/java/granitefold/net/SelectorThread.java
@@ -24,32 +24,32 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Jetty's selector manager, cut down to one selector on one thread. Tasks that Jetty would hand to a pool run on
- * that thread too, between two selects, so that connections and the reducer need no locks.
+ * A Jetty selector manager with a single selector and a single thread. Tasks that Jetty would submit to a pool run on that
+ * thread too, between two selects, so that connections and the reducer need no locks.
  */
 public final class SelectorThread extends SelectorManager {
-    static final int ACCEPTED_A_ROUND = 8;
-    private static final long ACCEPT_BACK_OFF_MS = 10;
+    static final int MAX_ACCEPTS_PER_ROUND = 8;
+    private static final long ACCEPT_RETRY_DELAY_MS = 10;
 
-    private final TimerHandler host;
-    /** When the last select returned, and how long the loop was busy between the one before and that. */
-    private long selectedNs = System.nanoTime();
-    private long busyNs;
+    private final TimerHandler timerHandler;
+    /** The time of the last select, and how long the loop was busy between the one before and that. */
+    private long lastSelectNs = System.nanoTime();
+    private long busyBeforeSelectNs;
     private final List<ClientListener> clientListeners = new ArrayList<>(1);
-    /** Listeners whose accept has failed, and when to try each again. */
-    private final Map<SelectionKey, Long> backingOff = new HashMap<>(1);
+    /** Listeners whose accept has failed, with the time of the next attempt. */
+    private final Map<SelectionKey, Long> acceptRetryTimesNs = new HashMap<>(1);
 
-    /** What goes on beside the sockets, on the same thread. */
+    /** Runs timers on the same thread as the sockets. */
     public interface TimerHandler {
-        /** Milliseconds, rounded up, until {@link #onTimer} is to be called; at most 1000. */
+        /** Returns the milliseconds, rounded up, until {@link #onTimer} is to be called; at most 1000. */
         long millisUntilTimer();
 
         void onTimer();
     }
 
-    /** Takes a connection that a listener has accepted. */
+    /** Handles connections that a listener has accepted. */
     public interface AcceptHandler {
-        /** Whether there is room for another now; asked before each. */
+        /** Returns whether another connection may be accepted now; called before each accept. */
         default boolean canAccept() {
             return true;
         }
@@ -57,76 +57,77 @@
         void onAccepted(SocketChannel channel) throws IOException;
     }
 
-    public SelectorThread(String name, TimerHandler host) {
-        this(host, new OneThread(name));
+    public SelectorThread(String name, TimerHandler timerHandler) {
+        this(timerHandler, new SingleThreadExecutor(name));
     }
 
-    private SelectorThread(TimerHandler host, OneThread thread) {
-        super(thread, new NoTimeouts(), 1);
-        this.host = host;
-        thread.sockets = this;
+    private SelectorThread(TimerHandler timerHandler, SingleThreadExecutor thread) {
+        super(thread, new InactiveScheduler(), 1);
+        this.timerHandler = timerHandler;
+        thread.selectorThread = this;
     }
 
-    /** Runs a task on the selector's thread, from any thread. */
+    /** Runs a task on the selector's thread; may be called from any thread. */
     public void submit(Runnable task) {
         chooseSelector().submit(selector -> task.run());
     }
 
     /**
-     * Runs a task once all that had come to the sockets by now has been gone through. Tasks wait for the next round:
-     * one for what was selected before, one for the select, one for what that hands on.
+     * Runs a task after all input that has arrived by now has been processed. That takes three rounds of tasks: one for the keys
+     * selected before, one for the next select, one for the tasks that it submits.
      */
-    void afterLook(Runnable task) {
+    void afterPendingInput(Runnable task) {
         submit(() -> submit(() -> submit(task)));
     }
 
-    /** Takes new connections from a listener on the selector's thread, which stands still while accept does. */
-    public void listen(ServerSocketChannel listener, AcceptHandler taking) {
+    /** Accepts connections on the selector's thread, which is blocked while accept is. */
+    public void listen(ServerSocketChannel listener, AcceptHandler acceptHandler) {
         chooseSelector().submit(selector -> {
             try {
-                Acceptor acceptor = new Acceptor(listener, taking);
+                Acceptor acceptor = new Acceptor(listener, acceptHandler);
                 acceptor.key = listener.register(selector, SelectionKey.OP_ACCEPT, acceptor);
             } catch (ClosedChannelException e) {
-                // the program ends already
+                // the process is shutting down
             }
         });
     }
 
-    /** Takes clients from a listener, in whose queue the first may have waited since {@code openedNs}; from any thread. */
+    /** Accepts clients, the first of which may have been waiting in the queue since {@code openedNs}; may be called from any thread. */
     void listen(ClientListener listener, long openedNs) {
         chooseSelector().submit(selector -> {
             clientListeners.add(listener);
-            listener.begin(selector, openedNs);
+            listener.register(selector, openedNs);
         });
     }
 
-    /** What a select shows for the first time has come since then at the earliest; on the selector's thread. */
-    long unseenSinceNs() {
-        return selectedNs - busyNs;
+    /** Returns the earliest possible arrival of input that the last select reported for the first time. */
+    long earliestArrivalNs() {
+        return lastSelectNs - busyBeforeSelectNs;
     }
 
-    /** What is read now has come since the sockets were looked at before: so long ago at the most. On the selector's thread. */
-    long unseenUs() {
-        return TimeUnit.NANOSECONDS.toMicros(busyNs + System.nanoTime() - selectedNs);
+    /** Returns the longest time that input which is read now may have been waiting: the busy time since the select before the last. */
+    long maxInputAgeUs() {
+        return TimeUnit.NANOSECONDS.toMicros(busyBeforeSelectNs + System.nanoTime() - lastSelectNs);
     }
 
-    /** A listener whose accept has just failed is left alone for a moment: it stays readable, and trying on at once would spin. */
-    void backOff(SelectionKey key) {
+    /** Pauses a listener whose accept has failed: it stays ready, so that retrying at once would spin. */
+    void pauseAfterFailedAccept(SelectionKey key) {
         if (key.isValid()) {
             key.interestOps(0);
-            backingOff.put(key, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACCEPT_BACK_OFF_MS));
+            acceptRetryTimesNs.put(key, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACCEPT_RETRY_DELAY_MS));
         }
     }
 
-    private long untilAccepting() {
-        long now = System.nanoTime();
-        return backingOff.values().stream().mapToLong(at -> Math.max(0, TimeUnit.NANOSECONDS.toMillis(at - now) + 1)).min().orElse(Long.MAX_VALUE);
+    private long millisUntilAcceptRetry() {
+        long nowNs = System.nanoTime();
+        return acceptRetryTimesNs.values().stream()
+                .mapToLong(at -> Math.max(0, TimeUnit.NANOSECONDS.toMillis(at - nowNs) + 1)).min().orElse(Long.MAX_VALUE);
     }
 
-    private void acceptAgain(Selector selector) {
-        long now = System.nanoTime();
-        backingOff.entrySet().removeIf(e -> {
-            boolean due = e.getValue() - now <= 0;
+    private void resumeAccepting(Selector selector) {
+        long nowNs = System.nanoTime();
+        acceptRetryTimesNs.entrySet().removeIf(e -> {
+            boolean due = e.getValue() - nowNs <= 0;
             if (due && e.getKey().isValid()) {
                 e.getKey().interestOps(SelectionKey.OP_ACCEPT);
             }
@@ -134,12 +135,12 @@
         });
     }
 
-    /** Stops or goes on taking connections from a listener; on the selector's thread. */
-    public void setPaused(ServerSocketChannel listener, boolean on) {
+    /** Pauses or resumes a listener; may be called from any thread. */
+    public void setPaused(ServerSocketChannel listener, boolean paused) {
         chooseSelector().submit(selector -> {
             SelectionKey key = listener.keyFor(selector);
             if (key != null && key.isValid()) {
-                key.interestOps(on ? 0 : SelectionKey.OP_ACCEPT);
+                key.interestOps(paused ? 0 : SelectionKey.OP_ACCEPT);
             }
         });
     }
@@ -147,21 +148,21 @@
     @Override
     protected ManagedSelector newSelector(int id) {
         return new ManagedSelector(this, id) {
-            /** A select that also ends when the reducer is to be woken. */
+            /** Selects until the next timer at most. */
             @Override
             protected int nioSelect(Selector selector, boolean now) throws IOException {
-                long wait = Math.min(host.millisUntilTimer(), untilAccepting());
-                busyNs = System.nanoTime() - selectedNs;
-                // who comes while a select waits has not waited: whether somebody is there already is asked first
-                boolean look = clientListeners.stream().anyMatch(ClientListener::mayHoldClients);
-                int n = now || look || wait <= 0 ? selector.selectNow() : selector.select(wait);
-                selectedNs = System.nanoTime();
-                clientListeners.forEach(listener -> listener.selected(selector));
-                acceptAgain(selector);
-                if (host.millisUntilTimer() <= 0) {
-                    submit(s -> host.onTimer());
+                long timeoutMs = Math.min(timerHandler.millisUntilTimer(), millisUntilAcceptRetry());
+                busyBeforeSelectNs = System.nanoTime() - lastSelectNs;
+                // a client that arrives during a blocking select has not waited: selectNow first finds those that came earlier
+                boolean pollFirst = clientListeners.stream().anyMatch(ClientListener::mayHavePendingClients);
+                int selectedKeys = now || pollFirst || timeoutMs <= 0 ? selector.selectNow() : selector.select(timeoutMs);
+                lastSelectNs = System.nanoTime();
+                clientListeners.forEach(listener -> listener.afterSelect(selector));
+                resumeAccepting(selector);
+                if (timerHandler.millisUntilTimer() <= 0) {
+                    submit(s -> timerHandler.onTimer());
                 }
-                return n;
+                return selectedKeys;
             }
         };
     }
@@ -183,39 +184,39 @@
         ((ConnectionHandler) attachment).failed(ex);
     }
 
-    /** Takes in a few new clients a round: a flood must not use up the descriptors before others are closed. */
+    /** Accepts a few connections per round: a burst must not use up the descriptors before others are closed. */
     private final class Acceptor implements ManagedSelector.Selectable {
         private final ServerSocketChannel listener;
-        private final AcceptHandler taking;
+        private final AcceptHandler acceptHandler;
         private SelectionKey key;
 
-        Acceptor(ServerSocketChannel listener, AcceptHandler taking) {
+        Acceptor(ServerSocketChannel listener, AcceptHandler acceptHandler) {
             this.listener = listener;
-            this.taking = taking;
+            this.acceptHandler = acceptHandler;
         }
 
         @Override
         public Runnable onSelected() {
             try {
-                int taken = 0;
-                while (taken < ACCEPTED_A_ROUND && taking.canAccept() && takeNext()) {
-                    taken++;
+                int accepted = 0;
+                while (accepted < MAX_ACCEPTS_PER_ROUND && acceptHandler.canAccept() && acceptNext()) {
+                    accepted++;
                 }
             } catch (IOException e) {
-                // the listener has gone, or is out of descriptors: the queue keeps whoever waits
-                backOff(key);
+                // the listener was closed, or descriptors have run out: pending connections stay in the queue
+                pauseAfterFailedAccept(key);
             }
             return null;
         }
 
-        /** Hands one on; one that cannot be set up is closed, and the others go on. False where nobody waits. */
-        private boolean takeNext() throws IOException {
+        /** Accepts one connection, and closes it if it cannot be set up; returns false if none is pending. */
+        private boolean acceptNext() throws IOException {
             SocketChannel channel = listener.accept();
             if (channel == null) {
                 return false;
             }
             try {
-                taking.onAccepted(channel);
+                acceptHandler.onAccepted(channel);
             } catch (IOException e) {
                 IO.close(channel);
             }
@@ -229,20 +230,20 @@
         public void replaceKey(SelectionKey newKey) { }
     }
 
-    /** What a channel is opened for. */
+    /** Receives the result of opening a channel. */
     public interface ConnectionHandler {
         Connection opened(EndPoint endPoint);
 
-        void failed(Throwable why);
+        void failed(Throwable cause);
     }
 
-    /** The first task is the selector's own loop and gets the thread; all later ones are queued to it. */
-    private static final class OneThread implements Executor {
-        private SelectorThread sockets;
+    /** Runs the first task, the selector's own loop, on the thread; submits all later ones to that loop. */
+    private static final class SingleThreadExecutor implements Executor {
+        private SelectorThread selectorThread;
         private final String name;
         private Thread thread;
 
-        OneThread(String name) {
+        SingleThreadExecutor(String name) {
             this.name = name;
         }
 
@@ -252,13 +253,13 @@
                 thread = new Thread(task, name);
                 thread.start();
             } else {
-                sockets.submit(task);
+                selectorThread.submit(task);
             }
         }
     }
 
-    /** The reducer owns all timers, so none that Jetty asks for ever runs out. */
-    private static final class NoTimeouts extends AbstractLifeCycle implements Scheduler {
+    /** Never runs Jetty's timers: all time-outs are the reducer's. */
+    private static final class InactiveScheduler extends AbstractLifeCycle implements Scheduler {
         @Override
         public Task schedule(Runnable task, long delay, TimeUnit units) {
             return () -> true;
--- a/src/main/java/granitefold/net/SiblingConnection.java
+++ b/src/main/java/granitefold/net/SiblingConnection.java
@@ -15,63 +15,63 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Datagrams from and to siblings; one's place in the list of addresses is its number. Each ends in two bytes of the key of its
- * sender's settings: tenants and dispatchers go by their places in those, and an address may have been another deployment's a
- * moment ago.
+ * Sends datagrams to siblings and receives theirs; a sibling's number is its index in the list of addresses. Each datagram ends in
+ * the first two bytes of the key of its sender's settings: messages refer to tenants and dispatchers by their indexes in the settings,
+ * and an address may have belonged to another deployment a moment ago.
  */
 final class SiblingConnection extends NonBlockingConnection {
-    private static final int MOST = 256, KEY = 2;
+    private static final int MAX_DATAGRAM_BYTES = 256, KEY_BYTES = 2;
 
-    private final DatagramChannelEndPoint datagrams;
+    private final DatagramChannelEndPoint datagramEndPoint;
     private final EventLoop loop;
     private final List<InetSocketAddress> addresses;
     private final byte[] key;
-    /** One line tells of words of other settings. */
-    private boolean foreign;
-    /** One byte more than is legal, so that a longer datagram shows. */
-    private final ByteBuffer in = BufferUtil.allocate(MOST + 1);
+    /** Whether messages from other settings were logged: only the first one is. */
+    private boolean foreignLogged;
+    /** One byte longer than a legal datagram, so that a longer one is detected. */
+    private final ByteBuffer input = BufferUtil.allocate(MAX_DATAGRAM_BYTES + 1);
 
-    SiblingConnection(EndPoint endPoint, EventLoop loop, List<InetSocketAddress> addresses, String settings) {
+    SiblingConnection(EndPoint endPoint, EventLoop loop, List<InetSocketAddress> addresses, String settingsKey) {
         super(endPoint);
-        datagrams = (DatagramChannelEndPoint) endPoint;
+        datagramEndPoint = (DatagramChannelEndPoint) endPoint;
         this.loop = loop;
         this.addresses = addresses;
-        key = HexFormat.of().parseHex(settings, 0, 2 * KEY);
+        key = HexFormat.of().parseHex(settingsKey, 0, 2 * KEY_BYTES);
     }
 
     @Override
     public void onFillable() {
         try {
-            BufferUtil.clear(in);
-            for (SocketAddress from = datagrams.receive(in); from != null; from = datagrams.receive(in)) {
-                int sibling = addresses.indexOf(from);
-                if (sibling >= 0 && in.remaining() <= MOST && in.remaining() >= KEY) {
-                    byte[] all = BufferUtil.toArray(in);
-                    if (Arrays.equals(all, all.length - KEY, all.length, key, 0, KEY)) {
-                        loop.post(new Event.SiblingSaid(sibling, Arrays.copyOf(all, all.length - KEY)));
-                    } else if (!foreign) {
-                        foreign = true;
-                        EventLog.log(LogEvent.SIBLINGS_FOREIGN, from);
+            BufferUtil.clear(input);
+            for (SocketAddress sender = datagramEndPoint.receive(input); sender != null; sender = datagramEndPoint.receive(input)) {
+                int sibling = addresses.indexOf(sender);
+                if (sibling >= 0 && input.remaining() <= MAX_DATAGRAM_BYTES && input.remaining() >= KEY_BYTES) {
+                    byte[] datagram = BufferUtil.toArray(input);
+                    if (Arrays.equals(datagram, datagram.length - KEY_BYTES, datagram.length, key, 0, KEY_BYTES)) {
+                        loop.post(new Event.SiblingSaid(sibling, Arrays.copyOf(datagram, datagram.length - KEY_BYTES)));
+                    } else if (!foreignLogged) {
+                        foreignLogged = true;
+                        EventLog.log(LogEvent.SIBLINGS_FOREIGN, sender);
                     }
                 }
-                BufferUtil.clear(in);
+                BufferUtil.clear(input);
             }
         } catch (IOException e) {
-            // what is lost on the way is lost; the next one may come
+            // counts as a lost datagram; later ones may still arrive
         }
         awaitReadable();
     }
 
-    void tell(int sibling, byte[] message) {
-        if (sibling < 0 || sibling >= addresses.size() || message.length > MOST - KEY) {
+    void send(int sibling, byte[] message) {
+        if (sibling < 0 || sibling >= addresses.size() || message.length > MAX_DATAGRAM_BYTES - KEY_BYTES) {
             return;
         }
         try {
-            byte[] all = Arrays.copyOf(message, message.length + KEY);
-            System.arraycopy(key, 0, all, message.length, KEY);
-            datagrams.send(addresses.get(sibling), ByteBuffer.wrap(all));
+            byte[] datagram = Arrays.copyOf(message, message.length + KEY_BYTES);
+            System.arraycopy(key, 0, datagram, message.length, KEY_BYTES);
+            datagramEndPoint.send(addresses.get(sibling), ByteBuffer.wrap(datagram));
         } catch (IOException e) {
-            // as above
+            // as in onFillable
         }
     }
 }
--- a/src/main/java/granitefold/net/SocketOpener.java
+++ b/src/main/java/granitefold/net/SocketOpener.java
@@ -6,20 +6,20 @@
 import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.TimeUnit;
 
-/** Opens what a start cannot do without, though {@code socket} may fail for a moment (ENFILE, ENOBUFS). */
+/** Opens the sockets that the start depends on, and retries if {@code socket} fails temporarily (ENFILE, ENOBUFS). */
 public final class SocketOpener {
-    /** Bad input has to be told within 3 s. */
-    private static final long PATIENCE_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
-    private static final long PAUSE_MS = 20;
+    /** An invalid configuration, such as an unusable address, must be reported within 3 s. */
+    private static final long RETRY_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(1_500);
+    private static final long RETRY_INTERVAL_MS = 20;
 
-    /** Opens a socket. */
+    /** Opens a socket or a selector. */
     public interface SocketSupplier<T> {
         T open() throws IOException;
     }
 
     private SocketOpener() { }
 
-    /** A listener for connections; {@code shared}: other processes may listen at the same address. */
+    /** Opens a TCP listener; {@code shared}: other processes may listen on the same address. */
     public static ServerSocketChannel openTcpListener(InetSocketAddress address, int backlog, boolean shared) throws IOException {
         ServerSocketChannel listener = openWithRetry(ServerSocketChannel::open);
         try {
@@ -36,19 +36,19 @@
         }
     }
 
-    /** Tries until a socket can be had, or could not for too long; from a thread that may wait. */
-    public static <T> T openWithRetry(SocketSupplier<T> socket) throws IOException {
-        long from = System.nanoTime();
+    /** Opens a socket, retrying for a limited time; must be called on a thread that may block. */
+    public static <T> T openWithRetry(SocketSupplier<T> supplier) throws IOException {
+        long startNs = System.nanoTime();
         while (true) {
             try {
-                return socket.open();
+                return supplier.open();
             } catch (IOException e) {
-                if (System.nanoTime() - from > PATIENCE_NS) {
+                if (System.nanoTime() - startNs > RETRY_TIMEOUT_NS) {
                     throw e;
                 }
             }
             try {
-                TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+                TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException(e);
--- a/src/main/java/granitefold/net/StateHandover.java
+++ b/src/main/java/granitefold/net/StateHandover.java
@@ -15,109 +15,112 @@
 import java.util.function.Consumer;
 
 /**
- * Passes what was learned from the process that serves to the next version, through the folder that they share. The new one
- * leaves a wish there with a word made up for it, and takes only an answer under that word: what an earlier start has left is
- * never read. The answer is a state file, checked and versioned, and comes under its name whole or not at all. Without an
- * answer in time the new one starts as any other.
+ * Transfers the learned state from the serving process to its successor during an upgrade, through files in a shared folder. The
+ * successor writes a request file with a random token, and reads only a response file withSuffix after that token, so that files left by
+ * earlier starts are never read. The response is a checksummed, versioned state file that is renamed into place atomically. Without
+ * a response in time the successor starts without inherited state.
  */
 final class StateHandover {
-    private static final long LOOK_MS = 10;
+    private static final long POLL_INTERVAL_MS = 10;
 
-    private final Path wish;
+    private final Path requestFile;
     private final Places places;
-    private String answered = "";
+    private String handledToken = "";
 
-    /** {@code stem}: the shared path that file names begin with. */
-    StateHandover(Path stem, Places places) {
-        wish = named(stem, ".wish");
+    /** @param pathPrefix common prefix of the paths of shared files */
+    StateHandover(Path pathPrefix, Places places) {
+        requestFile = withSuffix(pathPrefix, ".wish");
         this.places = places;
     }
 
-    private static Path named(Path stem, String ending) {
-        return stem.resolveSibling(stem.getFileName() + ending);
+    private static Path withSuffix(Path pathPrefix, String suffix) {
+        return pathPrefix.resolveSibling(pathPrefix.getFileName() + suffix);
     }
 
-    private Path answer(String word) {
-        return named(wish, "." + word);
+    private Path responseFile(String token) {
+        return withSuffix(requestFile, "." + token);
     }
 
-    /** The new version: asks; returns the word to wait for, null where the folder cannot be written. */
-    String ask() {
-        String word = UUID.randomUUID().toString();
+    /** Called by the successor: writes the request file. Returns the token of the response, or null if the folder is not writable. */
+    String request() {
+        String token = UUID.randomUUID().toString();
         try {
-            Path whole = named(wish, ".new");
-            Files.writeString(whole, word);
-            Files.move(whole, wish, StandardCopyOption.ATOMIC_MOVE);
-            return word;
+            Path temporary = withSuffix(requestFile, ".new");
+            Files.writeString(temporary, token);
+            Files.move(temporary, requestFile, StandardCopyOption.ATOMIC_MOVE);
+            return token;
         } catch (IOException e) {
             EventLog.log(LogEvent.NOT_INHERITED, e.toString());
             return null;
         }
     }
 
-    /** Waits for the answer for so long at the most; null if none came that can be used. */
-    Learned await(String word, long mostMs) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
+    /** Waits up to {@code timeoutMs} for the response; returns null if there is none, or none that can be used. */
+    Learned await(String token, long timeoutMs) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         try {
-            while (!Files.exists(answer(word)) && System.nanoTime() - until < 0) {
-                Thread.sleep(LOOK_MS);
+            while (!Files.exists(responseFile(token)) && System.nanoTime() - deadlineNs < 0) {
+                Thread.sleep(POLL_INTERVAL_MS);
             }
-            if (!Files.exists(answer(word))) {
-                EventLog.log(LogEvent.NOT_INHERITED, "no answer in time");
+            if (!Files.exists(responseFile(token))) {
+                EventLog.log(LogEvent.NOT_INHERITED, "no response from the serving process in time");
                 return null;
             }
-            if (Files.size(answer(word)) > StateFile.LENGTH_MOST) {
-                EventLog.log(LogEvent.NOT_INHERITED, "the answer is too long");
+            if (Files.size(responseFile(token)) > StateFile.LENGTH_MOST) {
+                EventLog.log(LogEvent.NOT_INHERITED, "the response file is too long");
                 return null;
             }
-            StateFile.Content found = StateFile.decode(Files.readAllBytes(answer(word)));
-            if (places.foreign(found) != null) {
-                EventLog.log(LogEvent.NOT_INHERITED, places.foreign(found));
+            StateFile.Content content = StateFile.decode(Files.readAllBytes(responseFile(token)));
+            if (places.foreign(content) != null) {
+                EventLog.log(LogEvent.NOT_INHERITED, places.foreign(content));
             }
-            return places.here(found);
+            return places.here(content);
         } catch (IOException | StateFile.Unreadable e) {
             EventLog.log(LogEvent.NOT_INHERITED, e.getMessage());
             return null;
         } finally {
-            forget(wish);
-            forget(answer(word));
+            deleteQuietly(requestFile);
+            deleteQuietly(responseFile(token));
         }
     }
 
-    private static void forget(Path file) {
+    private static void deleteQuietly(Path file) {
         try {
             Files.deleteIfExists(file);
         } catch (IOException e) {
-            // it is under a word that nobody asks for again
+            // harmless: its token is never requested again
         }
     }
 
-    /** The process that serves: if somebody asks who has not been answered, {@code learned} is to call {@link #tell}. */
-    void look(Consumer<String> learned) {
+    /**
+     * Called by the serving process: if there is a request that has not been handled yet, passes its token to {@code onRequest}, which
+     * must call {@link #respond}.
+     */
+    void poll(Consumer<String> onRequest) {
         try {
-            if (Files.exists(wish)) {
-                String word = Files.readString(wish);
-                // a word of ours is a UUID: nothing else becomes part of a file's name
-                if (!word.equals(answered) && word.matches("[0-9a-f-]{36}")) {
-                    answered = word;
-                    learned.accept(word);
+            if (Files.exists(requestFile)) {
+                String token = Files.readString(requestFile);
+                // the token becomes part of a file name, so only the form of a UUID is accepted
+                if (!token.equals(handledToken) && token.matches("[0-9a-f-]{36}")) {
+                    handledToken = token;
+                    onRequest.accept(token);
                 }
             }
         } catch (IOException e) {
-            // it has gone again, or cannot be read: whoever asks starts without
+            // the request was withdrawn or cannot be read: the successor starts without inherited state
         }
     }
 
-    /** Writes the answer. */
-    void tell(String word, Learned learned) {
-        Path whole = answer(word + ".new");
+    /** Called by the serving process: writes the response for a token. */
+    void respond(String token, Learned learned) {
+        Path temporary = responseFile(token + ".new");
         try {
-            Files.write(whole, StateFile.encode(places.content(learned)), StandardOpenOption.CREATE_NEW);
-            Files.move(whole, answer(word), StandardCopyOption.ATOMIC_MOVE);
+            Files.write(temporary, StateFile.encode(places.content(learned)), StandardOpenOption.CREATE_NEW);
+            Files.move(temporary, responseFile(token), StandardCopyOption.ATOMIC_MOVE);
             EventLog.log(LogEvent.HANDED_OVER, learned.workers().size(), learned.buckets().size());
         } catch (IOException e) {
             EventLog.log(LogEvent.NOT_INHERITED, e.toString());
-            forget(whole);
+            deleteQuietly(temporary);
         }
     }
 }
--- a/src/main/java/granitefold/net/StatusReporter.java
+++ b/src/main/java/granitefold/net/StatusReporter.java
@@ -14,20 +14,20 @@
 import org.eclipse.jetty.http.HttpField;
 
 /**
- * What the loop measures of itself, and what it last published for others to read. Made only where something tells how
- * the dispatcher stands.
+ * Measures the process and holds the last published status report for other threads to read. Created only if the operator has
+ * configured something that exposes the status.
  */
 public final class StatusReporter {
-    /** A client asks for load metrics on its answer by this request header, and gets them in that one. */
-    static final String METRICS_WANTED = "endpoint-load-metrics-format", METRICS = "endpoint-load-metrics";
-    /** Envoy, "Health checking": a host that answers with this is taken out at once, before the next check. */
-    private static final HttpField LEAVE = new HttpField("x-envoy-immediate-health-check-fail", "true");
+    /** The request header by which a client asks for load metrics, and the response header that carries them. */
+    static final String METRICS_REQUEST_HEADER = "endpoint-load-metrics-format", METRICS_RESPONSE_HEADER = "endpoint-load-metrics";
+    /** Envoy, "Health checking": a host whose response has this header is removed at once, before the next check. */
+    private static final HttpField FAIL_HEALTH_CHECK = new HttpField("x-envoy-immediate-health-check-fail", "true");
 
-    /** What others see: the report and the moment at which it was published ({@link System#nanoTime}). */
-    public record PublishedReport(Report report, long nanos) {
-        /** How long ago, in microseconds. */
+    /** A report and the time of its publication ({@link System#nanoTime}). */
+    public record PublishedReport(Report report, long publishedNs) {
+        /** Returns the time since the publication, in microseconds. */
         public long ageUs() {
-            return (System.nanoTime() - nanos) / 1000;
+            return (System.nanoTime() - publishedNs) / 1000;
         }
     }
 
@@ -38,9 +38,9 @@
             .filter(p -> p.getType() == MemoryType.HEAP && p.getCollectionUsage() != null).toList();
     private final com.sun.management.OperatingSystemMXBean system =
             (com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    private long lagUs;
-    private long cpuNs = system.getProcessCpuTime();
-    private long measuredAt = System.nanoTime();
+    private long timerLagUs;
+    private long sampledCpuNs = system.getProcessCpuTime();
+    private long sampledNs = System.nanoTime();
     private String metrics = "";
     private volatile PublishedReport published;
 
@@ -50,31 +50,32 @@
         this.cores = cores;
     }
 
-    /** The last report; null before the first. From any thread. */
+    /** Returns the last report, or null before the first. May be called from any thread. */
     public PublishedReport published() {
         return published;
     }
 
-    /** The loop came to a wake-up that was asked for at this time. */
-    void woken(long wakeAt) {
-        // the select's own rounding up to a millisecond is no lag
-        lagUs = Math.max(lagUs, clock.micros() - wakeAt - 1000);
+    /** Records the lag of a timer that was due at {@code dueAtUs}. */
+    void timerFired(long dueAtUs) {
+        // the selector rounds its timeout up to a millisecond, which does not count as lag
+        timerLagUs = Math.max(timerLagUs, clock.micros() - dueAtUs - 1000);
     }
 
+    /** Measures memory, CPU and timer lag since the last sample. */
     Resources sample(double descriptorShare) {
         long used = 0;
         for (MemoryPoolMXBean pool : heap) {
-            MemoryUsage after = pool.getCollectionUsage();
-            used += after == null ? 0 : after.getUsed();
+            MemoryUsage usage = pool.getCollectionUsage();
+            used += usage == null ? 0 : usage.getUsed();
         }
-        long nanos = System.nanoTime();
-        long cpu = system.getProcessCpuTime();
-        double share = (cpu - cpuNs) / (cores * Math.max(TimeUnit.MILLISECONDS.toNanos(1), nanos - measuredAt));
-        cpuNs = cpu;
-        measuredAt = nanos;
-        Resources r = new Resources((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, lagUs);
-        lagUs = 0;
-        return r;
+        long nowNs = System.nanoTime();
+        long cpuNs = system.getProcessCpuTime();
+        double share = (cpuNs - sampledCpuNs) / (cores * Math.max(TimeUnit.MILLISECONDS.toNanos(1), nowNs - sampledNs));
+        sampledCpuNs = cpuNs;
+        sampledNs = nowNs;
+        Resources resources = new Resources((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, timerLagUs);
+        timerLagUs = 0;
+        return resources;
     }
 
     void publish(Report report) {
@@ -84,18 +85,18 @@
         }
     }
 
-    /** Fields for an answer to a client. */
-    List<HttpField> fields(ClientConnection client) {
-        boolean leaves = clients.envoy() && published != null && !published.report().verdict().standing().serves();
-        if (!leaves && !client.wantsMetrics()) {
+    /** Returns the status headers for a response to a client. */
+    List<HttpField> headerFields(ClientConnection client) {
+        boolean outOfService = clients.envoy() && published != null && !published.report().verdict().standing().serves();
+        if (!outOfService && !client.wantsMetrics()) {
             return List.of();
         }
         List<HttpField> fields = new ArrayList<>(2);
-        if (leaves) {
-            fields.add(LEAVE);
+        if (outOfService) {
+            fields.add(FAIL_HEALTH_CHECK);
         }
         if (client.wantsMetrics()) {
-            fields.add(new HttpField(METRICS, metrics));
+            fields.add(new HttpField(METRICS_RESPONSE_HEADER, metrics));
         }
         return fields;
     }
--- a/src/main/java/granitefold/net/WatchHttpConnection.java
+++ b/src/main/java/granitefold/net/WatchHttpConnection.java
@@ -8,59 +8,59 @@
 import granitefold.wire.Listing;
 import java.net.InetSocketAddress;
 
-/** The watch on discovery. */
+/** The watch on discovery: one long response that carries the updates of the worker list. */
 final class WatchHttpConnection extends OutboundHttpConnection {
-    private static final int LINE_MOST = 4 * 1024 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024 * 1024;
 
     private final EventLoop loop;
-    private final OutboundConnections links;
+    private final OutboundConnections connections;
     private final InetSocketAddress discovery;
     private final long version;
-    private final Frames frames = new Frames(LINE_MOST);
+    private final Frames frames = new Frames(MAX_LINE_BYTES);
 
-    WatchHttpConnection(EventLoop loop, OutboundConnections links, InetSocketAddress discovery, long version) {
-        super(discovery, LINE_MOST);
+    WatchHttpConnection(EventLoop loop, OutboundConnections connections, InetSocketAddress discovery, long version) {
+        super(discovery, MAX_LINE_BYTES);
         this.loop = loop;
-        this.links = links;
+        this.connections = connections;
         this.discovery = discovery;
         this.version = version;
     }
 
     @Override
-    void connected() {
+    void onConnected() {
         write(HttpMessages.watch(Address.text(discovery), version), () -> { });
     }
 
     @Override
-    void status(int status, String turnedAway) {
+    void onStatus(int status, String turnedAway) {
         if (status != 200) {
-            end("status " + status);
+            fail("status " + status);
         }
     }
 
     @Override
-    void line(byte[] buf, int from, int length) {
-        if (!links.current(this)) {
+    void onLine(byte[] buffer, int from, int length) {
+        if (!connections.isCurrent(this)) {
             return;
         }
         try {
-            Frames.Found found = frames.add(buf, from, length);
-            if (found != Frames.Found.PART) {
-                loop.post(new Event.WatchNews(found == Frames.Found.BLANK ? null
-                        : Listing.decode(frames.buffer(), frames.offset(), frames.length(), loop.words())));
+            Frames.Found result = frames.add(buffer, from, length);
+            if (result != Frames.Found.PART) {
+                loop.post(new Event.WatchNews(result == Frames.Found.BLANK ? null
+                        : Listing.decode(frames.buffer(), frames.offset(), frames.length(), loop.vocabulary())));
             }
         } catch (BadWire e) {
-            end(e.getMessage());
+            fail(e.getMessage());
         }
     }
 
     @Override
-    void answered(boolean reusable) {
-        end("answer ended");
+    void onResponseEnd(boolean reusable) {
+        fail("response ended");
     }
 
     @Override
-    void ended(String why) {
-        links.closed(this, why);
+    void onClosed(String reason) {
+        connections.closed(this, reason);
     }
 }
--- a/src/main/java/granitefold/net/WorkerHttpConnection.java
+++ b/src/main/java/granitefold/net/WorkerHttpConnection.java
@@ -9,21 +9,21 @@
 import granitefold.wire.HttpMessages;
 import granitefold.wire.WorkerLine;
 
-/** A connection to a worker. */
+/** A connection to a worker, which carries one request at a time. */
 final class WorkerHttpConnection extends OutboundHttpConnection {
-    /** A result is about as long as a body may be; JSON may write it several times as long. */
-    private static final int LINE_MOST = 512 * 1024;
+    /** A result is about as long as a request body may be; JSON escapes may make it several times as long. */
+    private static final int MAX_LINE_BYTES = 512 * 1024;
 
     private final EventLoop loop;
-    private final OutboundConnections links;
+    private final OutboundConnections connections;
     private final long id;
     private final String address;
     private String txn;
 
-    WorkerHttpConnection(EventLoop loop, OutboundConnections links, long id, String address) {
-        super(Address.of(address), LINE_MOST);
+    WorkerHttpConnection(EventLoop loop, OutboundConnections connections, long id, String address) {
+        super(Address.of(address), MAX_LINE_BYTES);
         this.loop = loop;
-        this.links = links;
+        this.connections = connections;
         this.id = id;
         this.address = address;
     }
@@ -32,52 +32,52 @@
         return id;
     }
 
-    void send(Payload payload, long expiresAt) {
-        if (!quiet()) {
-            end("ended or spoke between two requests");
+    void send(Payload payload, long expiresAtUs) {
+        if (!hasNothingToRead()) {
+            fail("closed or sent data between two requests");
             return;
         }
         ClientRequest request = (ClientRequest) payload;
         txn = request.txn();
-        // a loop that is short of processor time comes to write long after it has decided
-        long waitUs = Math.max(0, expiresAt - loop.now());
+        // recomputed here: a loop that lacks CPU time may write long after the decision
+        long waitUs = Math.max(0, expiresAtUs - loop.nowUs());
         write(HttpMessages.toWorker(request, address, waitUs), () -> loop.post(new Event.RequestWritten(id)));
     }
 
     @Override
-    void connected() {
+    void onConnected() {
         loop.post(new Event.WorkerConnected(id));
     }
 
     @Override
-    void status(int status, String turnedAway) {
+    void onStatus(int status, String turnedAway) {
         if (status != 200) {
             loop.post(new Event.WorkerSaid(id, WorkerLine.refusal(status, turnedAway)));
         }
     }
 
     @Override
-    void line(byte[] buf, int from, int length) {
+    void onLine(byte[] buffer, int from, int length) {
         if (length == 0) {
             return;
         }
         try {
-            AttemptNews news = WorkerLine.decode(buf, from, length, txn);
+            AttemptNews news = WorkerLine.decode(buffer, from, length, txn);
             if (news != null) {
                 loop.post(new Event.WorkerSaid(id, news));
             }
         } catch (BadWire e) {
-            end(e.getMessage());
+            fail(e.getMessage());
         }
     }
 
     @Override
-    void answered(boolean reusable) {
+    void onResponseEnd(boolean reusable) {
         loop.post(new Event.AnswerEnded(id, reusable));
     }
 
     @Override
-    void ended(String why) {
-        links.closed(this, why);
+    void onClosed(String reason) {
+        connections.closed(this, reason);
     }
 }
--- a/src/main/java/granitefold/net/package-info.java
+++ b/src/main/java/granitefold/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sockets and the clock, on Jetty's selectors, end points and HTTP parser. What comes in is reported to the reducer
- * as events, what it asks for is done. Everything here, the reducer included, runs on the one selector thread.
+ * Sockets and the clock, on Jetty's selectors, end points and HTTP parser. Input is reported to the reducer as events, and
+ * the effects that it returns are performed. Unless stated otherwise, all code here, the reducer included, runs on one selector thread.
  */
 package granitefold.net;
--- a/src/test/java/granitefold/net/SelectorThreadTest.java
+++ b/src/test/java/granitefold/net/SelectorThreadTest.java
@@ -80,7 +80,7 @@
                 } catch (Exception e) {
                     order.add("broken " + e);
                 }
-                sockets.afterLook(() -> {
+                sockets.afterPendingInput(() -> {
                     order.add("looked");
                     looked.countDown();
                 });
@@ -194,7 +194,7 @@
 
     @Test
     void whoComesAfterARoundThatTookAllHasNotWaited() throws Exception {
-        comesAfterAQuietTime(SelectorThread.ACCEPTED_A_ROUND);
+        comesAfterAQuietTime(SelectorThread.MAX_ACCEPTS_PER_ROUND);
     }
 
     /** What had connected but was not taken yet was reset when the listener closed. */
--- a/src/test/java/granitefold/net/StateHandoverTest.java
+++ b/src/test/java/granitefold/net/StateHandoverTest.java
@@ -43,11 +43,11 @@
 
     @Test
     void whatWasLearnedPassesAndNothingIsLeftBehind() throws Exception {
-        String word = next.ask();
-        old.look(asked::add);
+        String word = next.request();
+        old.poll(asked::add);
         assertEquals(List.of(word), asked);
-        old.tell(word, LEARNED);
-        old.look(asked::add);
+        old.respond(word, LEARNED);
+        old.poll(asked::add);
         assertEquals(1, asked.size(), "one wish, one answer");
         Learned inherited = next.await(word, 0);
         assertNotNull(inherited);
@@ -59,25 +59,25 @@
     /** The old one is stopped, hangs, or is of a version that knows of no wish. */
     @Test
     void withoutAnAnswerItStartsWithout() throws Exception {
-        assertNull(next.await(next.ask(), 0));
+        assertNull(next.await(next.request(), 0));
         assertEquals(List.of(), left());
-        old.look(asked::add);
+        old.poll(asked::add);
         assertEquals(List.of(), asked);
     }
 
     /** The folder is left as it was: by a start that was killed, or an answer that came too late. */
     @Test
     void whatAnEarlierStartLeftIsNotRead() throws Exception {
-        String before = next.ask();
-        old.tell(before, LEARNED);
-        String word = next.ask();
+        String before = next.request();
+        old.respond(before, LEARNED);
+        String word = next.request();
         assertNull(next.await(word, 0));
     }
 
     @Test
     void aDamagedAnswerIsNotTaken() throws Exception {
-        String word = next.ask();
-        old.tell(word, LEARNED);
+        String word = next.request();
+        old.respond(word, LEARNED);
         Path answer = folder.resolve("granitefold-a.wish." + word);
         byte[] file = Files.readAllBytes(answer);
         file[file.length / 2] ^= 1;
@@ -90,7 +90,7 @@
     void aWishThatIsNoWordOfOursIsNotAnswered() throws Exception {
         for (String odd : List.of("", "../x", "x".repeat(100_000), "0123456789-0123456789-0123456789-/..")) {
             Files.writeString(folder.resolve("granitefold-a.wish"), odd);
-            old.look(asked::add);
+            old.poll(asked::add);
         }
         assertEquals(List.of(), asked);
     }
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -50,7 +50,7 @@
             new Patch("core/Lifecycle.java", "return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closesAt);", "return true;"),
             new Patch("core/ActionGuard.java", "return owed == 0 || violated(Rule.STOPPED_OWING, owed + \" requests\");", "return true;")},
         {"some requests are answered twice", Rule.ANSWERED_TWICE, SMALL,
-            new Patch("net/ClientConnection.java", "() -> gone(CloseReason.BROKEN)), message);", "() -> gone(CloseReason.BROKEN)), message[0], message[1], message[0].duplicate(),\n"
+            new Patch("net/ClientConnection.java", "() -> closeConnection(CloseReason.BROKEN)), message);", "() -> closeConnection(CloseReason.BROKEN)), message[0], message[1], message[0].duplicate(),\n"
                     + "                message[1].duplicate());")},
         {"drains are not heeded", Rule.DRAIN, "for = 6s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms } ]",
@@ -90,7 +90,7 @@
                 + "load { rate = 150, retries = 0, impatient = 1 }, classes.ficha { work = 20ms, on-time = 8s, deadline = 3s }\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms }, { do = well, to = [s0], at = 1500ms } ]",
             new Patch("core/Requests.java", "        RequestContext c = owed.remove(client);", "        RequestContext c = null;"),
-            new Patch("net/EventLoop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
+            new Patch("net/EventLoop.java", "if (clients.containsKey(e.client())) {", "if (nowUs() > 0) {")},
         {"a watch that falls silent is not opened anew", Rule.DRAIN, "for = 12s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = hush, at = 500ms }, { do = drain, to = [s0], at = 700ms } ]",
             new Patch("core/Watch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -170,7 +170,7 @@
         deadlines(DEADLINE_MS);
         Path folder = Files.createTempDirectory("start");
         Path jar = Variant.make(Path.of("target/granitefold.jar"), folder, "slow-start", new Variant.Patch("net/EventLoop.java",
-                "        sockets.start();", "        Thread.sleep(" + START_MS + ");\n        sockets.start();"));
+                "        selectorThread.start();", "        Thread.sleep(" + START_MS + ");\n        selectorThread.start();"));
         program = new RealProgram(null, Map.of(RealProgram.JAR, jar.toString()), fields, a);
         Exchange client = program.connect(program.addressIn(" listening on "), null);
         client.write(request("/ficha", "t1", TIME, "soup"));
