--- a/src/main/java/granitefold/core/ActionGuard.java
+++ b/src/main/java/granitefold/core/ActionGuard.java
@@ -11,7 +11,7 @@
  * asks here last. What no one should have asked for is refused, counted and logged as a broken rule.
  */
 final class ActionGuard {
-    private final Parts core;
+    private final CoreContext core;
     private final List<JobClass> classes;
     private final boolean secondCopies;
     private boolean closing;
@@ -29,7 +29,7 @@
         STOPPED_OWING
     }
 
-    ActionGuard(Parts core, List<JobClass> classes, boolean secondCopies) {
+    ActionGuard(CoreContext core, List<JobClass> classes, boolean secondCopies) {
         this.core = core;
         this.classes = classes;
         this.secondCopies = secondCopies;
--- a/src/main/java/granitefold/core/AttemptNews.java
+++ b/src/main/java/granitefold/core/AttemptUpdate.java
@@ -1,23 +1,23 @@
 package granitefold.core;
 
 /** Word from a worker on the attempt that a connection carries. All but the first two end the attempt. */
-public sealed interface AttemptNews {
+public sealed interface AttemptUpdate {
 
     /** The job has started to run. */
-    record Started() implements AttemptNews { }
+    record Started() implements AttemptUpdate { }
 
     /** The job has done a share of its work. */
-    record Progressed(double share) implements AttemptNews { }
+    record Progressed(double share) implements AttemptUpdate { }
 
     /** The job is done. */
-    record Served(byte[] result) implements AttemptNews { }
+    record Served(byte[] result) implements AttemptUpdate { }
 
     /** The worker reports an error: the job may have run. */
-    record Failed() implements AttemptNews { }
+    record Failed() implements AttemptUpdate { }
 
     /** Turned away or handed back unstarted: the job never ran. */
-    record Returned() implements AttemptNews { }
+    record Returned() implements AttemptUpdate { }
 
     /** The job was killed, or the answer ended before its last line: the job may have run. */
-    record Lost() implements AttemptNews { }
+    record Lost() implements AttemptUpdate { }
 }
--- a/src/main/java/granitefold/core/Attempts.java
+++ b/src/main/java/granitefold/core/Attempts.java
@@ -8,11 +8,11 @@
     /** How long the end of an answer may follow its last line. */
     private static final long SETTLE_US = 1_000_000;
 
-    private final Parts core;
+    private final CoreContext core;
     private final Requests requests;
     private final WorkerRegistry list;
 
-    Attempts(Parts parts, Requests requests, WorkerRegistry list) {
+    Attempts(CoreContext parts, Requests requests, WorkerRegistry list) {
         core = parts;
         this.requests = requests;
         this.list = list;
@@ -39,7 +39,7 @@
         } else {
             // it may be up by now and only not read yet: a busy loop must not pass for a dead worker
             t.timer = core.timers.at(Math.min(expiresAt, core.now + core.bounds.connectTimeoutUs()),
-                    at -> core.effects.add(new Effect.Look(t.connection.id)));
+                    at -> core.effects.add(new Effect.PollSockets(t.connection.id)));
         }
     }
 
@@ -88,28 +88,28 @@
         }
     }
 
-    void workerSaid(WorkerConnection c, AttemptNews news) {
+    void workerSaid(WorkerConnection c, AttemptUpdate news) {
         Attempt t = c == null ? null : c.carries;
         if (t == null) {
             return;
         }
         c.stale = false;
-        if (news instanceof AttemptNews.Started) {
+        if (news instanceof AttemptUpdate.Started) {
             core.module.started(core.now, t.context.id, t.number);
-        } else if (news instanceof AttemptNews.Progressed p) {
+        } else if (news instanceof AttemptUpdate.Progressed p) {
             core.module.progressed(core.now, t.context.id, t.number, p.share());
         } else {
             c.carries = null;
             core.pool.settle(c, core.now + SETTLE_US);
-            if (news instanceof AttemptNews.Served s) {
+            if (news instanceof AttemptUpdate.Served s) {
                 if (!t.context.over) {
                     requests.answer(t.context, new FinalAnswer.Served(s.result()));
                 }
                 end(t, Outcome.SERVED);
-            } else if (news instanceof AttemptNews.Returned) {
+            } else if (news instanceof AttemptUpdate.Returned) {
                 end(t, Outcome.FULL);
             } else {
-                end(t, news instanceof AttemptNews.Failed ? Outcome.ERROR : Outcome.BROKEN);
+                end(t, news instanceof AttemptUpdate.Failed ? Outcome.ERROR : Outcome.BROKEN);
             }
         }
     }
@@ -123,7 +123,7 @@
         if (reusable && t == null && c.worker.state == State.READY && c.address.equals(c.worker.address)) {
             core.pool.release(c, core.now);
         } else {
-            core.pool.close(c, Pool.Reason.NOT_REUSABLE);
+            core.pool.close(c, ConnectionPool.Reason.NOT_REUSABLE);
         }
         if (t != null) {
             // the answer ended without its last line: the job may have run, and the connection is not trusted
--- a/src/main/java/granitefold/core/Attendance.java
+++ b/src/main/java/granitefold/core/AvailabilityMonitor.java
@@ -16,7 +16,7 @@
  * Keeps the availability machine supplied: it counts what comes by, samples at an interval, and publishes the verdict.
  * Where it is off it does nothing.
  */
-final class Attendance {
+final class AvailabilityMonitor {
     /** What was answered longer ago than this counts half and less. */
     private static final double HALF_US = 1_000_000;
 
@@ -28,7 +28,7 @@
     private Availability machine;
     private Availability.State state;
     private Wish wish = Wish.READY;
-    private Resources resources = Resources.UNKNOWN;
+    private ResourceUsage resources = ResourceUsage.UNKNOWN;
     private long startedAt;
     private long heardAt;
     private long listedAt;
@@ -43,7 +43,7 @@
     private double rejects;
     private long fadedAt;
 
-    Attendance(AvailabilitySettings set, int connections, Reducer reducer, Timers timers, List<Effect> effects) {
+    AvailabilityMonitor(AvailabilitySettings set, int connections, Reducer reducer, Timers timers, List<Effect> effects) {
         this.connections = connections;
         this.reducer = reducer;
         this.timers = timers;
@@ -68,7 +68,7 @@
     }
 
     private void sample(long now) {
-        effects.add(new Effect.Sample());
+        effects.add(new Effect.SampleResources());
         timers.at(now + set.intervalUs(), this::sample);
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    void sampled(Resources news, long now) {
+    void sampled(ResourceUsage news, long now) {
         resources = news;
         evaluate(now);
     }
@@ -138,7 +138,7 @@
         state = next;
         Verdict verdict = machine.verdict(state);
         double perS = answers * Math.log(2) / HALF_US * 1e6;
-        effects.add(new Effect.Publish(new Report(verdict, reducer.phase(), wish, reducer.owed(), reducer.clients(),
+        effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), wish, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
                 now - Math.max(listedAt, heardAt), now - heardAt, wait, share, perS, resources, now - startedAt, served,
                 rejected, failed)));
--- a/src/main/java/granitefold/core/Clients.java
+++ b/src/main/java/granitefold/core/ClientConnections.java
@@ -11,7 +11,7 @@
  * The bookkeeping of client connections: how long each may take over what it does, and which one goes where there is
  * no room for another. Without it those that say nothing, or never come to an end, keep usual clients out.
  */
-final class Clients {
+final class ClientConnections {
     /**
      * A whole request must have come so long after its connection, or after its own first byte on a kept one. Slow lines
      * take 2 s over one, and whoever takes longer is to hear of it within 3 s.
@@ -62,7 +62,7 @@
     private final Timers timers;
     private final List<Effect> effects;
 
-    Clients(int most, Timers timers, List<Effect> effects) {
+    ClientConnections(int most, Timers timers, List<Effect> effects) {
         this.most = most;
         this.timers = timers;
         this.effects = effects;
--- a/src/main/java/granitefold/core/Pool.java
+++ b/src/main/java/granitefold/core/ConnectionPool.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** The bookkeeping of worker connections: which are open, which of them are idle and since when. */
-final class Pool {
+final class ConnectionPool {
     /** A worker closes an idle connection after a told time; ours goes by this share of it, lest a request meet that. */
     private static final double IDLE_SHARE = 0.7;
     /**
@@ -43,7 +43,7 @@
         NO_ROOM
     }
 
-    Pool(int most, long idleCloseUs, Timers timers, List<Effect> effects, RequestTrace trace) {
+    ConnectionPool(int most, long idleCloseUs, Timers timers, List<Effect> effects, RequestTrace trace) {
         this.most = most;
         idleUs = (long) (idleCloseUs * IDLE_SHARE);
         this.timers = timers;
@@ -78,7 +78,7 @@
         WorkerConnection c = new WorkerConnection(number++, worker);
         open.put(c.id, c);
         worker.open++;
-        effects.add(new Effect.Connect(c.id, c.address));
+        effects.add(new Effect.ConnectWorker(c.id, c.address));
         return c;
     }
 
--- a/src/main/java/granitefold/core/Parts.java
+++ b/src/main/java/granitefold/core/CoreContext.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 
 /** What the files of the core share: its parts, the time of the event in hand, and what is to happen for it. */
-final class Parts {
+final class CoreContext {
     final Reducer.Bounds bounds;
     final Timers timers = new Timers();
     final List<Effect> effects = new ArrayList<>();
-    final Pool pool;
-    final Clients clients;
+    final ConnectionPool pool;
+    final ClientConnections clients;
     final Map<Long, Worker> workers = new LinkedHashMap<>();
     /** Outcomes of attempts that ended within a call of the module, which is told once that call is over. */
     final ArrayDeque<Runnable> afterwards = new ArrayDeque<>();
     Dispatcher module;
-    Attendance attendance;
-    Bookkeeper books;
+    AvailabilityMonitor attendance;
+    FiguresPublisher books;
     /** Null where neither probes nor attempts are to say which workers look dead. */
     WorkerHealth health;
     /** Null where nothing outlives the process. */
-    Recollection recollection;
+    StatePersistence recollection;
     /** From then on answers close their connections. */
     long listensUntil = Long.MAX_VALUE;
     /** By then every request is to have its answer. */
@@ -35,10 +35,10 @@
     final RequestTrace trace;
     ActionGuard guard;
 
-    Parts(Reducer.Bounds bounds, boolean traced) {
+    CoreContext(Reducer.Bounds bounds, boolean traced) {
         this.bounds = bounds;
         trace = new RequestTrace(traced, effects);
-        pool = new Pool(bounds.workerConnections(), bounds.idleCloseUs(), timers, effects, trace);
-        clients = new Clients(bounds.clientConnections(), timers, effects);
+        pool = new ConnectionPool(bounds.workerConnections(), bounds.idleCloseUs(), timers, effects, trace);
+        clients = new ClientConnections(bounds.clientConnections(), timers, effects);
     }
 }
--- a/src/main/java/granitefold/core/Watch.java
+++ b/src/main/java/granitefold/core/DiscoveryWatch.java
@@ -10,7 +10,7 @@
  * is out is given up, or {@link #PAUSE_MOST_US} until the pause is over; a call that was out for longer than the pause is followed
  * by the next one at once. The last list stands meanwhile.
  */
-final class Watch {
+final class DiscoveryWatch {
     /** Heartbeats come every 2 s; after this much silence the call is given up, whatever had become of it. */
     static final long SILENT_US = 3_000_000;
     /** The first and the longest time from one call to the next; by chance up to half of it less. */
@@ -32,7 +32,7 @@
     }
 
     /** What is to be done with a list. */
-    enum Heed {
+    enum ListAcceptance {
         /** There is none, or it says nothing. */
         NOTHING,
         /** It is older than ours: who is told to drain there gets nothing new, and nobody is taken for up again. */
@@ -56,7 +56,7 @@
     /** The end of a silence or of a pause. */
     private Timers.Timer timer;
 
-    Watch(String address, long version, long seed, Timers timers, List<Effect> effects) {
+    DiscoveryWatch(String address, long version, long seed, Timers timers, List<Effect> effects) {
         this.address = address;
         this.version = version;
         this.timers = timers;
@@ -93,7 +93,7 @@
     }
 
     /** A word has come, without news where {@code list} is null. */
-    Heed heard(WorkerList list, boolean workersKnown, long now) {
+    ListAcceptance heard(WorkerList list, boolean workersKnown, long now) {
         heardAt = now;
         state = State.HEARD;
         boolean older = list != null && list.version() < version;
@@ -103,26 +103,26 @@
             version = 0;
             effects.add(new Effect.CloseWatch());
             open(now);
-            return Heed.NOTHING;
+            return ListAcceptance.NOTHING;
         }
         if (list == null) {
-            return Heed.NOTHING;
+            return ListAcceptance.NOTHING;
         }
         if (list.whole() && list.entries().isEmpty() && workersKnown) {
             // nobody runs a fleet of none: what lost its own list, or has not read it yet, says this
             refuse("empty");
-            return Heed.NOTHING;
+            return ListAcceptance.NOTHING;
         }
         if (older) {
             // an agent that lags behind, or one moved to: whom it takes for up may be told to drain by now
             behindSince = behindSince == 0 ? now : behindSince;
             refuse("older than " + version);
-            return Heed.DRAINS;
+            return ListAcceptance.DRAINS;
         }
         behindSince = 0;
         refused = false;
         version = list.version();
-        return Heed.ALL;
+        return ListAcceptance.ALL;
     }
 
     /** Logs the change of state, not each list. */
--- a/src/main/java/granitefold/core/Effect.java
+++ b/src/main/java/granitefold/core/Effect.java
@@ -17,18 +17,18 @@
     record CloseClient(long client, CloseReason reason) implements Effect { }
 
     /** Open a connection to a worker; the core numbers it. */
-    record Connect(long connection, String address) implements Effect { }
+    record ConnectWorker(long connection, String address) implements Effect { }
 
-    /** Go through all that has come to the sockets by now, then report {@link Event.Looked}. */
-    record Look(long connection) implements Effect {
+    /** Go through all that has come to the sockets by now, then report {@link Event.SocketsPolled}. */
+    record PollSockets(long connection) implements Effect {
         /** On behalf of no connection. */
-        static final long NONE = -1;
+        static final long NO_CONNECTION = -1;
         /** On behalf of a planned end. */
-        static final long ENDING = -2;
+        static final long SHUTDOWN = -2;
     }
 
     /**
-     * Write an attempt's request, which says how long the dispatcher will wait, as of the write; or report {@link Event.NotSent}, if the client
+     * Write an attempt's request, which says how long the dispatcher will wait, as of the write; or report {@link Event.RequestNotSent}, if the client
      * turns out to have gone.
      */
     record SendRequest(long connection, long client, Payload payload, long expiresAt) implements Effect { }
@@ -43,7 +43,7 @@
     record CloseWatch() implements Effect { }
 
     /** Send a datagram to a sibling. */
-    record Tell(int sibling, byte[] message) implements Effect { }
+    record SendToSibling(int sibling, byte[] message) implements Effect { }
 
     /** Report {@link Event.Woken} at a time; replaces the one asked for before. */
     record WakeAt(long at) implements Effect { }
@@ -52,13 +52,13 @@
     record StopListening() implements Effect { }
 
     /** Tell clients that rest between two requests that no more is read, then read their connections out. */
-    record ShutIdle() implements Effect { }
+    record HalfCloseIdleClients() implements Effect { }
 
     /** The same for all clients that have been answered before; who has sent a part of a request is told that it is rejected. */
-    record ShutAll() implements Effect { }
+    record HalfCloseAllClients() implements Effect { }
 
     /** Leave the siblings' datagrams to another process of this dispatcher. */
-    record LeaveSiblings() implements Effect { }
+    record CloseSiblingSocket() implements Effect { }
 
     /** All is done: flush what is being written, then end the process. */
     record Stop() implements Effect { }
@@ -66,21 +66,21 @@
     /** Write an event to the log. */
     record Log(LogEvent event, Object... values) implements Effect { }
 
-    /** Measure the process and report {@link Event.Sampled}. */
-    record Sample() implements Effect { }
+    /** Measure the process and report {@link Event.ResourcesSampled}. */
+    record SampleResources() implements Effect { }
 
     /** Tell balancers and operators how the dispatcher stands. */
-    record Publish(Report report) implements Effect { }
+    record PublishReport(StatusReport report) implements Effect { }
 
     /** Show these figures to whoever asks. */
-    record Count(Figures figures) implements Effect { }
+    record PublishFigures(Figures figures) implements Effect { }
 
     /** Keep what was learned, where it outlives the process. */
-    record Keep(Learned learned) implements Effect { }
+    record SaveState(Learned learned) implements Effect { }
 
-    /** Probe a worker and report {@link Event.Probed}. */
-    record Probe(long worker, String address) implements Effect { }
+    /** Probe a worker and report {@link Event.ProbeEnded}. */
+    record StartProbe(long worker, String address) implements Effect { }
 
     /** A probe has taken too long: close it; no event follows. */
-    record EndProbe(long worker) implements Effect { }
+    record CancelProbe(long worker) implements Effect { }
 }
--- a/src/main/java/granitefold/core/Bookkeeper.java
+++ b/src/main/java/granitefold/core/FiguresPublisher.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Keeps the figures and publishes them at an interval. Where nobody may ask for them it does nothing. */
-final class Bookkeeper {
+final class FiguresPublisher {
     /** Figures may be half a second old when they are read. */
     static final long EVERY_US = 100_000;
 
@@ -15,7 +15,7 @@
     private final List<Effect> effects;
     private final Tally tally;
 
-    Bookkeeper(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
+    FiguresPublisher(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
         tally = on ? new Tally(classes) : null;
         this.reducer = reducer;
         this.timers = timers;
@@ -34,7 +34,7 @@
         if (tally != null) {
             Dispatcher.Choice choice = reducer.choice();
             Figures f = tally.figures(reducer.owed(), choice.listed(), choice.avoided(), reducer.ready());
-            effects.add(new Effect.Count(f));
+            effects.add(new Effect.PublishFigures(f));
         }
     }
 
--- a/src/main/java/granitefold/core/FinalAnswer.java
+++ b/src/main/java/granitefold/core/FinalAnswer.java
@@ -13,7 +13,7 @@
         private static final long ADVICE_US = 1_000_000;
 
         /** For a reject that is no decision of the module's. */
-        public static Rejected because(Refusal reason) {
+        public static Rejected withDefaultRetry(Refusal reason) {
             return new Rejected(ADVICE_US, reason);
         }
     }
--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -20,10 +20,10 @@
     /** A listener whose queue could not be emptied is tried again after this. */
     static final long RETRY_US = 10_000;
 
-    private final Parts core;
+    private final CoreContext core;
     private final Requests requests;
-    private final Siblings siblings;
-    private final Ending ending;
+    private final SiblingTracker siblings;
+    private final ShutdownSchedule ending;
     /** Hands in requests that still wait for discovery's first word. */
     private final Runnable handIn;
     private Phase phase = Phase.STARTING;
@@ -36,7 +36,7 @@
     private boolean clientsRead;
     private boolean looking;
 
-    Lifecycle(Parts core, Requests requests, Siblings siblings, Ending ending, Runnable handIn) {
+    Lifecycle(CoreContext core, Requests requests, SiblingTracker siblings, ShutdownSchedule ending, Runnable handIn) {
         this.core = core;
         this.requests = requests;
         this.siblings = siblings;
@@ -83,13 +83,13 @@
         core.closesAt = core.now + ending.closeUs();
         if (relieved) {
             core.module.relieved();
-            core.effects.add(new Effect.LeaveSiblings());
+            core.effects.add(new Effect.CloseSiblingSocket());
         } else {
             siblings.leave(core.now);
         }
         core.timers.at(core.listensUntil, t -> core.effects.add(new Effect.StopListening()));
         long keepsUntil = relieved ? core.now + ending.serveOnUs() : core.listensUntil;
-        core.timers.at(keepsUntil, t -> core.effects.add(new Effect.ShutIdle()));
+        core.timers.at(keepsUntil, t -> core.effects.add(new Effect.HalfCloseIdleClients()));
         core.timers.at(keepsUntil + LAST_READ_US, t -> readOut());
         core.timers.at(core.endsAt, t -> giveUpAll());
         core.timers.at(core.closesAt, t -> look());
@@ -109,7 +109,7 @@
     private void look() {
         if (!looking) {
             looking = true;
-            core.effects.add(new Effect.Look(Effect.Look.ENDING));
+            core.effects.add(new Effect.PollSockets(Effect.PollSockets.SHUTDOWN));
         }
     }
 
@@ -150,7 +150,7 @@
                 // no more is learned: the disk has until the end of the process for it
                 core.recollection.give(core.now);
             }
-            core.effects.add(new Effect.ShutAll());
+            core.effects.add(new Effect.HalfCloseAllClients());
         }
         if (phase == Phase.CLOSING && mayStop()) {
             look();
--- a/src/main/java/granitefold/core/Sink.java
+++ b/src/main/java/granitefold/core/ModuleActions.java
@@ -4,12 +4,12 @@
 import granitefold.Dispatcher.Outcome;
 
 /** The module's actions. */
-final class Sink implements Dispatcher.Actions {
-    private final Parts core;
+final class ModuleActions implements Dispatcher.Actions {
+    private final CoreContext core;
     private final Requests requests;
     private final Attempts attempts;
 
-    Sink(Parts parts, Requests requests, Attempts attempts) {
+    ModuleActions(CoreContext parts, Requests requests, Attempts attempts) {
         core = parts;
         this.requests = requests;
         this.attempts = attempts;
@@ -60,7 +60,7 @@
 
     @Override
     public void tell(int worker, byte[] message) {
-        core.effects.add(new Effect.Tell(worker, message));
+        core.effects.add(new Effect.SendToSibling(worker, message));
     }
 
     @Override
--- a/src/main/java/granitefold/core/Extras.java
+++ b/src/main/java/granitefold/core/OptionalFeatures.java
@@ -6,16 +6,16 @@
 
 /** What an operator's file adds to the core, each part null where it is off; {@code figures}: they are kept;
  * {@code trace}: what becomes of each request and connection is logged. */
-public record Extras(AvailabilitySettings availability, HealthSettings health, Memory memory, boolean figures,
+public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean figures,
         boolean trace) {
     /** What was learned is to outlive the process: it is given out at this interval, in microseconds. */
-    public record Memory(long everyUs, AgeingSettings ageing) { }
+    public record Persistence(long intervalUs, AgeingSettings ageing) { }
 
     /** The same with or without figures. */
-    public Extras withFigures(boolean on) {
-        return new Extras(availability, health, memory, on, trace);
+    public OptionalFeatures withFigures(boolean on) {
+        return new OptionalFeatures(availability, health, persistence, on, trace);
     }
 
     /** Nothing: no timer, no state, no effect. */
-    public static final Extras NONE = new Extras(null, null, null, false, false);
+    public static final OptionalFeatures NONE = new OptionalFeatures(null, null, null, false, false);
 }
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -28,15 +28,15 @@
     static final long FIRST_WORD_US = 200_000;
     private static final long SWEEP_US = 500_000;
 
-    private final Parts core;
+    private final CoreContext core;
     private final Requests requests;
     private final WorkerRegistry list;
     private final Attempts attempts;
-    private Watch watch;
-    private final Ending ending;
+    private DiscoveryWatch watch;
+    private final ShutdownSchedule ending;
     private final Lifecycle lifecycle;
     private final long seed;
-    private final Siblings siblings;
+    private final SiblingTracker siblings;
     /** Discovery has spoken, or the wait for its first word is over. */
     private boolean listKnown;
     /** Requests that came before. */
@@ -50,25 +50,25 @@
             long idleCloseUs) { }
 
     public Reducer(Settings settings, Bounds bounds, long seed) {
-        this(settings, bounds, seed, Extras.NONE);
+        this(settings, bounds, seed, OptionalFeatures.NONE);
     }
 
-    public Reducer(Settings settings, Bounds bounds, long seed, Extras extras) {
-        core = new Parts(bounds, extras.trace());
+    public Reducer(Settings settings, Bounds bounds, long seed, OptionalFeatures features) {
+        core = new CoreContext(bounds, features.trace());
         core.guard = new ActionGuard(core, settings.classes(), settings.limits().secondCopies());
-        ending = Ending.of(settings.classes());
+        ending = ShutdownSchedule.of(settings.classes());
         this.seed = seed;
-        siblings = new Siblings(settings, core.timers, core.effects);
+        siblings = new SiblingTracker(settings, core.timers, core.effects);
         requests = new Requests(core);
         lifecycle = new Lifecycle(core, requests, siblings, ending, this::handInEarly);
         list = new WorkerRegistry(core);
         attempts = new Attempts(core, requests, list);
-        core.attendance = new Attendance(extras.availability(), bounds.clientConnections(), this, core.timers, core.effects);
-        core.books = new Bookkeeper(extras.figures(), settings.classes().size(), this, core.timers, core.effects);
-        core.health = extras.health() == null ? null : new WorkerHealth(extras.health(), seed, core.timers, core.effects);
-        core.module = new Decide(settings, seed, new Sink(core, requests, attempts));
-        core.recollection = extras.memory() == null ? null
-                : new Recollection(extras.memory(), settings.classes(), core.module, core.timers, core.effects);
+        core.attendance = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
+        core.books = new FiguresPublisher(features.figures(), settings.classes().size(), this, core.timers, core.effects);
+        core.health = features.health() == null ? null : new WorkerHealth(features.health(), seed, core.timers, core.effects);
+        core.module = new Decide(settings, seed, new ModuleActions(core, requests, attempts));
+        core.recollection = features.persistence() == null ? null
+                : new StatePersistence(features.persistence(), settings.classes(), core.module, core.timers, core.effects);
     }
 
     public Phase phase() {
@@ -102,7 +102,7 @@
     }
 
     /** So long after the word to end the process ends, whatever is left. */
-    public long exitUs() {
+    public long shutdownTimeoutUs() {
         return ending.exitUs();
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** What the event in hand has asked for so far: where taking it in has failed, that is still to be done. */
-    public List<Effect> effects() {
+    public List<Effect> pendingEffects() {
         return Collections.unmodifiableList(core.effects);
     }
 
@@ -153,28 +153,28 @@
     }
 
     private void handle(Event event) {
-        if (event instanceof Event.Opened e) {
+        if (event instanceof Event.SocketsOpened e) {
             opened(e.known(), e.discovery());
-        } else if (event instanceof Event.ClientOpened e) {
+        } else if (event instanceof Event.ClientConnected e) {
             core.trace.clientOpened(e.client());
             core.clients.opened(e.client(), core.now);
-        } else if (event instanceof Event.RequestBegun e) {
+        } else if (event instanceof Event.RequestStarted e) {
             core.clients.begun(e.client(), core.now);
-        } else if (event instanceof Event.RequestGoesOn e) {
+        } else if (event instanceof Event.RequestContinued e) {
             core.clients.heard(e.client(), core.now);
         } else if (event instanceof Event.RequestArrived e) {
             core.clients.arrived(e.client(), core.now);
             if (listKnown) {
-                requests.arrived(e.client(), e.submission(), core.now - e.unseenUs());
+                requests.arrived(e.client(), e.submission(), core.now - e.unreadUs());
             } else {
-                waitForWord(e.client(), new Early(e.submission(), core.now - e.unseenUs()));
+                waitForWord(e.client(), new Early(e.submission(), core.now - e.unreadUs()));
             }
-        } else if (event instanceof Event.AnsweredHere e) {
+        } else if (event instanceof Event.AnsweredLocally e) {
             core.clients.answering(e.client(), core.now);
         } else if (event instanceof Event.AnswerWritten e) {
             core.books.written(e.client());
             core.clients.written(e.client(), e.last(), core.now);
-        } else if (event instanceof Event.ClientShut e) {
+        } else if (event instanceof Event.ClientHalfClosed e) {
             core.clients.shut(e.client(), core.now);
         } else if (event instanceof Event.ClientClosed e) {
             core.trace.clientClosed(e.client(), e.reason());
@@ -184,57 +184,57 @@
             requests.clientGone(e.client());
         } else if (event instanceof Event.WorkerConnected e) {
             attempts.workerConnected(core.pool.get(e.connection()));
-        } else if (event instanceof Event.Looked e && e.connection() == Effect.Look.NONE) {
+        } else if (event instanceof Event.SocketsPolled e && e.connection() == Effect.PollSockets.NO_CONNECTION) {
             listKnown();
-        } else if (event instanceof Event.Looked e && e.connection() == Effect.Look.ENDING) {
+        } else if (event instanceof Event.SocketsPolled e && e.connection() == Effect.PollSockets.SHUTDOWN) {
             lifecycle.looked();
-        } else if (event instanceof Event.Looked e) {
+        } else if (event instanceof Event.SocketsPolled e) {
             attempts.looked(core.pool.get(e.connection()));
-        } else if (event instanceof Event.NotSent e) {
+        } else if (event instanceof Event.RequestNotSent e) {
             attempts.notSent(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestWritten e) {
             core.books.dispatched();
             attempts.written(core.pool.get(e.connection()));
-        } else if (event instanceof Event.WorkerSaid e) {
-            attempts.workerSaid(core.pool.get(e.connection()), e.news());
-        } else if (event instanceof Event.AnswerEnded e) {
+        } else if (event instanceof Event.AttemptUpdated e) {
+            attempts.workerSaid(core.pool.get(e.connection()), e.update());
+        } else if (event instanceof Event.WorkerAnswerEnded e) {
             attempts.answerEnded(core.pool.get(e.connection()), e.reusable());
         } else if (event instanceof Event.WorkerClosed e) {
-            attempts.workerClosed(core.pool.get(e.connection()), e.why());
-        } else if (event instanceof Event.WatchNews e) {
-            Watch.Heed heed = watch.heard(e.list(), !core.workers.isEmpty(), core.now);
-            core.attendance.heard(heed == Watch.Heed.ALL, core.now);
-            if (heed == Watch.Heed.ALL) {
+            attempts.workerClosed(core.pool.get(e.connection()), e.reason());
+        } else if (event instanceof Event.WatchUpdated e) {
+            DiscoveryWatch.ListAcceptance heed = watch.heard(e.list(), !core.workers.isEmpty(), core.now);
+            core.attendance.heard(heed == DiscoveryWatch.ListAcceptance.ALL, core.now);
+            if (heed == DiscoveryWatch.ListAcceptance.ALL) {
                 list.listed(e.list().whole() ? ListNews.WHOLE : ListNews.CHANGES, e.list());
-            } else if (heed == Watch.Heed.DRAINS) {
+            } else if (heed == DiscoveryWatch.ListAcceptance.DRAINS) {
                 list.drained(e.list());
             }
             listKnown();
         } else if (event instanceof Event.WatchEnded e) {
-            watch.ended(e.why(), core.now);
-        } else if (event instanceof Event.DiscoveryMoved e) {
+            watch.ended(e.reason(), core.now);
+        } else if (event instanceof Event.DiscoveryAddressChanged e) {
             watch.move(e.address(), core.now);
-        } else if (event instanceof Event.SiblingSaid e) {
+        } else if (event instanceof Event.SiblingMessage e) {
             if (!siblings.heard(e.from(), e.message(), core.now)) {
                 core.module.heard(core.now, e.from(), e.message());
             }
-        } else if (event instanceof Event.Terminated e) {
-            lifecycle.terminated(e.relieved());
+        } else if (event instanceof Event.ShutdownRequested e) {
+            lifecycle.terminated(e.takenOver());
         } else if (event instanceof Event.ListenerClosed e) {
             lifecycle.listenerClosed(e.emptied());
-        } else if (event instanceof Event.Sampled e) {
+        } else if (event instanceof Event.ResourcesSampled e) {
             core.attendance.sampled(e.resources(), core.now);
-        } else if (event instanceof Event.Wished e) {
-            core.attendance.wished(e.wish(), core.now);
-        } else if (event instanceof Event.Retuned e) {
-            core.attendance.retuned(e.availability());
-        } else if (event instanceof Event.Recovered e && core.recollection != null) {
+        } else if (event instanceof Event.ModeRequested e) {
+            core.attendance.wished(e.mode(), core.now);
+        } else if (event instanceof Event.AvailabilitySettingsChanged e) {
+            core.attendance.retuned(e.settings());
+        } else if (event instanceof Event.StateRecovered e && core.recollection != null) {
             core.recollection.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
-        } else if (event instanceof Event.Inherited e) {
+        } else if (event instanceof Event.StateInherited e) {
             core.module.restore(core.now, e.learned());
             core.effects.add(new Effect.Log(LogEvent.INHERITED, e.learned().workers().size(), e.learned().buckets().size()));
-        } else if (event instanceof Event.Probed e && core.health != null) {
-            list.judged(core.health.probed(e.worker(), e.well(), e.reason(), core.now));
+        } else if (event instanceof Event.ProbeEnded e && core.health != null) {
+            list.judged(core.health.probed(e.worker(), e.healthy(), e.reason(), core.now));
         }
     }
 
@@ -243,7 +243,7 @@
         core.module.start(core.now);
         core.attendance.opened(core.now);
         list.listed(ListNews.SAVED, known);
-        watch = new Watch(discovery, known.version(), seed, core.timers, core.effects);
+        watch = new DiscoveryWatch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
             // a start after a planned end or a crash: clients wait for it, and the last list is as good as it was
@@ -251,7 +251,7 @@
         }
         // a busy loop, as after a start, may have it in its sockets by then
         core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_WORD_US : START_US),
-                t -> core.effects.add(new Effect.Look(Effect.Look.NONE)));
+                t -> core.effects.add(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)));
         sweep(core.now);
         core.books.opened(core.now);
         if (core.recollection != null) {
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -15,14 +15,14 @@
     /** The client's clock runs since it sent the request; so much of its time is kept for the way back. */
     static final long ANSWER_US = 20_000;
 
-    private final Parts core;
+    private final CoreContext core;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
     private final Map<Long, RequestContext> owed = new LinkedHashMap<>();
     /** The names that clients gave to the requests in {@link #contexts}. */
     private final Set<String> names = new HashSet<>();
     private long lastId;
 
-    Requests(Parts parts) {
+    Requests(CoreContext parts) {
         core = parts;
     }
 
@@ -42,11 +42,11 @@
     /** One that came at a time, which its own time is counted from. */
     void arrived(long client, Submission s, long at) {
         if (!core.guard.mayTake()) {
-            reply(client, s, FinalAnswer.Rejected.because(Refusal.ENDING));
+            reply(client, s, FinalAnswer.Rejected.withDefaultRetry(Refusal.ENDING));
             return;
         }
         if (owed.size() >= core.bounds.requests()) {
-            reply(client, s, FinalAnswer.Rejected.because(Refusal.LIMIT));
+            reply(client, s, FinalAnswer.Rejected.withDefaultRetry(Refusal.LIMIT));
             return;
         }
         long blocked = core.recollection == null ? 0 : core.recollection.blocked(s, core.now);
@@ -114,7 +114,7 @@
                 core.module.ended(core.now, c.id, t.number, true, t.outcome, null);
             }
         }
-        answer(c, c.neverRan() ? FinalAnswer.Rejected.because(Refusal.TIME) : new FinalAnswer.Failed(core.now >= c.moduleDeadline));
+        answer(c, c.neverRan() ? FinalAnswer.Rejected.withDefaultRetry(Refusal.TIME) : new FinalAnswer.Failed(core.now >= c.moduleDeadline));
         core.module.expired(core.now, c.id);
         forget(c);
     }
--- a/src/main/java/granitefold/core/Resources.java
+++ b/src/main/java/granitefold/core/ResourceUsage.java
@@ -8,6 +8,6 @@
  * @param cpuShare processor time used of that allowed
  * @param lagUs the most that the loop came late to a wake-up since the last sample, in microseconds
  */
-public record Resources(double heapShare, double descriptorShare, double cpuShare, long lagUs) {
-    static final Resources UNKNOWN = new Resources(0, 0, 0, 0);
+public record ResourceUsage(double heapShare, double descriptorShare, double cpuShare, long lagUs) {
+    static final ResourceUsage UNKNOWN = new ResourceUsage(0, 0, 0, 0);
 }
--- a/src/main/java/granitefold/core/Ending.java
+++ b/src/main/java/granitefold/core/ShutdownSchedule.java
@@ -7,7 +7,7 @@
  * The times of a planned end, counted from the word to end. The platform kills a process no sooner than the longest deadline,
  * which counts as 3 s where it is longer, plus 0.7 s after that word: with short deadlines there is less time than with long ones.
  */
-record Ending(long killedUs) {
+record ShutdownSchedule(long killedUs) {
     private static final long DEADLINE_MOST_US = 3_000_000, GRACE_US = 700_000;
     /** After the word new connections still come for up to 0.4 s; then clients can go over to a sibling. */
     private static final long HAND_OVER_US = 600_000;
@@ -20,9 +20,9 @@
     /** Clients read their answers until so long before the kill. */
     private static final long READ_US = 100_000;
 
-    static Ending of(List<JobClass> classes) {
+    static ShutdownSchedule of(List<JobClass> classes) {
         long longest = classes.stream().mapToLong(JobClass::deadlineUs).max().orElse(0);
-        return new Ending(GRACE_US + (longest > 0 ? Math.min(DEADLINE_MOST_US, longest) : DEADLINE_MOST_US));
+        return new ShutdownSchedule(GRACE_US + (longest > 0 ? Math.min(DEADLINE_MOST_US, longest) : DEADLINE_MOST_US));
     }
 
     /** For so long clients are served where siblings are there to take them over. */
--- a/src/main/java/granitefold/core/Siblings.java
+++ b/src/main/java/granitefold/core/SiblingTracker.java
@@ -11,7 +11,7 @@
  * counts no more until it may have been started anew: it goes on sending words for its last jobs, and who took it for company
  * sent clients to a closed door when its own end came next.
  */
-final class Siblings {
+final class SiblingTracker {
     /** A sibling that was heard so lately is up. */
     static final long COMPANY_US = 1_000_000;
     private static final long AGAIN_US = 100_000;
@@ -29,8 +29,8 @@
     private final Map<Integer, Long> heardAt = new HashMap<>();
     private final Map<Integer, Long> leftAt = new HashMap<>();
 
-    Siblings(Settings settings, Timers timers, List<Effect> effects) {
-        leavesUs = Ending.of(settings.classes()).killedUs();
+    SiblingTracker(Settings settings, Timers timers, List<Effect> effects) {
+        leavesUs = ShutdownSchedule.of(settings.classes()).killedUs();
         on = settings.limits().siblings();
         me = settings.me();
         count = settings.siblings();
@@ -62,7 +62,7 @@
             timers.at(now + i * AGAIN_US, t -> {
                 for (int s = 0; s < count; s++) {
                     if (s != me) {
-                        effects.add(new Effect.Tell(s, LEAVING));
+                        effects.add(new Effect.SendToSibling(s, LEAVING));
                     }
                 }
             });
--- a/src/main/java/granitefold/core/Recollection.java
+++ b/src/main/java/granitefold/core/StatePersistence.java
@@ -21,11 +21,11 @@
  * is the keys of requests that may have run: a job whose key a former life had sent may be running or done, and nobody
  * here would know.
  */
-final class Recollection {
+final class StatePersistence {
     /** Keys held at the most, about a hundred bytes each; past it the oldest go, which the workers' own window covers. */
     private static final int KEYS_MOST = 16_384;
 
-    private final Extras.Memory set;
+    private final OptionalFeatures.Persistence set;
     private final List<JobClass> classes;
     private final Dispatcher module;
     private final Timers timers;
@@ -34,7 +34,7 @@
     private final LinkedHashMap<Long, Long> sent = new LinkedHashMap<>();
     private final Map<Long, Long> former = new HashMap<>();
 
-    Recollection(Extras.Memory set, List<JobClass> classes, Dispatcher module, Timers timers, List<Effect> effects) {
+    StatePersistence(OptionalFeatures.Persistence set, List<JobClass> classes, Dispatcher module, Timers timers, List<Effect> effects) {
         this.set = set;
         this.classes = classes;
         this.module = module;
@@ -43,13 +43,13 @@
     }
 
     void begin(long now) {
-        timers.at(now + set.everyUs(), this::keep);
+        timers.at(now + set.intervalUs(), this::keep);
     }
 
     /** Gives out what is known now, and again at the interval. */
     private void keep(long now) {
         give(now);
-        timers.at(now + set.everyUs(), this::keep);
+        timers.at(now + set.intervalUs(), this::keep);
     }
 
     void give(long now) {
@@ -59,7 +59,7 @@
         former.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
         sent.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
         Learned l = module.learned(now);
-        effects.add(new Effect.Keep(new Learned(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(), l.kinds(), l.workers(),
+        effects.add(new Effect.SaveState(new Learned(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(), l.kinds(), l.workers(),
                 l.buckets(), keys)));
     }
 
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -55,7 +55,7 @@
             boolean left = !ready.contains(e.getKey());
             if (left) {
                 timers.cancel(e.getValue());
-                effects.add(new Effect.EndProbe(e.getKey()));
+                effects.add(new Effect.CancelProbe(e.getKey()));
             }
             return left;
         });
@@ -106,9 +106,9 @@
     private void tick(long now) {
         judge.accept(after(board.elapsed(now), now));
         for (long id : board.due(now)) {
-            effects.add(new Effect.Probe(id, workers.get(id).address));
+            effects.add(new Effect.StartProbe(id, workers.get(id).address));
             limits.put(id, timers.at(now + set.timeoutUs(), t -> {
-                effects.add(new Effect.EndProbe(id));
+                effects.add(new Effect.CancelProbe(id));
                 judge.accept(probed(id, false, "no answer in time", t));
             }));
         }
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -12,9 +12,9 @@
 
 /** The workers as discovery lists them, and as probes and attempts judge them. */
 final class WorkerRegistry {
-    private final Parts core;
+    private final CoreContext core;
 
-    WorkerRegistry(Parts parts) {
+    WorkerRegistry(CoreContext parts) {
         core = parts;
     }
 
--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -161,7 +161,7 @@
             gone(CloseReason.CLIENT);
         } else if (n == 0) {
             if (state == State.READING && heard && !reader.isStart()) {
-                loop.post(begun ? new Event.RequestGoesOn(id) : new Event.RequestBegun(id));
+                loop.post(begun ? new Event.RequestContinued(id) : new Event.RequestStarted(id));
                 begun = true;
             }
             heard = false;
@@ -257,7 +257,7 @@
                 EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
             }
             // what follows may not be what it looks like either: the connection ends
-            answerHere(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.because(Refusal.LIMIT), true)
+            answerHere(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.withDefaultRetry(Refusal.LIMIT), true)
                     : HttpMessages.plain(e.status(), e.getMessage(), true), true);
         }
     }
@@ -306,7 +306,7 @@
     }
 
     private void answerHere(ByteBuffer[] message, boolean last) {
-        loop.post(new Event.AnsweredHere(id));
+        loop.post(new Event.AnsweredLocally(id));
         answer(message, last);
     }
 
@@ -381,7 +381,7 @@
             }
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
-            loop.post(new Event.ClientShut(id));
+            loop.post(new Event.ClientHalfClosed(id));
             advance();
         } else if (state == State.READING && begun) {
             reject();
--- a/src/main/java/granitefold/net/Insight.java
+++ b/src/main/java/granitefold/net/Insight.java
@@ -1,7 +1,7 @@
 package granitefold.net;
 
-import granitefold.core.Report;
-import granitefold.core.Resources;
+import granitefold.core.StatusReport;
+import granitefold.core.ResourceUsage;
 import granitefold.operator.Operator;
 import granitefold.wire.LoadMetrics;
 import java.lang.management.ManagementFactory;
@@ -24,7 +24,7 @@
     private static final HttpField LEAVE = new HttpField("x-envoy-immediate-health-check-fail", "true");
 
     /** What others see: the report and the moment at which it was published ({@link System#nanoTime}). */
-    public record Published(Report report, long nanos) {
+    public record Published(StatusReport report, long nanos) {
         /** How long ago, in microseconds. */
         public long ageUs() {
             return (System.nanoTime() - nanos) / 1000;
@@ -61,7 +61,7 @@
         lagUs = Math.max(lagUs, clock.micros() - wakeAt - 1000);
     }
 
-    Resources sample(double descriptorShare) {
+    ResourceUsage sample(double descriptorShare) {
         long used = 0;
         for (MemoryPoolMXBean pool : heap) {
             MemoryUsage after = pool.getCollectionUsage();
@@ -72,12 +72,12 @@
         double share = (cpu - cpuNs) / (cores * Math.max(TimeUnit.MILLISECONDS.toNanos(1), nanos - measuredAt));
         cpuNs = cpu;
         measuredAt = nanos;
-        Resources r = new Resources((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, lagUs);
+        ResourceUsage r = new ResourceUsage((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, lagUs);
         lagUs = 0;
         return r;
     }
 
-    void publish(Report report) {
+    void publish(StatusReport report) {
         published = new Published(report, System.nanoTime());
         if (clients.orca()) {
             metrics = LoadMetrics.text(report);
--- a/src/main/java/granitefold/net/Links.java
+++ b/src/main/java/granitefold/net/Links.java
@@ -39,7 +39,7 @@
     }
 
     void perform(Effect effect) {
-        if (effect instanceof Effect.Connect e) {
+        if (effect instanceof Effect.ConnectWorker e) {
             WorkerLink link = new WorkerLink(loop, this, e.connection(), e.address());
             workers.put(e.connection(), link);
             link.connect(sockets);
@@ -49,8 +49,8 @@
                 // else it has just closed by itself, which the reducer hears next
                 link.send(e.payload(), e.expiresAt());
             }
-        } else if (effect instanceof Effect.Look e) {
-            sockets.afterLook(() -> loop.post(new Event.Looked(e.connection())));
+        } else if (effect instanceof Effect.PollSockets e) {
+            sockets.afterLook(() -> loop.post(new Event.SocketsPolled(e.connection())));
         } else if (effect instanceof Effect.CloseWorker e) {
             WorkerLink link = workers.remove(e.connection());
             if (link != null) {
@@ -65,20 +65,20 @@
             if (last != null) {
                 last.close();
             }
-        } else if (effect instanceof Effect.Tell e) {
+        } else if (effect instanceof Effect.SendToSibling e) {
             if (siblings != null) {
                 siblings.tell(e.sibling(), e.message());
             }
-        } else if (effect instanceof Effect.LeaveSiblings) {
+        } else if (effect instanceof Effect.CloseSiblingSocket) {
             if (siblings != null) {
                 siblings.close();
                 siblings = null;
             }
-        } else if (effect instanceof Effect.Probe e) {
+        } else if (effect instanceof Effect.StartProbe e) {
             ProbeLink probe = new ProbeLink(this, e.worker(), e.address(), operator.probe().path());
             probes.put(e.worker(), probe);
             probe.connect(sockets);
-        } else if (effect instanceof Effect.EndProbe e) {
+        } else if (effect instanceof Effect.CancelProbe e) {
             ProbeLink probe = probes.remove(e.worker());
             if (probe != null) {
                 probe.close();
@@ -90,7 +90,7 @@
     void probed(ProbeLink probe, boolean well, String reason) {
         if (probes.remove(probe.worker(), probe)) {
             probe.close();
-            loop.post(new Event.Probed(probe.worker(), well, reason));
+            loop.post(new Event.ProbeEnded(probe.worker(), well, reason));
         }
     }
 
--- a/src/main/java/granitefold/net/Loop.java
+++ b/src/main/java/granitefold/net/Loop.java
@@ -125,9 +125,9 @@
         sockets.start();
         sockets.submit(() -> {
             links.openSiblings(siblings);
-            post(new Event.Opened(config.known(), Address.text(config.discovery())));
+            post(new Event.SocketsOpened(config.known(), Address.text(config.discovery())));
             if (former != null) {
-                post(new Event.Inherited(former));
+                post(new Event.StateInherited(former));
             }
             sockets.listen(listener, openedNs);
         });
@@ -147,7 +147,7 @@
         try {
             String discovery = Address.text(Config.read(file).discovery());
             EventLog.log(LogEvent.CONFIGURATION_READ, discovery);
-            sockets.submit(() -> post(new Event.DiscoveryMoved(discovery)));
+            sockets.submit(() -> post(new Event.DiscoveryAddressChanged(discovery)));
         } catch (RuntimeException e) {
             EventLog.log(LogEvent.CONFIGURATION_KEPT, e.getMessage());
         }
@@ -159,14 +159,14 @@
      */
     public long terminate() throws InterruptedException {
         long from = System.nanoTime();
-        started.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
+        started.await(reducer.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
         boolean relieved = company != null && company.others();
         if (relieved) {
             EventLog.log(LogEvent.RELIEVED, Address.text(config.listen()));
         }
-        sockets.submit(() -> post(new Event.Terminated(relieved)));
-        stopped.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
-        return Math.max(0, reducer.exitUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - from));
+        sockets.submit(() -> post(new Event.ShutdownRequested(relieved)));
+        stopped.await(reducer.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
+        return Math.max(0, reducer.shutdownTimeoutUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - from));
     }
 
     public String name() {
@@ -180,7 +180,7 @@
 
     /** What a former life left; from any thread. */
     public void recovered(Learned learned) {
-        sockets.submit(() -> post(new Event.Recovered(learned)));
+        sockets.submit(() -> post(new Event.StateRecovered(learned)));
     }
 
     /** What the process has done and how it stands; null before the first. From any thread. */
@@ -207,14 +207,14 @@
     /** An operator's word; from any thread. {@code then} runs on the loop's, once it has been taken in. */
     public void wish(Wish wish, Runnable then) {
         sockets.submit(() -> {
-            post(new Event.Wished(wish));
+            post(new Event.ModeRequested(wish));
             then.run();
         });
     }
 
     /** Other figures of availability; from any thread. */
     public void retune(AvailabilitySettings availability) {
-        sockets.submit(() -> post(new Event.Retuned(availability)));
+        sockets.submit(() -> post(new Event.AvailabilitySettingsChanged(availability)));
     }
 
     /** The phase's name; from any thread, as it was at some moment lately. */
@@ -265,7 +265,7 @@
         } catch (RuntimeException e) {
             // one broken event must not end the program: what was decided before it broke is done, and its timers go on
             EventLog.error(LogEvent.INTERNAL_ERROR, e, event.getClass().getSimpleName());
-            List.copyOf(reducer.effects()).forEach(this::attempt);
+            List.copyOf(reducer.pendingEffects()).forEach(this::attempt);
             wakeAt = clock.micros() + AFTER_ERROR_US;
         }
     }
@@ -319,9 +319,9 @@
             wakeAt = e.at();
         } else if (effect instanceof Effect.StopListening) {
             listener.close(emptied -> post(new Event.ListenerClosed(emptied)));
-        } else if (effect instanceof Effect.ShutIdle || effect instanceof Effect.ShutAll) {
+        } else if (effect instanceof Effect.HalfCloseIdleClients || effect instanceof Effect.HalfCloseAllClients) {
             for (ClientConnection client : clients.values().toArray(ClientConnection[]::new)) {
-                client.shutUnlessOwed(effect instanceof Effect.ShutAll);
+                client.shutUnlessOwed(effect instanceof Effect.HalfCloseAllClients);
             }
         } else if (effect instanceof Effect.SendRequest e) {
             ClientConnection client = clients.get(e.client());
@@ -332,18 +332,18 @@
                 links.perform(e);
             } else {
                 // its end is among the events by now
-                post(new Event.NotSent(e.connection()));
+                post(new Event.RequestNotSent(e.connection()));
             }
         } else if (effect instanceof Effect.Stop) {
             stopping = true;
             answered();
-        } else if (effect instanceof Effect.Sample) {
-            post(new Event.Sampled(insight.sample((double) (clients.size() + links.size() + RESERVED) / config.sockets())));
-        } else if (effect instanceof Effect.Keep e) {
+        } else if (effect instanceof Effect.SampleResources) {
+            post(new Event.ResourcesSampled(insight.sample((double) (clients.size() + links.size() + RESERVED) / config.sockets())));
+        } else if (effect instanceof Effect.SaveState e) {
             keeper.accept(e.learned());
-        } else if (effect instanceof Effect.Publish e) {
+        } else if (effect instanceof Effect.PublishReport e) {
             insight.publish(e.report());
-        } else if (effect instanceof Effect.Count e) {
+        } else if (effect instanceof Effect.PublishFigures e) {
             figures = e.figures();
             if (company != null && figures.serves()) {
                 company.enter();
@@ -372,7 +372,7 @@
             public Connection opened(EndPoint endPoint) {
                 ClientConnection client = new ClientConnection(endPoint, Loop.this, id, waitsSinceNs);
                 clients.put(id, client);
-                post(new Event.ClientOpened(id));
+                post(new Event.ClientConnected(id));
                 return client;
             }
 
--- a/src/main/java/granitefold/net/SiblingConnection.java
+++ b/src/main/java/granitefold/net/SiblingConnection.java
@@ -48,7 +48,7 @@
                 if (sibling >= 0 && in.remaining() <= MOST && in.remaining() >= KEY) {
                     byte[] all = BufferUtil.toArray(in);
                     if (Arrays.equals(all, all.length - KEY, all.length, key, 0, KEY)) {
-                        loop.post(new Event.SiblingSaid(sibling, Arrays.copyOf(all, all.length - KEY)));
+                        loop.post(new Event.SiblingMessage(sibling, Arrays.copyOf(all, all.length - KEY)));
                     } else if (!foreign) {
                         foreign = true;
                         EventLog.log(LogEvent.SIBLINGS_FOREIGN, from);
--- a/src/main/java/granitefold/net/Warmup.java
+++ b/src/main/java/granitefold/net/Warmup.java
@@ -5,7 +5,7 @@
 import granitefold.core.WorkerList;
 import granitefold.core.Reducer;
 import granitefold.core.Submission;
-import granitefold.core.AttemptNews;
+import granitefold.core.AttemptUpdate;
 import granitefold.wire.BadRequest;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.Config;
@@ -63,15 +63,15 @@
             // the reducer's clock is made up: none of them has just started
             workers.add(new WorkerList.Entry(e.name(), e.address(), e.state(), e.weight(), 0, e.zone(), e.cell(), e.kind()));
         }
-        play(new Event.Opened(new WorkerList(1, true, workers), "127.0.0.1:1"));
-        play(new Event.WatchNews(null));
+        play(new Event.SocketsOpened(new WorkerList(1, true, workers), "127.0.0.1:1"));
+        play(new Event.WatchUpdated(null));
         long began = System.nanoTime();
         long until = began + MOST_NS;
         for (int i = 0; i < REQUESTS && System.nanoTime() - until < 0; i++) {
             now += STEP_US;
             Submission s = submission(i);
             if (s != null) {
-                play(new Event.ClientOpened(i));
+                play(new Event.ClientConnected(i));
                 play(new Event.RequestArrived(i, s));
             }
             if (i % OPEN == OPEN - 1) {
@@ -111,7 +111,7 @@
 
     /** Plays the workers and the clients, all of them well and at once. */
     private void perform(Effect effect) {
-        if (effect instanceof Effect.Connect e) {
+        if (effect instanceof Effect.ConnectWorker e) {
             events.add(new Event.WorkerConnected(e.connection()));
         } else if (effect instanceof Effect.SendRequest e) {
             ClientRequest request = (ClientRequest) e.payload();
@@ -120,10 +120,10 @@
             for (String state : new String[] {"started", "done\",\"result\":\"made"}) {
                 byte[] line = ("{\"id\":\"" + request.txn() + "\",\"from\":\"w\",\"state\":\"" + state + "\"}")
                         .getBytes(StandardCharsets.UTF_8);
-                AttemptNews news = WorkerLine.decode(line, 0, line.length, request.txn());
-                events.add(new Event.WorkerSaid(e.connection(), news));
+                AttemptUpdate news = WorkerLine.decode(line, 0, line.length, request.txn());
+                events.add(new Event.AttemptUpdated(e.connection(), news));
             }
-            events.add(new Event.AnswerEnded(e.connection(), true));
+            events.add(new Event.WorkerAnswerEnded(e.connection(), true));
         } else if (effect instanceof Effect.Answer e) {
             answered++;
             HttpMessages.answer(e.answer(), false);
--- a/src/main/java/granitefold/net/WatchLink.java
+++ b/src/main/java/granitefold/net/WatchLink.java
@@ -46,7 +46,7 @@
         try {
             Frames.Found found = frames.add(buf, from, length);
             if (found != Frames.Found.PART) {
-                loop.post(new Event.WatchNews(found == Frames.Found.BLANK ? null
+                loop.post(new Event.WatchUpdated(found == Frames.Found.BLANK ? null
                         : Listing.decode(frames.buffer(), frames.offset(), frames.length(), loop.words())));
             }
         } catch (BadWire e) {
--- a/src/main/java/granitefold/net/WorkerLink.java
+++ b/src/main/java/granitefold/net/WorkerLink.java
@@ -2,7 +2,7 @@
 
 import granitefold.core.Event;
 import granitefold.core.Payload;
-import granitefold.core.AttemptNews;
+import granitefold.core.AttemptUpdate;
 import granitefold.wire.Address;
 import granitefold.wire.BadWire;
 import granitefold.wire.ClientRequest;
@@ -52,7 +52,7 @@
     @Override
     void status(int status, String turnedAway) {
         if (status != 200) {
-            loop.post(new Event.WorkerSaid(id, WorkerLine.refusal(status, turnedAway)));
+            loop.post(new Event.AttemptUpdated(id, WorkerLine.refusal(status, turnedAway)));
         }
     }
 
@@ -62,9 +62,9 @@
             return;
         }
         try {
-            AttemptNews news = WorkerLine.decode(buf, from, length, txn);
+            AttemptUpdate news = WorkerLine.decode(buf, from, length, txn);
             if (news != null) {
-                loop.post(new Event.WorkerSaid(id, news));
+                loop.post(new Event.AttemptUpdated(id, news));
             }
         } catch (BadWire e) {
             end(e.getMessage());
@@ -73,7 +73,7 @@
 
     @Override
     void answered(boolean reusable) {
-        loop.post(new Event.AnswerEnded(id, reusable));
+        loop.post(new Event.WorkerAnswerEnded(id, reusable));
     }
 
     @Override
--- a/src/main/java/granitefold/net/checks/Checks.java
+++ b/src/main/java/granitefold/net/checks/Checks.java
@@ -4,7 +4,7 @@
 import granitefold.availability.Verdict;
 import granitefold.availability.Wish;
 import granitefold.core.Phase;
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
 import granitefold.net.Insight;
@@ -254,7 +254,7 @@
      * HAProxy's {@code http-check disable-on-404} has it, else 503. The Envoy fields are harmless to all others.
      */
     private HttpCheckConnection.Answer readiness(Insight.Published p, boolean verbose) {
-        Report r = p == null ? null : p.report();
+        StatusReport r = p == null ? null : p.report();
         Standing s = r == null ? Standing.STARTING : r.verdict().standing();
         boolean leaves = s == Standing.DRAINING || s == Standing.MAINT;
         int status = silent(p) ? 503 : s.serves() ? 200 : leaves ? operator.http().drainStatus() : 503;
@@ -268,9 +268,9 @@
         if (verbose && r != null) {
             text = line("loop", !silent(p), "silent for " + p.ageUs() / 1000 + " ms")
                     + line("phase", r.phase() == Phase.SERVING, r.phase().name())
-                    + line("operator", r.wish() == Wish.READY, r.wish().name())
+                    + line("operator", r.requestedMode() == Wish.READY, r.requestedMode().name())
                     + line("discovery", r.confirmed(), "the list is a saved one")
-                    + line("peers", r.ready() > 0, "none is ready")
+                    + line("peers", r.readyWorkers() > 0, "none is ready")
                     + line("load", s != Standing.OVERLOADED, r.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
--- a/src/main/java/granitefold/operator/Operator.java
+++ b/src/main/java/granitefold/operator/Operator.java
@@ -1,7 +1,7 @@
 package granitefold.operator;
 
 import granitefold.availability.AvailabilitySettings;
-import granitefold.core.Extras;
+import granitefold.core.OptionalFeatures;
 import granitefold.health.HealthSettings;
 import granitefold.recovery.AgeingSettings;
 import java.net.InetAddress;
@@ -71,14 +71,14 @@
     }
 
     /** What the core takes of it; {@code probing}: whether the platform allows probes. */
-    public Extras extras(boolean probing) {
+    public OptionalFeatures extras(boolean probing) {
         HealthSettings h = health;
         if (h != null && h.probes() && !probing) {
             h = h.failures() == 0 ? null : new HealthSettings(false, h.intervalUs(), h.jitter(), h.timeoutUs(), h.rise(),
                     h.fall(), h.atOnce(), h.panic(), h.slowStart(), h.failures(), h.ejectUs(), h.ejectMostUs(),
                     h.ejectShare());
         }
-        return new Extras(tells() ? availability : null, h,
-                state == null ? null : new Extras.Memory(state.everyUs(), AgeingSettings.DEFAULTS), false, log.requests());
+        return new OptionalFeatures(tells() ? availability : null, h,
+                state == null ? null : new OptionalFeatures.Persistence(state.everyUs(), AgeingSettings.DEFAULTS), false, log.requests());
     }
 }
--- a/src/main/java/granitefold/wire/LoadMetrics.java
+++ b/src/main/java/granitefold/wire/LoadMetrics.java
@@ -1,6 +1,6 @@
 package granitefold.wire;
 
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import java.util.Locale;
 
 /**
@@ -11,10 +11,10 @@
     private LoadMetrics() { }
 
     /** Utilizations are shares (cpu's may pass 1), {@code rps_fractional} and {@code eps} are per second. */
-    public static String text(Report r) {
+    public static String text(StatusReport r) {
         return String.format(Locale.ROOT, "TEXT cpu_utilization=%.3f, mem_utilization=%.3f, application_utilization=%.3f,"
                 + " rps_fractional=%.1f, eps=%.1f, named_metrics.weight=%d, named_metrics.owed=%d",
-                Math.max(0, r.resources().cpuShare()), r.resources().heapShare(), r.waits(), r.perS(),
-                r.perS() * r.rejectShare(), r.verdict().weight(), r.owed());
+                Math.max(0, r.resources().cpuShare()), r.resources().heapShare(), r.waitRatio(), r.answersPerSecond(),
+                r.answersPerSecond() * r.rejectShare(), r.verdict().weight(), r.owed());
     }
 }
--- a/src/main/java/granitefold/wire/ReportJson.java
+++ b/src/main/java/granitefold/wire/ReportJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -17,7 +17,7 @@
     private ReportJson() { }
 
     /** {@code ageUs}: how long ago it was published; {@code silent}: the loop has published nothing for too long. */
-    public static byte[] encode(String name, Report r, long ageUs, boolean silent) {
+    public static byte[] encode(String name, StatusReport r, long ageUs, boolean silent) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
         try (JsonGenerator g = JSON.createGenerator(out)) {
             g.writeStartObject();
@@ -30,24 +30,24 @@
                 g.writeStringField("reason", silent ? "the loop is silent" : r.verdict().reason());
                 g.writeBooleanField("impaired", r.verdict().impaired());
                 g.writeStringField("phase", r.phase().name());
-                g.writeStringField("wish", r.wish().name());
+                g.writeStringField("wish", r.requestedMode().name());
                 g.writeNumberField("owed", r.owed());
                 g.writeNumberField("clients", r.clients());
                 g.writeObjectFieldStart("peers");
-                g.writeNumberField("ready", r.ready());
-                g.writeNumberField("down", r.down());
+                g.writeNumberField("ready", r.readyWorkers());
+                g.writeNumberField("down", r.downWorkers());
                 g.writeBooleanField("panic", r.panic());
                 g.writeEndObject();
                 g.writeObjectFieldStart("list");
                 g.writeNumberField("version", r.listVersion());
                 g.writeBooleanField("confirmed", r.confirmed());
                 g.writeNumberField("age_ms", r.listAgeUs() / MS);
-                g.writeNumberField("silent_ms", r.silentUs() / MS);
+                g.writeNumberField("silent_ms", r.watchSilentUs() / MS);
                 g.writeEndObject();
                 g.writeObjectFieldStart("load");
-                g.writeNumberField("wait", r.waits());
+                g.writeNumberField("wait", r.waitRatio());
                 g.writeNumberField("reject_share", r.rejectShare());
-                g.writeNumberField("per_s", r.perS());
+                g.writeNumberField("per_s", r.answersPerSecond());
                 g.writeNumberField("heap", r.resources().heapShare());
                 g.writeNumberField("descriptors", r.resources().descriptorShare());
                 g.writeNumberField("cpu", r.resources().cpuShare());
@@ -58,7 +58,7 @@
                 g.writeNumberField("rejected", r.rejected());
                 g.writeNumberField("failed", r.failed());
                 g.writeEndObject();
-                g.writeNumberField("up_ms", r.sinceStartUs() / MS);
+                g.writeNumberField("up_ms", r.uptimeUs() / MS);
                 g.writeNumberField("age_ms", ageUs / MS);
             }
             g.writeEndObject();
--- a/src/main/java/granitefold/wire/WorkerLine.java
+++ b/src/main/java/granitefold/wire/WorkerLine.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import granitefold.core.AttemptNews;
+import granitefold.core.AttemptUpdate;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
@@ -14,7 +14,7 @@
     private WorkerLine() { }
 
     /** Decodes a whole line about the request with this id; null for one that tells nothing of use. */
-    public static AttemptNews decode(byte[] buf, int from, int length, String txn) {
+    public static AttemptUpdate decode(byte[] buf, int from, int length, String txn) {
         String id = null;
         String state = "";
         String result = null;
@@ -42,24 +42,24 @@
             throw new BadWire("a worker's line is about another request");
         }
         return switch (state) {
-            case "started" -> new AttemptNews.Started();
-            case "running" -> new AttemptNews.Progressed(share);
+            case "started" -> new AttemptUpdate.Started();
+            case "running" -> new AttemptUpdate.Progressed(share);
             case "done" -> {
                 if (result == null) {
                     throw new BadWire("a worker's last line has no result");
                 }
-                yield new AttemptNews.Served(result.getBytes(StandardCharsets.UTF_8));
+                yield new AttemptUpdate.Served(result.getBytes(StandardCharsets.UTF_8));
             }
-            case "failed" -> new AttemptNews.Failed();
-            case "returned" -> new AttemptNews.Returned();
-            case "lost" -> new AttemptNews.Lost();
+            case "failed" -> new AttemptUpdate.Failed();
+            case "returned" -> new AttemptUpdate.Returned();
+            case "lost" -> new AttemptUpdate.Lost();
             default -> null;
         };
     }
 
     /** What a status other than 200 says of the attempt. */
-    public static AttemptNews refusal(int status, String turnedAway) {
-        return (status == 503 || status == 504) && "1".equals(turnedAway) ? new AttemptNews.Returned()
-                : new AttemptNews.Failed();
+    public static AttemptUpdate refusal(int status, String turnedAway) {
+        return (status == 503 || status == 504) && "1".equals(turnedAway) ? new AttemptUpdate.Returned()
+                : new AttemptUpdate.Failed();
     }
 }
--- a/src/test/java/granitefold/bench/ChecksBench.java
+++ b/src/test/java/granitefold/bench/ChecksBench.java
@@ -8,12 +8,12 @@
 import granitefold.availability.Verdict;
 import granitefold.availability.Wish;
 import granitefold.core.Event;
-import granitefold.core.Extras;
+import granitefold.core.OptionalFeatures;
 import granitefold.core.FinalAnswer;
 import granitefold.core.WorkerList;
 import granitefold.core.Reducer;
-import granitefold.core.Resources;
-import granitefold.core.AttemptNews;
+import granitefold.core.ResourceUsage;
+import granitefold.core.AttemptUpdate;
 import granitefold.wire.AgentLine;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.HttpMessages;
@@ -70,7 +70,7 @@
         words = new Vocabulary(Map.of("ficha", 0), Map.of("acme", 0), Map.of(), Map.of(), set, "");
         Reducer.Bounds bounds = new Reducer.Bounds(488, 400, 488, 120_000, 60_000_000);
         plain = opened(new Reducer(set, bounds, 1));
-        watched = opened(new Reducer(set, bounds, 1, new Extras(AvailabilitySettings.DEFAULTS, null, null, false, false)));
+        watched = opened(new Reducer(set, bounds, 1, new OptionalFeatures(AvailabilitySettings.DEFAULTS, null, null, false, false)));
     }
 
     private Reducer opened(Reducer r) {
@@ -78,8 +78,8 @@
         for (int i = 0; i < WORKERS; i++) {
             entries.add(new WorkerList.Entry("s-" + i, "127.0.0.1:" + (1000 + i), Dispatcher.State.READY, 1, 0, 0, 0, 0));
         }
-        r.reduce(new Event.Opened(new WorkerList(1, true, entries), "127.0.0.1:1"), now);
-        r.reduce(new Event.WatchNews(null), now);
+        r.reduce(new Event.SocketsOpened(new WorkerList(1, true, entries), "127.0.0.1:1"), now);
+        r.reduce(new Event.WatchUpdated(null), now);
         return r;
     }
 
@@ -94,7 +94,7 @@
     @Benchmark
     public Object sample() {
         now += 100_000;
-        return watched.reduce(new Event.Sampled(new Resources(0.4, 0.2, 0.3, 500)), now);
+        return watched.reduce(new Event.ResourcesSampled(new ResourceUsage(0.4, 0.2, 0.3, 500)), now);
     }
 
     @Benchmark
@@ -122,10 +122,10 @@
     private Object serve(Reducer r) throws Exception {
         now += 1000;
         long c = ++client;
-        r.reduce(new Event.ClientOpened(c), now);
+        r.reduce(new Event.ClientConnected(c), now);
         long connection = -1;
         for (var e : r.reduce(new Event.RequestArrived(c, ClientRequest.decode("POST", "/ficha", HEAD, new byte[64], words)), now)) {
-            if (e instanceof granitefold.core.Effect.Connect k) {
+            if (e instanceof granitefold.core.Effect.ConnectWorker k) {
                 connection = k.connection();
             } else if (e instanceof granitefold.core.Effect.SendRequest s) {
                 connection = s.connection();
@@ -133,9 +133,9 @@
         }
         r.reduce(new Event.WorkerConnected(connection), now);
         r.reduce(new Event.RequestWritten(connection), now);
-        r.reduce(new Event.WorkerSaid(connection, new AttemptNews.Started()), now + 100);
-        r.reduce(new Event.WorkerSaid(connection, new AttemptNews.Served(new byte[64])), now + 100_000);
-        r.reduce(new Event.AnswerEnded(connection, true), now + 100_000);
+        r.reduce(new Event.AttemptUpdated(connection, new AttemptUpdate.Started()), now + 100);
+        r.reduce(new Event.AttemptUpdated(connection, new AttemptUpdate.Served(new byte[64])), now + 100_000);
+        r.reduce(new Event.WorkerAnswerEnded(connection, true), now + 100_000);
         r.reduce(new Event.AnswerWritten(c, false), now + 100_000);
         r.reduce(new Event.ClientClosed(c), now + 100_000);
         now += 100_000;
--- a/src/test/java/granitefold/core/WatchTest.java
+++ b/src/test/java/granitefold/core/DiscoveryWatchTest.java
@@ -18,7 +18,7 @@
  * The watch on virtual time, against an agent that does its worst. From whatever state, once the agent can be reached again and
  * goes on so, what it has is heard within the 6 s after which it counts as told; from SIGHUP within 4 s.
  */
-class WatchTest {
+class DiscoveryWatchTest {
     private static final long MS = 1_000, SECOND = 1_000 * MS, TOLD_US = 6 * SECOND, MOVED_US = 4 * SECOND;
     /** An agent says something every 2 s, and answers a call at once. */
     private static final long HEARTBEAT_US = 2 * SECOND, ANSWER_US = 5 * MS;
@@ -41,7 +41,7 @@
 
     private final Timers timers = new Timers();
     private final List<Effect> effects = new ArrayList<>();
-    private Watch watch;
+    private DiscoveryWatch watch;
     private Agent agent = Agent.WELL;
     private long now = 1_000 * SECOND;
     private int call;
@@ -53,7 +53,7 @@
     private record Due(long at, LongConsumer what) { }
 
     private void begin(long seed) {
-        watch = new Watch("a", 1, seed, timers, effects);
+        watch = new DiscoveryWatch("a", 1, seed, timers, effects);
         watch.open(now);
         perform();
     }
@@ -183,7 +183,7 @@
         for (int seed = 0; seed < 20; seed++) {
             Timers own = new Timers();
             List<Effect> asked = new ArrayList<>();
-            Watch w = new Watch("a", 1, seed, own, asked);
+            DiscoveryWatch w = new DiscoveryWatch("a", 1, seed, own, asked);
             w.open(now);
             for (int i = 0; i < 6; i++) {
                 w.ended("refused", now);
@@ -192,6 +192,6 @@
             }
         }
         assertTrue(at.stream().distinct().count() > 100, "of 120");
-        assertEquals(0, at.stream().filter(t -> t - now > Watch.PAUSE_MOST_US).count());
+        assertEquals(0, at.stream().filter(t -> t - now > DiscoveryWatch.PAUSE_MOST_US).count());
     }
 }
--- a/src/test/java/granitefold/core/FiguresTest.java
+++ b/src/test/java/granitefold/core/FiguresTest.java
@@ -34,13 +34,13 @@
     private final Reducer reducer = new Reducer(new Settings(List.of(type(Dispatcher.Effect.SAFE),
             type(Dispatcher.Effect.KEYED), type(Dispatcher.Effect.UNSAFE)), List.of(), 0, 1, 0, false, true, 0, 5_000,
             new Limits(4, false, true, false, false, SECOND), new Rules(3 * SECOND, 20_000, 0.3, SECOND, 3, SECOND, 0),
-            new Prices(0, 0, SECOND)), new Reducer.Bounds(12, 8, 8, 120_000, 10 * SECOND), 1, Extras.NONE.withFigures(true));
+            new Prices(0, 0, SECOND)), new Reducer.Bounds(12, 8, 8, 120_000, 10 * SECOND), 1, OptionalFeatures.NONE.withFigures(true));
     private final Random random = new Random();
     private final Map<Long, Integer> classes = new HashMap<>();
     private final Map<Long, Effect.Answer> writing = new HashMap<>();
     private final Set<Long> owed = new HashSet<>();
     private final List<Long> idle = new ArrayList<>();
-    private final List<Effect.Connect> connecting = new ArrayList<>();
+    private final List<Effect.ConnectWorker> connecting = new ArrayList<>();
     private final List<Long> sending = new ArrayList<>();
     private final List<Long> waiting = new ArrayList<>();
     private final long[][] replies = new long[CLASSES][3];
@@ -57,7 +57,7 @@
             if (e instanceof Effect.Answer a) {
                 owed.remove(a.client());
                 writing.put(a.client(), a);
-            } else if (e instanceof Effect.Connect c) {
+            } else if (e instanceof Effect.ConnectWorker c) {
                 connecting.add(c);
             } else if (e instanceof Effect.SendRequest s) {
                 sending.add(s.connection());
@@ -69,7 +69,7 @@
                 close(c.client());
             } else if (e instanceof Effect.WakeAt w) {
                 wakeAt = w.at();
-            } else if (e instanceof Effect.Count c) {
+            } else if (e instanceof Effect.PublishFigures c) {
                 last = c.figures();
             }
         }
@@ -98,7 +98,7 @@
     private void step() {
         int what = random.nextInt(14);
         if (what < 3) {
-            play(new Event.ClientOpened(++client));
+            play(new Event.ClientConnected(++client));
             request(client);
         } else if (what == 3 && !idle.isEmpty()) {
             Long which = any(idle);
@@ -116,7 +116,7 @@
         } else if (what == 7 && !writing.isEmpty()) {
             close(any(List.copyOf(writing.keySet())));
         } else if (what < 10 && !connecting.isEmpty()) {
-            Effect.Connect c = any(connecting);
+            Effect.ConnectWorker c = any(connecting);
             connecting.remove(c);
             play(random.nextInt(5) == 0 ? new Event.WorkerClosed(c.connection()) : new Event.WorkerConnected(c.connection()));
         } else if (what == 10 && !sending.isEmpty()) {
@@ -134,9 +134,9 @@
             waiting.remove(c);
             switch (random.nextInt(6)) {
                 case 0 -> play(new Event.WorkerClosed(c));
-                case 1 -> play(new Event.WorkerSaid(c, new AttemptNews.Failed()));
-                case 2 -> play(new Event.WorkerSaid(c, new AttemptNews.Returned()));
-                default -> play(new Event.WorkerSaid(c, new AttemptNews.Served(new byte[0])));
+                case 1 -> play(new Event.AttemptUpdated(c, new AttemptUpdate.Failed()));
+                case 2 -> play(new Event.AttemptUpdated(c, new AttemptUpdate.Returned()));
+                default -> play(new Event.AttemptUpdated(c, new AttemptUpdate.Served(new byte[0])));
             }
             play(new Event.WorkerClosed(c));
         } else {
@@ -155,15 +155,15 @@
         for (int i = 0; i < WORKERS; i++) {
             workers.add(new WorkerList.Entry("p" + i, "127.0.0.1:" + i, i == 2 ? State.DRAINING : State.READY, 1, 0, 0, 0, 0));
         }
-        play(new Event.Opened(new WorkerList(1, true, workers), "127.0.0.1:9"));
-        play(new Event.WatchNews(null));
+        play(new Event.SocketsOpened(new WorkerList(1, true, workers), "127.0.0.1:9"));
+        play(new Event.WatchUpdated(null));
         for (int i = 0; i < 400; i++) {
             step();
         }
         // until a round at which they are published and nothing else ends
         do {
             quiet = true;
-            now += Bookkeeper.EVERY_US;
+            now += FiguresPublisher.EVERY_US;
             play(new Event.Woken());
         } while (!quiet);
         for (int c = 0; c < CLASSES; c++) {
--- a/src/test/java/granitefold/core/ReducerCase.java
+++ b/src/test/java/granitefold/core/ReducerCase.java
@@ -16,7 +16,7 @@
     static final long SECOND = 1_000_000;
 
     final Reducer reducer = new Reducer(settings(5 * SECOND), new Reducer.Bounds(8, 8, 8, 120_000, 10 * SECOND), 1);
-    static final Ending ENDING = new Ending(3_700_000);
+    static final ShutdownSchedule ENDING = new ShutdownSchedule(3_700_000);
     final List<Effect> effects = new ArrayList<>();
     long now = 1_000 * SECOND;
 
@@ -28,8 +28,8 @@
     static List<Effect> played(Reducer reducer, Event event, long now) {
         List<Effect> all = new ArrayList<>(reducer.reduce(event, now));
         for (int i = 0; i < all.size(); i++) {
-            if (all.get(i) instanceof Effect.Look look && look.connection() == Effect.Look.ENDING) {
-                all.addAll(reducer.reduce(new Event.Looked(Effect.Look.ENDING), now));
+            if (all.get(i) instanceof Effect.PollSockets look && look.connection() == Effect.PollSockets.SHUTDOWN) {
+                all.addAll(reducer.reduce(new Event.SocketsPolled(Effect.PollSockets.SHUTDOWN), now));
             } else if (all.get(i) instanceof Effect.StopListening) {
                 all.addAll(reducer.reduce(new Event.ListenerClosed(true), now));
             }
@@ -46,8 +46,8 @@
     }
 
     void request() {
-        play(new Event.Opened(list(State.READY, true), "127.0.0.1:2"));
-        play(new Event.WatchNews(null));
+        play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
+        play(new Event.WatchUpdated(null));
         request(7, "t");
     }
 
@@ -57,7 +57,7 @@
     }
 
     void open(long client) {
-        play(new Event.ClientOpened(client));
+        play(new Event.ClientConnected(client));
     }
 
     static Settings settings(long deadlineUs, JobClass... classes) {
--- a/src/test/java/granitefold/core/EndingTest.java
+++ b/src/test/java/granitefold/core/ShutdownTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /** A planned end on virtual time: who is served how long, and what is owed until when. */
-class EndingTest extends ReducerCase {
+class ShutdownTest extends ReducerCase {
     private boolean handsOverEarly(byte[]... words) {
         request();
         for (byte[] word : words) {
-            play(new Event.SiblingSaid(1, word));
+            play(new Event.SiblingMessage(1, word));
         }
-        play(new Event.Terminated(false));
+        play(new Event.ShutdownRequested(false));
         now += ENDING.handOverUs();
         play(new Event.Woken());
         boolean early = !all(Effect.StopListening.class).isEmpty();
@@ -48,7 +48,7 @@
     @Test
     void aSiblingThatWasStartedAnewIsCompany() {
         request();
-        play(new Event.SiblingSaid(1, new byte[] {'L', 'V', 1}));
+        play(new Event.SiblingMessage(1, new byte[] {'L', 'V', 1}));
         now += ENDING.killedUs();
         assertTrue(handsOverEarly(new byte[0]));
     }
@@ -58,15 +58,15 @@
     void aRelievedProcessStopsListeningAtOnceAndGivesItsClientsBack() {
         request();
         open(8);
-        play(new Event.AnsweredHere(8));
+        play(new Event.AnsweredLocally(8));
         play(new Event.AnswerWritten(8, false));
-        play(new Event.Terminated(true));
+        play(new Event.ShutdownRequested(true));
         assertEquals(1, all(Effect.StopListening.class).size());
-        assertEquals(1, all(Effect.LeaveSiblings.class).size());
-        assertEquals(0, all(Effect.ShutIdle.class).size(), "a request may be on its way");
+        assertEquals(1, all(Effect.CloseSiblingSocket.class).size());
+        assertEquals(0, all(Effect.HalfCloseIdleClients.class).size(), "a request may be on its way");
         play(new Event.WorkerConnected(0));
         play(new Event.RequestWritten(0));
-        play(new Event.WorkerSaid(0, new AttemptNews.Served(new byte[0])));
+        play(new Event.AttemptUpdated(0, new AttemptUpdate.Served(new byte[0])));
         assertTrue(all(Effect.Answer.class).get(0).close(), "its client connects anew, to the other one");
         play(new Event.AnswerWritten(7, true));
         play(new Event.ClientClosed(7));
@@ -75,7 +75,7 @@
         assertEquals(Phase.DRAINING, reducer.phase(), "one kept connection is idle still");
         now += 1;
         play(new Event.Woken());
-        assertEquals(1, all(Effect.ShutIdle.class).size());
+        assertEquals(1, all(Effect.HalfCloseIdleClients.class).size());
         play(new Event.ClientClosed(8));
         now += Lifecycle.LAST_READ_US;
         play(new Event.Woken());
@@ -89,9 +89,9 @@
             long killed = Math.min(3 * SECOND, deadline) + 700_000;
             effects.clear();
             Reducer r = new Reducer(settings(deadline), new Reducer.Bounds(8, 8, 8, 120_000, 10 * SECOND), 1);
-            for (Event e : List.of(new Event.Opened(list(State.READY, true), "127.0.0.1:2"), new Event.WatchNews(null), new Event.ClientOpened(7),
+            for (Event e : List.of(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"), new Event.WatchUpdated(null), new Event.ClientConnected(7),
                     new Event.RequestArrived(7, new Submission("t", 0, 0, 9 * SECOND, 1_000, 1, 0, 0, new Payload() { })),
-                    new Event.WorkerConnected(0), new Event.RequestWritten(0), new Event.Terminated(false))) {
+                    new Event.WorkerConnected(0), new Event.RequestWritten(0), new Event.ShutdownRequested(false))) {
                 effects.addAll(played(r, e, now));
             }
             long told = now;
@@ -112,14 +112,14 @@
         play(new Event.WorkerConnected(0));
         play(new Event.RequestWritten(0));
         open(8);
-        play(new Event.Terminated(false));
+        play(new Event.ShutdownRequested(false));
         now += ENDING.serveOnUs();
         play(new Event.Woken());
-        play(new Event.ClientShut(8));
+        play(new Event.ClientHalfClosed(8));
         now += Lifecycle.LAST_READ_US;
-        play(new Event.WorkerSaid(0, new AttemptNews.Served(new byte[0])));
+        play(new Event.AttemptUpdated(0, new AttemptUpdate.Served(new byte[0])));
         assertEquals(Phase.CLOSING, reducer.phase());
-        assertEquals(1, all(Effect.ShutAll.class).size());
+        assertEquals(1, all(Effect.HalfCloseAllClients.class).size());
         play(new Event.AnswerWritten(7, true));
         play(new Event.ClientClosed(8));
         assertEquals(0, all(Effect.Stop.class).size());
@@ -127,7 +127,7 @@
         open(9);
         play(new Event.RequestArrived(9, new Submission("u", 0, 0, SECOND, 1_000, 1, 0, 0, new Payload() { })));
         assertEquals(1, all(Effect.SendRequest.class).size());
-        assertEquals(new Effect.Answer(9, FinalAnswer.Rejected.because(Dispatcher.Refusal.ENDING), true), all(Effect.Answer.class).get(1));
+        assertEquals(new Effect.Answer(9, FinalAnswer.Rejected.withDefaultRetry(Dispatcher.Refusal.ENDING), true), all(Effect.Answer.class).get(1));
         play(new Event.ClientClosed(9));
         play(new Event.ClientClosed(7));
         assertEquals(1, all(Effect.Stop.class).size());
@@ -136,9 +136,9 @@
     /** After a pause all of an end's timers are due in one turn: the process must not stop before it has looked into its sockets. */
     @Test
     void aPauseOverAllOfItsTimesDoesNotEndItUnseen() {
-        play(new Event.Opened(list(State.READY, true), "127.0.0.1:2"));
-        play(new Event.WatchNews(null));
-        play(new Event.Terminated(false));
+        play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
+        play(new Event.WatchUpdated(null));
+        play(new Event.ShutdownRequested(false));
         now += ENDING.closeUs();
         effects.clear();
         effects.addAll(reducer.reduce(new Event.Woken(), now));
@@ -146,18 +146,18 @@
         assertEquals(0, all(Effect.Stop.class).size(), "its sockets were not looked at");
         open(9);
         request(9, "u");
-        assertEquals(new Effect.Answer(9, FinalAnswer.Rejected.because(Dispatcher.Refusal.ENDING), true), all(Effect.Answer.class).get(0));
+        assertEquals(new Effect.Answer(9, FinalAnswer.Rejected.withDefaultRetry(Dispatcher.Refusal.ENDING), true), all(Effect.Answer.class).get(0));
         play(new Event.ListenerClosed(true));
-        play(new Event.Looked(Effect.Look.ENDING));
+        play(new Event.SocketsPolled(Effect.PollSockets.SHUTDOWN));
         assertEquals(1, all(Effect.Stop.class).size());
     }
 
     /** A call of accept fails for a moment: the listener is emptied once more, and the process stays for that. */
     @Test
     void aListenerThatCouldNotBeEmptiedIsTriedAgain() {
-        play(new Event.Opened(list(State.READY, true), "127.0.0.1:2"));
-        play(new Event.WatchNews(null));
-        play(new Event.Terminated(false));
+        play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
+        play(new Event.WatchUpdated(null));
+        play(new Event.ShutdownRequested(false));
         now += ENDING.serveOnUs();
         effects.addAll(reducer.reduce(new Event.Woken(), now));
         for (int i = 1; i < 20; i++) {
@@ -165,7 +165,7 @@
             effects.addAll(reducer.reduce(new Event.ListenerClosed(false), now));
             now += Lifecycle.RETRY_US;
             effects.addAll(reducer.reduce(new Event.Woken(), now));
-            effects.addAll(reducer.reduce(new Event.Looked(Effect.Look.ENDING), now));
+            effects.addAll(reducer.reduce(new Event.SocketsPolled(Effect.PollSockets.SHUTDOWN), now));
         }
         assertEquals(Phase.DRAINING, reducer.phase());
         play(new Event.ListenerClosed(true));
@@ -175,8 +175,8 @@
     /** Nobody is left: there is nothing to stay for. */
     @Test
     void aRelievedProcessWithoutClientsEndsEarly() {
-        play(new Event.Opened(list(State.READY, true), "127.0.0.1:2"));
-        play(new Event.Terminated(true));
+        play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
+        play(new Event.ShutdownRequested(true));
         now += Lifecycle.LAST_READ_US;
         play(new Event.Woken());
         assertEquals(1, all(Effect.Stop.class).size());
--- a/src/test/java/granitefold/operator/OperatorFileTest.java
+++ b/src/test/java/granitefold/operator/OperatorFileTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import granitefold.availability.AvailabilitySettings;
-import granitefold.core.Extras;
+import granitefold.core.OptionalFeatures;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -27,7 +27,7 @@
         assertEquals(Operator.NONE.clients(), o.clients());
         assertFalse(o.tells());
         assertEquals(AvailabilitySettings.DEFAULTS, o.availability());
-        assertEquals(Extras.NONE, o.extras(true));
+        assertEquals(OptionalFeatures.NONE, o.extras(true));
     }
 
     @Test
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -66,7 +66,7 @@
         {"rejects do not say when to come again", Rule.NO_RETRY_AFTER, BUSY,
             new Patch("wire/HttpMessages.java", "if (rejected.retryAfterUs() > 0) {", "if (rejected.retryAfterUs() < 0) {")},
         {"rejects are kept back until time is nearly over", Rule.DELAYED, BUSY,
-            new Patch("core/Sink.java", "        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));",
+            new Patch("core/ModuleActions.java", "        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));",
                     "        RequestContext c = requests.get(request);\n        core.timers.at(c == null ? core.now : c.moduleDeadline - 50_000,\n"
                             + "                t -> finish(request, new FinalAnswer.Rejected(retryAfterUs, why)));")},
         {"what must not be repeated is", Rule.RESENT, SMALL + CLASSES + "steps = [ { do = break, to = [s0], at = 500ms } ]",
@@ -93,7 +93,7 @@
             new Patch("net/Loop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
         {"a watch that falls silent is not opened anew", Rule.DRAIN, "for = 12s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = hush, at = 500ms }, { do = drain, to = [s0], at = 700ms } ]",
-            new Patch("core/Watch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
+            new Patch("core/DiscoveryWatch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
         {"restarts take long", Rule.SLOW_START, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load.rate = 30\n"
                 + "steps = [ { do = kill, to = [n1], at = 500ms, lasts = 100ms } ]",
             new Patch("net/Loop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
