--- a/src/main/java/granitefold/Dispatcher.java
+++ b/src/main/java/granitefold/Dispatcher.java
@@ -1,6 +1,6 @@
 package granitefold;
 
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.util.List;
 
 /**
@@ -138,10 +138,10 @@
     void relieved();
 
     /** What was learned and is worth keeping past this life. */
-    Learned learned(long now);
+    LearnedState learned(long now);
 
     /** Takes in what a former life learned, aged to now; what was learned since the start counts on. */
-    void restore(long now, Learned former);
+    void restore(long now, LearnedState former);
 
     /** Why a request is refused. */
     enum Refusal {
--- a/src/main/java/granitefold/Rehearsal.java
+++ b/src/main/java/granitefold/Rehearsal.java
@@ -28,7 +28,7 @@
 
     /** Loaded with an operator's file or for other commands only: in the archive they would cost every start. */
     private static final String ELSEWHERE = "granitefold\\.(rollout\\.|cli\\.(rollout|Commands|ControlClient|JsonLines|StateCommand)|operator\\.(OperatorFile|HoconFile"
-            + "|Section)|net\\.checks\\.(Checks|HttpCheck|Agent|Control)|state\\.|recovery\\.Ageing|shaded\\.jackson\\.(databind|annotation|dataformat)).*";
+            + "|ConfigSection)|net\\.checks\\.(Checks|HttpCheck|Agent|Control)|state\\.|recovery\\.LearnedStateAging|shaded\\.jackson\\.(databind|annotation|dataformat)).*";
 
     private Rehearsal() { }
 
--- a/src/main/java/granitefold/availability/Verdict.java
+++ b/src/main/java/granitefold/availability/AvailabilityReport.java
@@ -8,4 +8,4 @@
  * @param impaired something other than load is amiss: others should be preferred while there are any
  * @param reason why, in a few words of printable ASCII
  */
-public record Verdict(Standing standing, int weight, int connections, boolean impaired, String reason) { }
+public record AvailabilityReport(AvailabilityStatus status, int weightPercent, int maxConnections, boolean impaired, String reason) { }
--- a/src/main/java/granitefold/availability/AvailabilitySettings.java
+++ b/src/main/java/granitefold/availability/AvailabilitySettings.java
@@ -22,9 +22,9 @@
  * @param room share of places, descriptors or heap in use that is overload
  * @param relief share of an overload at which it ends, and from which on the dispatcher is degraded
  */
-public record AvailabilitySettings(long intervalUs, int rise, int fall, long dwellUs, int stepUp, int stepDown, int floor,
-        int staleWeight, int staleAttempts, int slowFrom, long slowUs, long silenceUs, double rejects, double full, double waits,
-        long lagUs, double room, double relief) {
+public record AvailabilitySettings(long intervalUs, int rise, int fall, long dwellUs, int stepUp, int stepDown, int minWeight,
+        int staleWeight, int staleAttempts, int slowStartWeight, long slowStartUs, long discoverySilenceUs, double rejectShare, double refusingWorkerShare, double waitMultiple,
+        long lagUs, double resourceShare, double reliefFactor) {
     public static final AvailabilitySettings DEFAULTS = new AvailabilitySettings(100_000, 5, 3, 1_000_000, 5, 20, 25, 30,
             50, 20, 5_000_000, 10_000_000, 0.5, 0.5, 2, 100_000, 0.95, 0.8);
 }
--- a/src/main/java/granitefold/availability/Signals.java
+++ b/src/main/java/granitefold/availability/AvailabilitySignals.java
@@ -18,6 +18,6 @@
  * @param lagUs how late the loop came to its work
  * @param sinceStartUs time since the process began
  */
-public record Signals(Life life, Wish wish, boolean confirmed, long listAgeUs, long silentUs, int readyWorkers,
-        int reached, int missed, double rejectShare, double fullShare, double waits, double clientShare, double descriptorShare,
+public record AvailabilitySignals(ProcessPhase processPhase, RequestedMode requestedMode, boolean listConfirmed, long listAgeUs, long discoverySilenceUs, int readyWorkers,
+        int attemptsReached, int attemptsUnreachable, double rejectShare, double refusingWorkerShare, double waitMultiple, double clientConnectionShare, double descriptorShare,
         double heapShare, long lagUs, long sinceStartUs) { }
--- a/src/main/java/granitefold/availability/Standing.java
+++ b/src/main/java/granitefold/availability/AvailabilityStatus.java
@@ -1,7 +1,7 @@
 package granitefold.availability;
 
 /** Where a dispatcher stands towards its balancers, from nothing yet to nothing any more. */
-public enum Standing {
+public enum AvailabilityStatus {
     /** No worker is known yet. */
     STARTING(true),
     /** It serves from a list of a former life, which nothing has confirmed. */
@@ -18,19 +18,19 @@
     /** The listener is closed. */
     STOPPED(true);
 
-    private final boolean told;
+    private final boolean isSetDirectly;
 
-    Standing(boolean told) {
-        this.told = told;
+    AvailabilityStatus(boolean told) {
+        this.isSetDirectly = told;
     }
 
     /** Whether it follows from a phase or a word and not from a measurement: it takes no counts and no dwell. */
-    public boolean told() {
-        return told;
+    public boolean isSetDirectly() {
+        return isSetDirectly;
     }
 
     /** Whether balancers may send new traffic. */
-    public boolean serves() {
-        return !told;
+    public boolean acceptsTraffic() {
+        return !isSetDirectly;
     }
 }
--- a/src/main/java/granitefold/availability/Life.java
+++ b/src/main/java/granitefold/availability/ProcessPhase.java
@@ -1,4 +1,4 @@
 package granitefold.availability;
 
 /** The process's own phase, as far as balancers are concerned. */
-public enum Life { STARTING, SERVING, ENDING, ENDED }
+public enum ProcessPhase { STARTING, SERVING, SHUTTING_DOWN, SHUT_DOWN }
--- a/src/main/java/granitefold/availability/Wish.java
+++ b/src/main/java/granitefold/availability/RequestedMode.java
@@ -1,4 +1,4 @@
 package granitefold.availability;
 
 /** What an operator has asked for; it stands until another wish. */
-public enum Wish { READY, DRAIN, MAINT }
+public enum RequestedMode { READY, DRAIN, MAINT }
--- a/src/main/java/granitefold/cli/Commands.java
+++ b/src/main/java/granitefold/cli/Commands.java
@@ -1,12 +1,12 @@
 package granitefold.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import granitefold.availability.Wish;
+import granitefold.availability.RequestedMode;
 import granitefold.benchlink.BenchLink;
 import granitefold.cli.rollout.KeepCommand;
 import granitefold.cli.rollout.PlanFile;
 import granitefold.cli.rollout.RolloutCommand;
-import granitefold.operator.BrokenFile;
+import granitefold.operator.InvalidFileException;
 import granitefold.operator.OperatorFile;
 import granitefold.wire.BadWire;
 import granitefold.wire.Config;
@@ -128,7 +128,7 @@
                 } catch (BadWire e) {
                     spec.commandLine().getErr().println(e.getMessage());
                     status = Serve.BAD_CONFIGURATION;
-                } catch (BrokenFile e) {
+                } catch (InvalidFileException e) {
                     e.problems().forEach(spec.commandLine().getErr()::println);
                     status = Serve.BAD_CONFIGURATION;
                 }
@@ -167,7 +167,7 @@
             ControlClient client;
             try {
                 client = new ControlClient(where.socket != null ? where.socket : socketOf(where.operator));
-            } catch (BrokenFile e) {
+            } catch (InvalidFileException e) {
                 e.problems().forEach(spec.commandLine().getErr()::println);
                 return Serve.BAD_CONFIGURATION;
             }
@@ -191,8 +191,8 @@
             return 0;
         }
 
-        private static Path socketOf(Path file) throws BrokenFile, IOException {
-            var control = OperatorFile.read(file).operator().control();
+        private static Path socketOf(Path file) throws InvalidFileException, IOException {
+            var control = OperatorFile.read(file).settings().control();
             if (control == null) {
                 throw new IOException(file + ": control.socket is not set");
             }
@@ -212,7 +212,7 @@
     static final class Drain extends ControlCommand {
         @Override
         String command() {
-            return word(Wish.DRAIN);
+            return word(RequestedMode.DRAIN);
         }
     }
 
@@ -220,7 +220,7 @@
     static final class Ready extends ControlCommand {
         @Override
         String command() {
-            return word(Wish.READY);
+            return word(RequestedMode.READY);
         }
     }
 
@@ -228,7 +228,7 @@
     static final class Maint extends ControlCommand {
         @Override
         String command() {
-            return word(Wish.MAINT);
+            return word(RequestedMode.MAINT);
         }
     }
 
@@ -240,7 +240,7 @@
         }
     }
 
-    private static String word(Wish wish) {
+    private static String word(RequestedMode wish) {
         return wish.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/granitefold/cli/Serve.java
+++ b/src/main/java/granitefold/cli/Serve.java
@@ -5,10 +5,10 @@
 import granitefold.net.Loop;
 import granitefold.net.checks.Checks;
 import granitefold.net.checks.Ops;
-import granitefold.operator.Operator;
-import granitefold.operator.BrokenFile;
+import granitefold.operator.OperatorSettings;
+import granitefold.operator.InvalidFileException;
 import granitefold.operator.OperatorFile;
-import granitefold.state.StateKeeper;
+import granitefold.state.StateWriter;
 import granitefold.wire.BadWire;
 import granitefold.wire.Config;
 import java.nio.file.Path;
@@ -24,10 +24,10 @@
 
     private final Path config;
     private final Path operatorFile;
-    private Operator operator = Operator.NONE;
+    private OperatorSettings operator = OperatorSettings.NONE;
     private Loop loop;
     private Checks checks;
-    private StateKeeper keeper;
+    private StateWriter keeper;
 
     private Serve(Path config, Path operatorFile) {
         this.config = config;
@@ -44,7 +44,7 @@
         } catch (BadWire e) {
             fail(List.of("bad configuration: " + e.getMessage()));
         } catch (Exception e) {
-            if (operatorFile != null && e instanceof BrokenFile broken) {
+            if (operatorFile != null && e instanceof InvalidFileException broken) {
                 fail(broken.problems());
             }
             fail(List.of("cannot start: " + e));
@@ -56,7 +56,7 @@
         CompletableFuture<Serve> started = new CompletableFuture<>();
         SignalHandler before = Signal.handle(new Signal("HUP"), signal -> started.thenAccept(Serve::reload));
         if (operatorFile != null) {
-            operator = OperatorFile.read(operatorFile).operator();
+            operator = OperatorFile.read(operatorFile).settings();
             if (operator.log().json()) {
                 JsonLines.begin();
             }
@@ -68,13 +68,13 @@
         Config platform = Config.read(config);
         loop = new Loop(platform, operator);
         if (operator.state() != null) {
-            keeper = new StateKeeper(operator.state().dir(), operator.state().keep(), platform.places(), loop::recovered);
-            loop.keeper(keeper::keep);
+            keeper = new StateWriter(operator.state().directory(), operator.state().generations(), platform.places(), loop::recovered);
+            loop.keeper(keeper::submit);
         }
         if (platform.ops() != null) {
             new Ops(platform.ops(), loop, platform.words().classNames()).start();
         }
-        if (operator.checks()) {
+        if (operator.hasCheckListener()) {
             checks = new Checks(loop.name(), loop, operator);
             checks.start();
         }
@@ -92,18 +92,18 @@
             return;
         }
         try {
-            Operator next = OperatorFile.read(operatorFile).operator();
+            OperatorSettings next = OperatorFile.read(operatorFile).settings();
             EventLog.log(LogEvent.OPERATOR_READ, operatorFile);
-            for (String key : OperatorFile.restartOnly(operator, next)) {
+            for (String key : OperatorFile.keysNeedingRestart(operator, next)) {
                 EventLog.log(LogEvent.OPERATOR_RESTART, key);
             }
             if (checks != null) {
                 checks.reload(next);
             }
-            if (operator.tells()) {
+            if (operator.publishesAvailability()) {
                 loop.retune(next.availability());
             }
-        } catch (BrokenFile e) {
+        } catch (InvalidFileException e) {
             EventLog.log(LogEvent.OPERATOR_KEPT, e.getMessage());
         }
     }
@@ -112,7 +112,7 @@
         try {
             long leftUs = loop.terminate();
             if (keeper != null) {
-                keeper.end(leftUs);
+                keeper.shutDown(leftUs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/granitefold/cli/StateCommand.java
+++ b/src/main/java/granitefold/cli/StateCommand.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import granitefold.state.RealDisk;
+import granitefold.state.DirectoryStorage;
 import granitefold.state.StateFile;
 import granitefold.state.StateStore;
 import java.io.IOException;
@@ -41,7 +41,7 @@
     private static StateFile.Content read(Path path) throws IOException {
         Path folder = Files.isDirectory(path) ? path : path.toAbsolutePath().getParent();
         if (folder.equals(path)) {
-            StateStore.Found found = new StateStore(readOnly(folder), 10).load();
+            StateStore.LoadResult found = new StateStore(readOnly(folder), 10).load();
             if (found.content() == null) {
                 throw new IOException(path + ": no whole file" + (found.problems().isEmpty() ? "" : ": "
                         + String.join("; ", found.problems())));
@@ -49,20 +49,20 @@
             return found.content();
         }
         try {
-            byte[] file = RealDisk.reader(folder).read(path.getFileName().toString(), StateFile.LENGTH_MOST);
+            byte[] file = DirectoryStorage.readOnly(folder).read(path.getFileName().toString(), StateFile.MAX_LENGTH_BYTES);
             if (file == null) {
                 throw new IOException(path + ": missing");
             }
             return StateFile.decode(file);
-        } catch (StateFile.Unreadable e) {
+        } catch (StateFile.UnreadableFileException e) {
             throw new IOException(path + ": " + e.getMessage());
         }
     }
 
     /** Reads as the store does, and refuses to set anything aside. */
-    private static granitefold.state.Disk readOnly(Path folder) {
-        granitefold.state.Disk disk = RealDisk.reader(folder);
-        return new granitefold.state.Disk() {
+    private static granitefold.state.Storage readOnly(Path folder) {
+        granitefold.state.Storage disk = DirectoryStorage.readOnly(folder);
+        return new granitefold.state.Storage() {
             @Override
             public byte[] read(String name, int most) throws IOException {
                 return disk.read(name, most);
@@ -84,7 +84,7 @@
             }
 
             @Override
-            public void forceFolder() throws IOException {
+            public void forceDirectory() throws IOException {
                 throw new IOException("read only");
             }
         };
--- a/src/main/java/granitefold/cli/rollout/CheckedFile.java
+++ b/src/main/java/granitefold/cli/rollout/CheckedFile.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import granitefold.state.Disk;
+import granitefold.state.Storage;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -16,11 +16,11 @@
     static final ObjectMapper JSON = new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
     private static final int VERSION = 1, LENGTH_MOST = 4 * 1024 * 1024;
 
-    private final Disk disk;
+    private final Storage disk;
     private final String name;
     private final Class<T> type;
 
-    CheckedFile(Disk disk, String name, Class<T> type) {
+    CheckedFile(Storage disk, String name, Class<T> type) {
         this.disk = disk;
         this.name = name;
         this.type = type;
@@ -67,7 +67,7 @@
         disk.write(name + ".new", all);
         disk.force(name + ".new");
         disk.rename(name + ".new", name);
-        disk.forceFolder();
+        disk.forceDirectory();
     }
 
     private static String checksum(byte[] body) {
--- a/src/main/java/granitefold/cli/rollout/Controller.java
+++ b/src/main/java/granitefold/cli/rollout/Controller.java
@@ -10,7 +10,7 @@
 import granitefold.rollout.RolloutAction;
 import granitefold.rollout.RolloutEvent;
 import granitefold.rollout.RolloutEvent.Wish;
-import granitefold.state.RealDisk;
+import granitefold.state.DirectoryStorage;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -36,7 +36,7 @@
     private static final long ROUND_MS = 1000, ANSWERS_MS = 4000;
 
     private final PlanFile file;
-    private final RealDisk disk;
+    private final DirectoryStorage disk;
     private final CheckedFile<Progress> kept;
     private final Map<String, KeeperLink> links = new HashMap<>();
     private final ExecutorService callers;
@@ -44,7 +44,7 @@
 
     Controller(PlanFile file) throws IOException {
         this.file = file;
-        disk = RealDisk.open(file.folder());
+        disk = DirectoryStorage.open(file.folder());
         kept = new CheckedFile<>(disk, PROGRESS, Progress.class);
         file.keepers().forEach((name, address) -> links.put(name, new KeeperLink(address)));
         AtomicInteger n = new AtomicInteger();
--- a/src/main/java/granitefold/cli/rollout/KeepCommand.java
+++ b/src/main/java/granitefold/cli/rollout/KeepCommand.java
@@ -1,6 +1,6 @@
 package granitefold.cli.rollout;
 
-import granitefold.operator.BrokenFile;
+import granitefold.operator.InvalidFileException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
@@ -24,7 +24,7 @@
     public Integer call() throws Exception {
         try {
             new KeeperServer(KeeperFile.read(file)).run();
-        } catch (BrokenFile e) {
+        } catch (InvalidFileException e) {
             e.problems().forEach(spec.commandLine().getErr()::println);
             return BROKEN;
         } catch (CheckedFile.Damaged e) {
--- a/src/main/java/granitefold/cli/rollout/KeeperFile.java
+++ b/src/main/java/granitefold/cli/rollout/KeeperFile.java
@@ -1,8 +1,8 @@
 package granitefold.cli.rollout;
 
-import granitefold.operator.BrokenFile;
+import granitefold.operator.InvalidFileException;
 import granitefold.operator.HoconFile;
-import granitefold.operator.Section;
+import granitefold.operator.ConfigSection;
 import granitefold.rollout.Version;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -14,28 +14,28 @@
     private static final List<String> JAVA = List.of("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx88m", "-Xss512k",
             "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
 
-    static KeeperFile read(Path file) throws BrokenFile {
+    static KeeperFile read(Path file) throws InvalidFileException {
         return HoconFile.read(file, KeeperFile::read).value();
     }
 
-    private static KeeperFile read(Section s) {
-        Section v = s.section("version");
-        List<String> java = s.texts("java", "words of a command", t -> !t.isEmpty());
-        KeeperFile f = new KeeperFile(s.text("name", "", "a name of letters, digits and -", t -> t.matches("[0-9A-Za-z-]{1,64}")), s.address("listen"),
-                path(s, "folder"), path(s, "config"), s.yes("beside", true), s.time("ready-within", 20_000_000, 100, 10 * MINUTE_MS),
+    private static KeeperFile read(ConfigSection s) {
+        ConfigSection v = s.section("version");
+        List<String> java = s.strings("java", "words of a command", t -> !t.isEmpty());
+        KeeperFile f = new KeeperFile(s.string("name", "", "a name of letters, digits and -", t -> t.matches("[0-9A-Za-z-]{1,64}")), s.address("listen"),
+                path(s, "folder"), path(s, "config"), s.bool("beside", true), s.durationUs("ready-within", 20_000_000, 100, 10 * MINUTE_MS),
                 java.isEmpty() ? JAVA : java, version(v));
         for (String key : List.of("name", "listen", "folder", "config")) {
             if (!s.has(key)) {
                 s.reject(key, "is needed");
             }
         }
-        v.finish();
-        s.finish();
+        v.reportUnknownKeys();
+        s.reportUnknownKeys();
         return f;
     }
 
-    private static Path path(Section s, String key) {
-        return Path.of(s.text(key, "/", "an absolute path", KeeperFile::absolute));
+    private static Path path(ConfigSection s, String key) {
+        return Path.of(s.string(key, "/", "an absolute path", KeeperFile::absolute));
     }
 
     static boolean absolute(String path) {
@@ -43,10 +43,10 @@
     }
 
     /** A version as both files write it. */
-    static Version version(Section v) {
+    static Version version(ConfigSection v) {
         String allowed = "an absolute path";
-        Version found = new Version(v.text("label", "", "a word for people", t -> t.matches("[!-~]{1,64}")), v.text("jar", "", allowed, KeeperFile::absolute),
-                v.text("operator", "", allowed, KeeperFile::absolute), v.text("config", "", allowed, KeeperFile::absolute));
+        Version found = new Version(v.string("label", "", "a word for people", t -> t.matches("[!-~]{1,64}")), v.string("jar", "", allowed, KeeperFile::absolute),
+                v.string("operator", "", allowed, KeeperFile::absolute), v.string("config", "", allowed, KeeperFile::absolute));
         for (String key : List.of("label", "jar")) {
             if (!v.has(key)) {
                 v.reject(key, "is needed");
--- a/src/main/java/granitefold/cli/rollout/KeeperServer.java
+++ b/src/main/java/granitefold/cli/rollout/KeeperServer.java
@@ -6,7 +6,7 @@
 import granitefold.rollout.KeeperAction;
 import granitefold.rollout.KeeperEvent;
 import granitefold.rollout.KeeperRecord;
-import granitefold.state.RealDisk;
+import granitefold.state.DirectoryStorage;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -28,7 +28,7 @@
     private static final long TICK_MS = 100, LEFT_OVER_S = 10;
 
     private final KeeperFile file;
-    private final RealDisk disk;
+    private final DirectoryStorage disk;
     private final CheckedFile<KeeperRecord> kept;
     private final Keeper keeper;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
@@ -43,7 +43,7 @@
 
     KeeperServer(KeeperFile file) throws IOException {
         this.file = file;
-        disk = RealDisk.open(file.folder());
+        disk = DirectoryStorage.open(file.folder());
         kept = new CheckedFile<>(disk, "keeper", KeeperRecord.class);
         KeeperRecord record = kept.read();
         keeper = new Keeper(new Keeper.Ways(file.beside(), file.readyUs()), record == null ? KeeperRecord.first(file.first()) : record);
--- a/src/main/java/granitefold/cli/rollout/RolloutCommand.java
+++ b/src/main/java/granitefold/cli/rollout/RolloutCommand.java
@@ -1,10 +1,10 @@
 package granitefold.cli.rollout;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import granitefold.operator.BrokenFile;
+import granitefold.operator.InvalidFileException;
 import granitefold.rollout.Progress;
 import granitefold.rollout.Progress.State;
-import granitefold.state.RealDisk;
+import granitefold.state.DirectoryStorage;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -58,14 +58,14 @@
         public Integer call() throws Exception {
             try {
                 return run(PlanFile.read(plan));
-            } catch (BrokenFile e) {
+            } catch (InvalidFileException e) {
                 e.problems().forEach(err()::println);
                 return BROKEN;
             }
         }
 
         static Progress progress(PlanFile f) throws IOException {
-            return Files.exists(f.folder()) ? new CheckedFile<>(RealDisk.reader(f.folder()), Controller.PROGRESS, Progress.class).read() : null;
+            return Files.exists(f.folder()) ? new CheckedFile<>(DirectoryStorage.readOnly(f.folder()), Controller.PROGRESS, Progress.class).read() : null;
         }
     }
 
--- a/src/main/java/granitefold/core/Attendance.java
+++ b/src/main/java/granitefold/core/Attendance.java
@@ -2,13 +2,13 @@
 
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.Outcome;
-import granitefold.availability.Availability;
+import granitefold.availability.AvailabilityStateMachine;
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Life;
-import granitefold.availability.Signals;
-import granitefold.availability.Standing;
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.ProcessPhase;
+import granitefold.availability.AvailabilitySignals;
+import granitefold.availability.AvailabilityStatus;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 import granitefold.logging.LogEvent;
 import java.util.List;
 
@@ -25,9 +25,9 @@
     private final Timers timers;
     private final List<Effect> effects;
     private AvailabilitySettings set;
-    private Availability machine;
-    private Availability.State state;
-    private Wish wish = Wish.READY;
+    private AvailabilityStateMachine machine;
+    private AvailabilityStateMachine.State state;
+    private RequestedMode wish = RequestedMode.READY;
     private Resources resources = Resources.UNKNOWN;
     private long startedAt;
     private long heardAt;
@@ -55,14 +55,14 @@
     void retuned(AvailabilitySettings figures) {
         if (set == null || figures != null) {
             set = figures;
-            machine = set == null ? null : new Availability(set, connections);
+            machine = set == null ? null : new AvailabilityStateMachine(set, connections);
         }
     }
 
     void opened(long now) {
         if (machine != null) {
             startedAt = heardAt = listedAt = fadedAt = now;
-            state = Availability.State.first(now);
+            state = AvailabilityStateMachine.State.initial(now);
             sample(now);
         }
     }
@@ -111,14 +111,14 @@
         evaluate(now);
     }
 
-    void wished(Wish news, long now) {
+    void wished(RequestedMode news, long now) {
         wish = news;
         evaluate(now);
     }
 
     /** Clients are told to leave: others are there for them, as far as the operator knows. */
     boolean sendsAway() {
-        return state != null && wish != Wish.READY && !state.standing().serves();
+        return state != null && wish != RequestedMode.READY && !state.status().acceptsTraffic();
     }
 
     /** Something of weight has happened, or time has passed. */
@@ -130,13 +130,13 @@
         Dispatcher.Pressure pressure = reducer.pressure();
         double wait = pressure.waitUs() / Math.max(1, pressure.boundUs());
         double share = rejects / Math.max(1, answers);
-        Availability.State next = machine.next(state, new Signals(life(), wish, confirmed, now - Math.max(listedAt, heardAt),
+        AvailabilityStateMachine.State next = machine.next(state, new AvailabilitySignals(life(), wish, confirmed, now - Math.max(listedAt, heardAt),
                 now - heardAt, pressure.ready(), reached, missed, share,
                 (double) pressure.full() / Math.max(1, pressure.ready()), wait, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
-        log(state.standing(), next);
+        log(state.status(), next);
         state = next;
-        Verdict verdict = machine.verdict(state);
+        AvailabilityReport verdict = machine.report(state);
         double perS = answers * Math.log(2) / HALF_US * 1e6;
         effects.add(new Effect.Publish(new Report(verdict, reducer.phase(), wish, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
@@ -144,18 +144,18 @@
                 rejected, failed)));
     }
 
-    private void log(Standing from, Availability.State to) {
-        if (from != to.standing()) {
-            effects.add(new Effect.Log(LogEvent.AVAILABILITY, from, to.standing(), to.weight(), to.reason()));
+    private void log(AvailabilityStatus from, AvailabilityStateMachine.State to) {
+        if (from != to.status()) {
+            effects.add(new Effect.Log(LogEvent.AVAILABILITY, from, to.status(), to.weight(), to.reason()));
         }
     }
 
-    private Life life() {
+    private ProcessPhase life() {
         return switch (reducer.phase()) {
-            case STARTING -> Life.STARTING;
-            case SERVING -> Life.SERVING;
-            case DRAINING -> Life.ENDING;
-            case FINISHING, CLOSING, STOPPED -> Life.ENDED;
+            case STARTING -> ProcessPhase.STARTING;
+            case SERVING -> ProcessPhase.SERVING;
+            case DRAINING -> ProcessPhase.SHUTTING_DOWN;
+            case FINISHING, CLOSING, STOPPED -> ProcessPhase.SHUT_DOWN;
         };
     }
 
--- a/src/main/java/granitefold/core/Bookkeeper.java
+++ b/src/main/java/granitefold/core/Bookkeeper.java
@@ -1,8 +1,8 @@
 package granitefold.core;
 
 import granitefold.Dispatcher;
-import granitefold.figures.Figures;
-import granitefold.figures.Tally;
+import granitefold.figures.MetricsSnapshot;
+import granitefold.figures.MetricsCollector;
 import java.util.List;
 
 /** Keeps the figures and publishes them at an interval. Where nobody may ask for them it does nothing. */
@@ -13,10 +13,10 @@
     private final Reducer reducer;
     private final Timers timers;
     private final List<Effect> effects;
-    private final Tally tally;
+    private final MetricsCollector tally;
 
     Bookkeeper(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
-        tally = on ? new Tally(classes) : null;
+        tally = on ? new MetricsCollector(classes) : null;
         this.reducer = reducer;
         this.timers = timers;
         this.effects = effects;
@@ -33,33 +33,33 @@
     void publish() {
         if (tally != null) {
             Dispatcher.Choice choice = reducer.choice();
-            Figures f = tally.figures(reducer.owed(), choice.listed(), choice.avoided(), reducer.ready());
+            MetricsSnapshot f = tally.snapshot(reducer.owed(), choice.listed(), choice.avoided(), reducer.ready());
             effects.add(new Effect.Count(f));
         }
     }
 
     void answering(long client, int jobClass, FinalAnswer answer) {
         if (tally != null) {
-            tally.answering(client, jobClass, answer instanceof FinalAnswer.Served ? Tally.End.SUCCESS
-                    : answer instanceof FinalAnswer.Rejected ? Tally.End.OVERLOAD : Tally.End.ERROR);
+            tally.replyStarted(client, jobClass, answer instanceof FinalAnswer.Served ? MetricsCollector.ReplyOutcome.SUCCESS
+                    : answer instanceof FinalAnswer.Rejected ? MetricsCollector.ReplyOutcome.OVERLOAD : MetricsCollector.ReplyOutcome.ERROR);
         }
     }
 
     void written(long client) {
         if (tally != null) {
-            tally.written(client);
+            tally.replyWritten(client);
         }
     }
 
     void closed(long client) {
         if (tally != null) {
-            tally.closed(client);
+            tally.clientClosed(client);
         }
     }
 
     void dispatched() {
         if (tally != null) {
-            tally.dispatched();
+            tally.attemptDispatched();
         }
     }
 }
--- a/src/main/java/granitefold/core/Effect.java
+++ b/src/main/java/granitefold/core/Effect.java
@@ -1,8 +1,8 @@
 package granitefold.core;
 
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 
 /** What the reducer asks the adapters to do, in this order. */
 public sealed interface Effect {
@@ -73,10 +73,10 @@
     record Publish(Report report) implements Effect { }
 
     /** Show these figures to whoever asks. */
-    record Count(Figures figures) implements Effect { }
+    record Count(MetricsSnapshot figures) implements Effect { }
 
     /** Keep what was learned, where it outlives the process. */
-    record Keep(Learned learned) implements Effect { }
+    record Keep(LearnedState learned) implements Effect { }
 
     /** Probe a worker and report {@link Event.Probed}. */
     record Probe(long worker, String address) implements Effect { }
--- a/src/main/java/granitefold/core/Event.java
+++ b/src/main/java/granitefold/core/Event.java
@@ -1,8 +1,8 @@
 package granitefold.core;
 
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Wish;
-import granitefold.recovery.Learned;
+import granitefold.availability.RequestedMode;
+import granitefold.recovery.LearnedState;
 
 /** What the adapters report to the reducer. Connections go by numbers: clients' by theirs, workers' by the core's. */
 public sealed interface Event {
@@ -93,16 +93,16 @@
     record Sampled(Resources resources) implements Event { }
 
     /** An operator has asked for something. */
-    record Wished(Wish wish) implements Event { }
+    record Wished(RequestedMode wish) implements Event { }
 
     /** The operator's file was read anew, with other figures. */
     record Retuned(AvailabilitySettings availability) implements Event { }
 
     /** What a former life learned has been read. */
-    record Recovered(Learned learned) implements Event { }
+    record Recovered(LearnedState learned) implements Event { }
 
     /** The process that served before this one passes on what it learned a moment ago. */
-    record Inherited(Learned learned) implements Event { }
+    record Inherited(LearnedState learned) implements Event { }
 
     /** A probe of a worker has come to its end. */
     record Probed(long worker, boolean well, String reason) implements Event { }
--- a/src/main/java/granitefold/core/Recollection.java
+++ b/src/main/java/granitefold/core/Recollection.java
@@ -3,8 +3,8 @@
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.JobClass;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Ageing;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedStateAging;
+import granitefold.recovery.LearnedState;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -55,21 +55,21 @@
     void give(long now) {
         sent.values().removeIf(until -> until <= now);
         former.values().removeIf(until -> until <= now);
-        List<Learned.Key> keys = new ArrayList<>(sent.size() + former.size());
-        former.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
-        sent.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
-        Learned l = module.learned(now);
-        effects.add(new Effect.Keep(new Learned(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(), l.kinds(), l.workers(),
+        List<LearnedState.Key> keys = new ArrayList<>(sent.size() + former.size());
+        former.forEach((key, until) -> keys.add(new LearnedState.Key(key, until)));
+        sent.forEach((key, until) -> keys.add(new LearnedState.Key(key, until)));
+        LearnedState l = module.learned(now);
+        effects.add(new Effect.Keep(new LearnedState(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(), l.kinds(), l.workers(),
                 l.buckets(), keys)));
     }
 
     /** A former life has left this. */
-    void recovered(Learned old, List<Dispatcher.Worker> list, long now) {
-        Ageing.Aged aged = new Ageing(set.ageing()).age(old, list, now);
-        Learned l = aged.learned();
+    void recovered(LearnedState old, List<Dispatcher.Worker> list, long now) {
+        LearnedStateAging.Result aged = new LearnedStateAging(set.ageing()).apply(old, list, now);
+        LearnedState l = aged.state();
         module.restore(now, l);
         l.keys().forEach(k -> former.merge(k.key(), k.until(), Math::max));
-        aged.reasons().forEach(reason -> effects.add(new Effect.Log(LogEvent.STATE_DROPPED, reason)));
+        aged.dropReasons().forEach(reason -> effects.add(new Effect.Log(LogEvent.STATE_DROPPED, reason)));
         effects.add(new Effect.Log(LogEvent.STATE_RECOVERED, Math.max(0, now - old.at()) / 1000, l.workers().size(),
                 l.buckets().size(), l.keys().size()));
     }
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -6,7 +6,7 @@
 import granitefold.Dispatcher.State;
 import granitefold.logging.LogEvent;
 import granitefold.policy.Decide;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -119,7 +119,7 @@
     }
 
     /** What the module has learned, as of the last event. */
-    public Learned learned() {
+    public LearnedState learned() {
         return core.module.learned(core.now);
     }
 
--- a/src/main/java/granitefold/core/Report.java
+++ b/src/main/java/granitefold/core/Report.java
@@ -1,7 +1,7 @@
 package granitefold.core;
 
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 
 /**
  * How the dispatcher stands, for balancers and operators.
@@ -19,6 +19,6 @@
  * @param perS requests answered a second, lately
  * @param served requests served since the start, {@code rejected} and {@code failed} alike
  */
-public record Report(Verdict verdict, Phase phase, Wish wish, int owed, int clients, int ready, int down, boolean panic,
+public record Report(AvailabilityReport verdict, Phase phase, RequestedMode wish, int owed, int clients, int ready, int down, boolean panic,
         boolean confirmed, long listVersion, long listAgeUs, long silentUs, double waits, double rejectShare, double perS,
         Resources resources, long sinceStartUs, long served, long rejected, long failed) { }
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -3,8 +3,8 @@
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher;
-import granitefold.health.HealthBoard;
-import granitefold.health.HealthBoard.Change;
+import granitefold.health.WorkerHealthTracker;
+import granitefold.health.WorkerHealthTracker.Change;
 import granitefold.health.HealthSettings;
 import granitefold.logging.LogEvent;
 import java.util.Collection;
@@ -22,7 +22,7 @@
  */
 final class WorkerHealth {
     private final HealthSettings set;
-    private final HealthBoard board;
+    private final WorkerHealthTracker board;
     private final Timers timers;
     private final List<Effect> effects;
     /** What was last decided of workers that are not simply as listed. */
@@ -36,7 +36,7 @@
 
     WorkerHealth(HealthSettings set, long seed, Timers timers, List<Effect> effects) {
         this.set = set;
-        board = new HealthBoard(set, seed);
+        board = new WorkerHealthTracker(set, seed);
         this.timers = timers;
         this.effects = effects;
     }
@@ -59,24 +59,24 @@
             }
             return left;
         });
-        return after(board.listed(ready, now), now);
+        return after(board.updateWorkers(ready, now), now);
     }
 
     List<Change> probed(long worker, boolean well, String reason, long now) {
         timers.cancel(limits.remove(worker));
-        return after(board.probed(worker, well, reason, now), now);
+        return after(board.onProbeResult(worker, well, reason, now), now);
     }
 
     List<Change> tried(long worker, Outcome outcome, long now) {
-        return after(board.tried(worker, outcome, now), now);
+        return after(board.onAttemptOutcome(worker, outcome, now), now);
     }
 
     int down() {
-        return board.down();
+        return board.unhealthyCount();
     }
 
     boolean panic() {
-        return board.panic();
+        return board.inPanicMode();
     }
 
     /** How a listed worker is shown to the module. */
@@ -86,15 +86,15 @@
             return listed;
         }
         return new Dispatcher.Worker(listed.id(), listed.size(), c.usable() ? State.READY : State.DRAINING,
-                Math.max(listed.startedAtUs(), c.since()), listed.zone(), listed.cell(), listed.kind());
+                Math.max(listed.startedAtUs(), c.recoveredAt()), listed.zone(), listed.cell(), listed.kind());
     }
 
     private List<Change> after(List<Change> changes, long now) {
         changes.forEach(c -> overlay.put(c.worker(), c));
-        if (board.panic() != panic) {
-            panic = board.panic();
+        if (board.inPanicMode() != panic) {
+            panic = board.inPanicMode();
             if (panic) {
-                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.down(), board.size()));
+                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.unhealthyCount(), board.workerCount()));
             }
         }
         if (judge != null) {
@@ -104,8 +104,8 @@
     }
 
     private void tick(long now) {
-        judge.accept(after(board.elapsed(now), now));
-        for (long id : board.due(now)) {
+        judge.accept(after(board.expireEjections(now), now));
+        for (long id : board.takeDueProbes(now)) {
             effects.add(new Effect.Probe(id, workers.get(id).address));
             limits.put(id, timers.at(now + set.timeoutUs(), t -> {
                 effects.add(new Effect.EndProbe(id));
@@ -117,7 +117,7 @@
 
     private void schedule(long now) {
         timers.cancel(timer);
-        long at = board.wakeAt(now);
+        long at = board.nextWakeUpAt(now);
         timer = at == Long.MAX_VALUE ? null : timers.at(at, this::tick);
     }
 }
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -3,7 +3,7 @@
 import granitefold.Dispatcher.ListNews;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher;
-import granitefold.health.HealthBoard;
+import granitefold.health.WorkerHealthTracker;
 import granitefold.logging.LogEvent;
 import java.util.ArrayList;
 import java.util.List;
@@ -71,9 +71,9 @@
     }
 
     /** Workers that look dead, or alive again: the module hears it as news of the list, and of ready ones only. */
-    void judged(List<HealthBoard.Change> changes) {
+    void judged(List<WorkerHealthTracker.Change> changes) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        for (HealthBoard.Change c : changes) {
+        for (WorkerHealthTracker.Change c : changes) {
             Worker p = core.workers.get(c.worker());
             if (p != null && p.state == State.READY) {
                 core.effects.add(new Effect.Log(LogEvent.WORKER_HEALTH, p.name, c.usable() ? "UP" : c.health(), c.reason()));
--- a/src/main/java/granitefold/figures/Figures.java
+++ b/src/main/java/granitefold/figures/MetricsSnapshot.java
@@ -12,14 +12,14 @@
  * @param targetsDisabled of them, those that no job is sent to while others have room
  * @param serves the process can serve: discovery has spoken or the wait for it is over, and no end was asked for
  */
-public record Figures(List<Replies> replies, long dispatches, int concurrent, int targets, int targetsDisabled,
-        boolean serves) {
+public record MetricsSnapshot(List<Replies> replies, long dispatches, int concurrent, int targets, int targetsDisabled,
+        boolean ready) {
 
     /** Answers of one class: jobs served, rejected, and failed. */
     public record Replies(long success, long overload, long error) {
         static final Replies NONE = new Replies(0, 0, 0);
 
-        Replies plus(Tally.End end) {
+        Replies plus(MetricsCollector.ReplyOutcome end) {
             return switch (end) {
                 case SUCCESS -> new Replies(success + 1, overload, error);
                 case OVERLOAD -> new Replies(success, overload + 1, error);
--- a/src/main/java/granitefold/health/HealthSettings.java
+++ b/src/main/java/granitefold/health/HealthSettings.java
@@ -17,8 +17,8 @@
  * @param ejectMostUs the longest ejection
  * @param ejectShare share of ready workers that may be ejected at once; one always may, if there are others
  */
-public record HealthSettings(boolean probes, long intervalUs, double jitter, long timeoutUs, int rise, int fall, int atOnce,
-        double panic, boolean slowStart, int failures, long ejectUs, long ejectMostUs, double ejectShare) {
+public record HealthSettings(boolean probesEnabled, long intervalUs, double jitter, long timeoutUs, int rise, int fall, int maxConcurrentProbes,
+        double panicShare, boolean slowStart, int ejectAfterFailures, long ejectUs, long maxEjectUs, double maxEjectedShare) {
     public static final HealthSettings DEFAULTS = new HealthSettings(false, 2_000_000, 0.2, 1_000_000, 2, 3, 4, 0.5, true,
             0, 10_000_000, 60_000_000, 0.1);
 }
--- a/src/main/java/granitefold/health/HealthBoard.java
+++ b/src/main/java/granitefold/health/WorkerHealthTracker.java
@@ -14,12 +14,12 @@
  * Envoy's health checker (jittered intervals, panic threshold); passive ejection after Envoy's outlier detection
  * (consecutive failures, growing ejection time, most share ejected).
  */
-public final class HealthBoard {
+public final class WorkerHealthTracker {
     /** How a worker looks. */
     public enum Health { UP, DOWN, EJECTED }
 
     /** A change of what the module is to be told of a worker; {@code since}: when it came back, 0 if it did not. */
-    public record Change(long worker, boolean usable, long since, Health health, String reason) { }
+    public record Change(long worker, boolean usable, long recoveredAt, Health health, String reason) { }
 
     private static final class Entry {
         final long id;
@@ -46,15 +46,15 @@
     private final SplittableRandom random;
     private final Map<Long, Entry> entries = new LinkedHashMap<>();
     private int probing;
-    private boolean panic;
+    private boolean inPanicMode;
 
-    public HealthBoard(HealthSettings set, long seed) {
+    public WorkerHealthTracker(HealthSettings set, long seed) {
         this.set = set;
         random = new SplittableRandom(seed);
     }
 
     /** Discovery's list of ready workers, whole. One that left and comes again starts anew. */
-    public List<Change> listed(Collection<Long> ready, long now) {
+    public List<Change> updateWorkers(Collection<Long> ready, long now) {
         Map<Long, Entry> old = new HashMap<>(entries);
         entries.clear();
         for (long id : ready) {
@@ -70,12 +70,12 @@
         return changes(now);
     }
 
-    /** Workers to be probed now; each is answered for by {@link #probed}. */
-    public List<Long> due(long now) {
+    /** Workers to be probed now; each is answered for by {@link #onProbeResult}. */
+    public List<Long> takeDueProbes(long now) {
         List<Long> due = new ArrayList<>();
-        if (set.probes()) {
+        if (set.probesEnabled()) {
             for (Entry e : entries.values()) {
-                if (!e.probing && e.probeAt <= now && probing < set.atOnce()) {
+                if (!e.probing && e.probeAt <= now && probing < set.maxConcurrentProbes()) {
                     e.probing = true;
                     probing++;
                     due.add(e.id);
@@ -86,10 +86,10 @@
     }
 
     /** When to look again: a probe falls due, or an ejection ends. */
-    public long wakeAt(long now) {
+    public long nextWakeUpAt(long now) {
         long at = Long.MAX_VALUE;
         for (Entry e : entries.values()) {
-            if (set.probes() && !e.probing && probing < set.atOnce()) {
+            if (set.probesEnabled() && !e.probing && probing < set.maxConcurrentProbes()) {
                 at = Math.min(at, e.probeAt);
             }
             if (e.health == Health.EJECTED) {
@@ -100,7 +100,7 @@
     }
 
     /** A probe has come to its end. */
-    public List<Change> probed(long worker, boolean well, String reason, long now) {
+    public List<Change> onProbeResult(long worker, boolean well, String reason, long now) {
         Entry e = entries.get(worker);
         if (e == null || !e.probing) {
             return List.of();
@@ -120,19 +120,19 @@
     }
 
     /** A real attempt has come to its end. What a worker turned away or failed by itself shows that it is there. */
-    public List<Change> tried(long worker, Outcome outcome, long now) {
+    public List<Change> onAttemptOutcome(long worker, Outcome outcome, long now) {
         Entry e = entries.get(worker);
-        if (e == null || set.failures() == 0 || outcome == Outcome.CANCELLED || outcome == Outcome.MOOT) {
+        if (e == null || set.ejectAfterFailures() == 0 || outcome == Outcome.CANCELLED || outcome == Outcome.MOOT) {
             return List.of();
         }
         boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.BROKEN || outcome == Outcome.TIMED_OUT;
         e.failures = failed ? e.failures + 1 : 0;
-        if (!failed && e.ejections > 0 && e.health == Health.UP && now - e.since > set.ejectMostUs()) {
+        if (!failed && e.ejections > 0 && e.health == Health.UP && now - e.since > set.maxEjectUs()) {
             e.ejections = 0;
         }
-        if (e.failures >= set.failures() && e.health == Health.UP && mayEject()) {
+        if (e.failures >= set.ejectAfterFailures() && e.health == Health.UP && mayEject()) {
             e.ejections++;
-            e.ejectedUntil = now + Math.min(set.ejectMostUs(), set.ejectUs() * e.ejections);
+            e.ejectedUntil = now + Math.min(set.maxEjectUs(), set.ejectUs() * e.ejections);
             turn(e, Health.EJECTED, e.failures + " attempts in a row failed, the last " + outcome, now);
             e.failures = 0;
         }
@@ -140,7 +140,7 @@
     }
 
     /** Time has passed. */
-    public List<Change> elapsed(long now) {
+    public List<Change> expireEjections(long now) {
         for (Entry e : entries.values()) {
             if (e.health == Health.EJECTED && e.ejectedUntil <= now) {
                 turn(e, Health.UP, "its ejection is over", now);
@@ -150,15 +150,15 @@
     }
 
     /** So many ready workers look dead that none is taken to be. */
-    public boolean panic() {
-        return panic;
+    public boolean inPanicMode() {
+        return inPanicMode;
     }
 
-    public int size() {
+    public int workerCount() {
         return entries.size();
     }
 
-    public int down() {
+    public int unhealthyCount() {
         return count(Health.DOWN) + count(Health.EJECTED);
     }
 
@@ -167,7 +167,7 @@
     }
 
     private boolean mayEject() {
-        int most = Math.max(1, (int) (set.ejectShare() * entries.size()));
+        int most = Math.max(1, (int) (set.maxEjectedShare() * entries.size()));
         return entries.size() > 1 && count(Health.EJECTED) < most;
     }
 
@@ -180,10 +180,10 @@
 
     /** What the module is to be told now and was not yet. */
     private List<Change> changes(long now) {
-        panic = entries.size() > 0 && down() > set.panic() * entries.size();
+        inPanicMode = entries.size() > 0 && unhealthyCount() > set.panicShare() * entries.size();
         List<Change> changes = new ArrayList<>();
         for (Entry e : entries.values()) {
-            boolean usable = panic || e.health == Health.UP;
+            boolean usable = inPanicMode || e.health == Health.UP;
             if (usable != e.usable) {
                 e.usable = usable;
                 // one that is used only in a panic did not come back
--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -73,7 +73,7 @@
         this.id = id;
         this.waitsSinceNs = waitsSinceNs;
         reader = new RequestReader(loop::hold, this::goOn);
-        headed = loop.clientRules().proxy();
+        headed = loop.clientRules().proxyHeaderRequired();
         source = endPoint.getRemoteSocketAddress();
     }
 
@@ -174,7 +174,7 @@
     private boolean header() throws IOException {
         try {
             InetSocketAddress proxy = (InetSocketAddress) source;
-            if (!loop.clientRules().from().isEmpty() && !loop.clientRules().from().contains(proxy.getAddress())) {
+            if (!loop.clientRules().proxySources().isEmpty() && !loop.clientRules().proxySources().contains(proxy.getAddress())) {
                 throw new BadRequest(400, "not one of clients.proxy-from");
             }
             ProxyHeader header = ProxyHeader.decode(in);
@@ -246,14 +246,14 @@
         }
         try {
             Submission s = reader.decode(loop.words());
-            metrics = loop.clientRules().orca() && reader.asks(Insight.METRICS_WANTED, "text");
+            metrics = loop.clientRules().loadMetrics() && reader.asks(Insight.METRICS_WANTED, "text");
             if (left()) {
                 gone(CloseReason.CLIENT);
             } else {
                 loop.post(new Event.RequestArrived(id, s, unseenUs()));
             }
         } catch (BadRequest e) {
-            if (loop.clientRules().proxy()) {
+            if (loop.clientRules().proxyHeaderRequired()) {
                 EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
             }
             // what follows may not be what it looks like either: the connection ends
--- a/src/main/java/granitefold/net/Handover.java
+++ b/src/main/java/granitefold/net/Handover.java
@@ -2,8 +2,8 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Learned;
-import granitefold.state.Places;
+import granitefold.recovery.LearnedState;
+import granitefold.state.StateIndexMapping;
 import granitefold.state.StateFile;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,11 +24,11 @@
     private static final long LOOK_MS = 10;
 
     private final Path wish;
-    private final Places places;
+    private final StateIndexMapping places;
     private String answered = "";
 
     /** {@code stem}: the shared path that file names begin with. */
-    Handover(Path stem, Places places) {
+    Handover(Path stem, StateIndexMapping places) {
         wish = named(stem, ".wish");
         this.places = places;
     }
@@ -56,7 +56,7 @@
     }
 
     /** Waits for the answer for so long at the most; null if none came that can be used. */
-    Learned await(String word, long mostMs) throws InterruptedException {
+    LearnedState await(String word, long mostMs) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
         try {
             while (!Files.exists(answer(word)) && System.nanoTime() - until < 0) {
@@ -66,16 +66,16 @@
                 EventLog.log(LogEvent.NOT_INHERITED, "no answer in time");
                 return null;
             }
-            if (Files.size(answer(word)) > StateFile.LENGTH_MOST) {
+            if (Files.size(answer(word)) > StateFile.MAX_LENGTH_BYTES) {
                 EventLog.log(LogEvent.NOT_INHERITED, "the answer is too long");
                 return null;
             }
             StateFile.Content found = StateFile.decode(Files.readAllBytes(answer(word)));
-            if (places.foreign(found) != null) {
-                EventLog.log(LogEvent.NOT_INHERITED, places.foreign(found));
+            if (places.mismatchReason(found) != null) {
+                EventLog.log(LogEvent.NOT_INHERITED, places.mismatchReason(found));
             }
-            return places.here(found);
-        } catch (IOException | StateFile.Unreadable e) {
+            return places.remap(found);
+        } catch (IOException | StateFile.UnreadableFileException e) {
             EventLog.log(LogEvent.NOT_INHERITED, e.getMessage());
             return null;
         } finally {
@@ -109,10 +109,10 @@
     }
 
     /** Writes the answer. */
-    void tell(String word, Learned learned) {
+    void tell(String word, LearnedState learned) {
         Path whole = answer(word + ".new");
         try {
-            Files.write(whole, StateFile.encode(places.content(learned)), StandardOpenOption.CREATE_NEW);
+            Files.write(whole, StateFile.encode(places.toContent(learned)), StandardOpenOption.CREATE_NEW);
             Files.move(whole, answer(word), StandardCopyOption.ATOMIC_MOVE);
             EventLog.log(LogEvent.HANDED_OVER, learned.workers().size(), learned.buckets().size());
         } catch (IOException e) {
--- a/src/main/java/granitefold/net/Insight.java
+++ b/src/main/java/granitefold/net/Insight.java
@@ -2,7 +2,7 @@
 
 import granitefold.core.Report;
 import granitefold.core.Resources;
-import granitefold.operator.Operator;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.LoadMetrics;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -32,7 +32,7 @@
     }
 
     private final Clock clock;
-    private final Operator.Clients clients;
+    private final OperatorSettings.Clients clients;
     private final double cores;
     private final List<MemoryPoolMXBean> heap = ManagementFactory.getMemoryPoolMXBeans().stream()
             .filter(p -> p.getType() == MemoryType.HEAP && p.getCollectionUsage() != null).toList();
@@ -44,7 +44,7 @@
     private String metrics = "";
     private volatile Published published;
 
-    Insight(Clock clock, Operator.Clients clients, double cores) {
+    Insight(Clock clock, OperatorSettings.Clients clients, double cores) {
         this.clock = clock;
         this.clients = clients;
         this.cores = cores;
@@ -79,14 +79,14 @@
 
     void publish(Report report) {
         published = new Published(report, System.nanoTime());
-        if (clients.orca()) {
+        if (clients.loadMetrics()) {
             metrics = LoadMetrics.text(report);
         }
     }
 
     /** Fields for an answer to a client. */
     List<HttpField> fields(ClientConnection client) {
-        boolean leaves = clients.envoy() && published != null && !published.report().verdict().standing().serves();
+        boolean leaves = clients.envoyHeaders() && published != null && !published.report().verdict().status().acceptsTraffic();
         if (!leaves && !client.wantsMetrics()) {
             return List.of();
         }
--- a/src/main/java/granitefold/net/Links.java
+++ b/src/main/java/granitefold/net/Links.java
@@ -4,7 +4,7 @@
 import granitefold.core.Event;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.operator.Operator;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.Config;
 import java.io.IOException;
@@ -20,13 +20,13 @@
     private final Loop loop;
     private final Sockets sockets;
     private final Config config;
-    private final Operator operator;
+    private final OperatorSettings operator;
     private final Map<Long, WorkerLink> workers = new HashMap<>();
     private final Map<Long, ProbeLink> probes = new HashMap<>(0);
     private SiblingConnection siblings;
     private WatchLink watch;
 
-    Links(Loop loop, Sockets sockets, Config config, Operator operator) {
+    Links(Loop loop, Sockets sockets, Config config, OperatorSettings operator) {
         this.loop = loop;
         this.sockets = sockets;
         this.config = config;
--- a/src/main/java/granitefold/net/Loop.java
+++ b/src/main/java/granitefold/net/Loop.java
@@ -6,12 +6,12 @@
 import granitefold.core.Phase;
 import granitefold.core.Reducer;
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Wish;
-import granitefold.figures.Figures;
+import granitefold.availability.RequestedMode;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.operator.Operator;
-import granitefold.recovery.Learned;
+import granitefold.operator.OperatorSettings;
+import granitefold.recovery.LearnedState;
 import granitefold.wire.Address;
 import granitefold.wire.BadWire;
 import granitefold.wire.Config;
@@ -70,25 +70,25 @@
     private long heldBytes;
     /** What the operator's file adds; null where no part of it needs the loop. */
     private final Insight insight;
-    private final Operator operator;
-    private Consumer<Learned> keeper;
+    private final OperatorSettings operator;
+    private Consumer<LearnedState> keeper;
     private final Links links;
     /** The other processes that serve at our address; null where nobody may start one. */
     private final Company company;
     /** Null where no other process may share our folder. */
     private final Handover handover;
-    private volatile Figures figures;
+    private volatile MetricsSnapshot figures;
 
     /** As the platform starts it. */
     public Loop(Config config) {
-        this(config, Operator.NONE);
+        this(config, OperatorSettings.NONE);
     }
 
-    public Loop(Config config, Operator operator) {
+    public Loop(Config config, OperatorSettings operator) {
         this.config = config;
         this.operator = operator;
-        insight = operator.tells() ? new Insight(clock, operator.clients(), config.cores()) : null;
-        if (operator.health() != null && operator.health().probes() && !config.probing()) {
+        insight = operator.publishesAvailability() ? new Insight(clock, operator.clients(), config.cores()) : null;
+        if (operator.health() != null && operator.health().probesEnabled() && !config.probing()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
         // a request holds a connection on either side
@@ -96,9 +96,9 @@
         links = new Links(this, sockets, config, operator);
         company = ops ? Company.at(config.listen()) : null;
         handover = ops && company.stem != null ? new Handover(company.stem, config.places()) : null;
-        int checks = operator.descriptors() + (ops ? OPS_DESCRIPTORS : 0);
-        if (operator.descriptors() > config.sockets() / 4) {
-            throw new BadWire("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
+        int checks = operator.maxDescriptors() + (ops ? OPS_DESCRIPTORS : 0);
+        if (operator.maxDescriptors() > config.sockets() / 4) {
+            throw new BadWire("checks may hold " + operator.maxDescriptors() + " descriptors, more than a quarter of limits.sockets, "
                     + config.sockets());
         }
         int each = Math.max(SPARE + 1, (config.sockets() - RESERVED - checks) / 2);
@@ -108,7 +108,7 @@
 
     /** Opens the sockets and begins; from the main thread. */
     public void start() throws Exception {
-        Learned inherited = null;
+        LearnedState inherited = null;
         if (company != null && company.others()) {
             // the old version serves meanwhile, so that a cold start need not be any client's
             String word = handover == null ? null : handover.ask();
@@ -116,7 +116,7 @@
             EventLog.log(LogEvent.WARMED, Warmup.run(config, bounds), (clock.micros() - at) / 1000);
             inherited = word == null ? null : handover.await(word, INHERIT_MS);
         }
-        Learned former = inherited;
+        LearnedState former = inherited;
         // where the next version may start beside this one, it listens on the same address
         long openedNs = System.nanoTime();
         listener = new ClientListener(sockets, Listeners.tcp(config.listen(), BACKLOG, company != null), this::accepted);
@@ -174,26 +174,26 @@
     }
 
     /** Who keeps what was learned; set before the start, where the operator has named a folder. */
-    public void keeper(Consumer<Learned> who) {
+    public void keeper(Consumer<LearnedState> who) {
         keeper = who;
     }
 
     /** What a former life left; from any thread. */
-    public void recovered(Learned learned) {
+    public void recovered(LearnedState learned) {
         sockets.submit(() -> post(new Event.Recovered(learned)));
     }
 
     /** What the process has done and how it stands; null before the first. From any thread. */
-    public Figures figures() {
+    public MetricsSnapshot figures() {
         return figures;
     }
 
     /** Looks whether a new version asks what was learned; {@code writer} runs what may wait for a file. */
     public void passOn(Consumer<Runnable> writer) {
         // while this one does not serve, the wish is its own
-        if (handover != null && figures != null && figures.serves()) {
+        if (handover != null && figures != null && figures.ready()) {
             handover.look(word -> sockets.submit(() -> {
-                Learned learned = reducer.learned();
+                LearnedState learned = reducer.learned();
                 writer.accept(() -> handover.tell(word, learned));
             }));
         }
@@ -205,7 +205,7 @@
     }
 
     /** An operator's word; from any thread. {@code then} runs on the loop's, once it has been taken in. */
-    public void wish(Wish wish, Runnable then) {
+    public void wish(RequestedMode wish, Runnable then) {
         sockets.submit(() -> {
             post(new Event.Wished(wish));
             then.run();
@@ -222,7 +222,7 @@
         return reducer.phase().name();
     }
 
-    Operator.Clients clientRules() {
+    OperatorSettings.Clients clientRules() {
         return operator.clients();
     }
 
@@ -345,7 +345,7 @@
             insight.publish(e.report());
         } else if (effect instanceof Effect.Count e) {
             figures = e.figures();
-            if (company != null && figures.serves()) {
+            if (company != null && figures.ready()) {
                 company.enter();
             }
         } else if (effect instanceof Effect.Log e) {
--- a/src/main/java/granitefold/net/checks/Checks.java
+++ b/src/main/java/granitefold/net/checks/Checks.java
@@ -1,8 +1,8 @@
 package granitefold.net.checks;
 
-import granitefold.availability.Standing;
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.AvailabilityStatus;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 import granitefold.core.Phase;
 import granitefold.core.Report;
 import granitefold.logging.EventLog;
@@ -11,7 +11,7 @@
 import granitefold.net.Listeners;
 import granitefold.net.Loop;
 import granitefold.net.Sockets;
-import granitefold.operator.Operator;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
 import granitefold.wire.BadWire;
@@ -33,13 +33,13 @@
     /** The loop publishes several times a second; after this much silence nothing that it said counts. */
     private static final long SILENT_US = 2_000_000;
     private static final long SWEEP_MS = 10, IDLE_MS = 1000;
-    private static final Operator.Bounds CONTROL = new Operator.Bounds(8, 1000, 5_000_000);
+    private static final OperatorSettings.ListenerLimits CONTROL = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
 
     private final String name;
     private final Loop loop;
     private final Insight insight;
     private final Sockets sockets = new Sockets("checks", this);
-    private volatile Operator operator;
+    private volatile OperatorSettings operator;
     private volatile Front agent;
     private volatile Front http;
     private volatile Front control;
@@ -51,7 +51,7 @@
     private boolean away;
 
     /** {@code name}: the dispatcher's. */
-    public Checks(String name, Loop loop, Operator operator) {
+    public Checks(String name, Loop loop, OperatorSettings operator) {
         this.name = name;
         this.loop = loop;
         this.operator = operator;
@@ -102,7 +102,7 @@
         }
     }
 
-    private Front front(String what, ServerSocketChannel listener, Operator.Bounds bounds,
+    private Front front(String what, ServerSocketChannel listener, OperatorSettings.ListenerLimits bounds,
             BiFunction<EndPoint, Front, CheckConnection> make) {
         Front front = new Front(what, listener, bounds, sockets, this::stir, make);
         front.begin();
@@ -114,20 +114,20 @@
         return front;
     }
 
-    private Front agent(ServerSocketChannel listener, Operator.Agent set) {
-        return front("agent", listener, set.bounds(), (e, f) -> new AgentConnection(e, f, agentLine()));
+    private Front agent(ServerSocketChannel listener, OperatorSettings.Agent set) {
+        return front("agent", listener, set.limits(), (e, f) -> new AgentConnection(e, f, agentLine()));
     }
 
-    private Front http(ServerSocketChannel listener, Operator.Http set) {
-        return front("http", listener, set.bounds(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
+    private Front http(ServerSocketChannel listener, OperatorSettings.Http set) {
+        return front("http", listener, set.limits(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
     }
 
     /**
      * Moves listeners that are elsewhere now. The new one is bound before the old one goes; one that can't be had
      * leaves the old one as it is. From any thread but the checks'.
      */
-    public synchronized void reload(Operator next) {
-        Operator last = operator;
+    public synchronized void reload(OperatorSettings next) {
+        OperatorSettings last = operator;
         operator = next;
         agent = moved("agent", agent, last.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
                 last.agent() == null ? null : last.agent().listen(), l -> agent(l, next.agent()));
@@ -209,7 +209,7 @@
     }
 
     private void readyAgain() {
-        readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().readyUs() * 1000);
+        readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().announceReadyUs() * 1000);
     }
 
     private byte[] agentLine() {
@@ -220,8 +220,8 @@
         if (silent(p)) {
             return AgentLine.silent();
         }
-        Verdict v = p.report().verdict();
-        boolean leaves = v.standing() == Standing.DRAINING || v.standing() == Standing.MAINT;
+        AvailabilityReport v = p.report().verdict();
+        boolean leaves = v.status() == AvailabilityStatus.DRAINING || v.status() == AvailabilityStatus.MAINT;
         if (away && !leaves) {
             // each balancer that polls must hear that the drain was withdrawn, also those that ask seldom
             readyAgain();
@@ -255,23 +255,23 @@
      */
     private HttpCheckConnection.Answer readiness(Insight.Published p, boolean verbose) {
         Report r = p == null ? null : p.report();
-        Standing s = r == null ? Standing.STARTING : r.verdict().standing();
-        boolean leaves = s == Standing.DRAINING || s == Standing.MAINT;
-        int status = silent(p) ? 503 : s.serves() ? 200 : leaves ? operator.http().drainStatus() : 503;
+        AvailabilityStatus s = r == null ? AvailabilityStatus.STARTING : r.verdict().status();
+        boolean leaves = s == AvailabilityStatus.DRAINING || s == AvailabilityStatus.MAINT;
+        int status = silent(p) ? 503 : s.acceptsTraffic() ? 200 : leaves ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
         if (leaves) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (s.serves() && r.verdict().impaired()) {
+        } else if (s.acceptsTraffic() && r.verdict().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
         String text = s.name().toLowerCase(Locale.ROOT) + "\n";
         if (verbose && r != null) {
             text = line("loop", !silent(p), "silent for " + p.ageUs() / 1000 + " ms")
                     + line("phase", r.phase() == Phase.SERVING, r.phase().name())
-                    + line("operator", r.wish() == Wish.READY, r.wish().name())
+                    + line("operator", r.wish() == RequestedMode.READY, r.wish().name())
                     + line("discovery", r.confirmed(), "the list is a saved one")
                     + line("peers", r.ready() > 0, "none is ready")
-                    + line("load", s != Standing.OVERLOADED, r.verdict().reason())
+                    + line("load", s != AvailabilityStatus.OVERLOADED, r.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
@@ -287,10 +287,10 @@
 
     // ---------------------------------------------------------------- control
     private void command(String command, Consumer<byte[]> answer) {
-        Wish wish = switch (command) {
-            case "drain" -> Wish.DRAIN;
-            case "maint" -> Wish.MAINT;
-            case "ready" -> Wish.READY;
+        RequestedMode wish = switch (command) {
+            case "drain" -> RequestedMode.DRAIN;
+            case "maint" -> RequestedMode.MAINT;
+            case "ready" -> RequestedMode.READY;
             default -> null;
         };
         Insight.Published p = published();
--- a/src/main/java/granitefold/net/checks/Front.java
+++ b/src/main/java/granitefold/net/checks/Front.java
@@ -3,7 +3,7 @@
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
 import granitefold.net.Sockets;
-import granitefold.operator.Operator.Bounds;
+import granitefold.operator.OperatorSettings.ListenerLimits;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.net.StandardSocketOptions;
@@ -23,7 +23,7 @@
 
     final String name;
     final ServerSocketChannel listener;
-    private final Bounds bounds;
+    private final ListenerLimits bounds;
     private final Sockets sockets;
     /** Asks for {@link #sweep} soon. */
     private final Runnable stir;
@@ -34,7 +34,7 @@
     private long allowedAt = System.nanoTime();
     private boolean paused;
 
-    Front(String name, ServerSocketChannel listener, Bounds bounds, Sockets sockets,
+    Front(String name, ServerSocketChannel listener, ListenerLimits bounds, Sockets sockets,
             Runnable stir, BiFunction<EndPoint, Front, CheckConnection> make) {
         this.name = name;
         this.listener = listener;
@@ -50,13 +50,13 @@
     }
 
     private double burst() {
-        return Math.max(1, bounds.perS() * BURST_S);
+        return Math.max(1, bounds.maxConnectionsPerS() * BURST_S);
     }
 
     @Override
     public boolean ready() {
         long now = System.nanoTime();
-        allowance = Math.min(burst(), allowance + (now - allowedAt) / 1e9 * bounds.perS());
+        allowance = Math.min(burst(), allowance + (now - allowedAt) / 1e9 * bounds.maxConnectionsPerS());
         allowedAt = now;
         if (allowance < 1 && !paused) {
             paused = true;
@@ -69,7 +69,7 @@
     @Override
     public void take(SocketChannel channel) throws IOException {
         allowance--;
-        if (open.size() >= bounds.connections()) {
+        if (open.size() >= bounds.maxConnections()) {
             // whoever holds on longest has had the most of it
             Iterator<CheckConnection> oldest = open.keySet().iterator();
             EventLog.log(LogEvent.CHECKS_CROWDED, name);
--- a/src/main/java/granitefold/net/checks/Ops.java
+++ b/src/main/java/granitefold/net/checks/Ops.java
@@ -1,12 +1,12 @@
 package granitefold.net.checks;
 
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
 import granitefold.net.Listeners;
 import granitefold.net.Loop;
 import granitefold.net.Sockets;
-import granitefold.operator.Operator;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.BadWire;
 import granitefold.wire.FiguresJson;
@@ -52,7 +52,7 @@
             throw new BadWire("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
         sockets.start();
-        front = new Front("ops", listener, new Operator.Bounds(CONNECTIONS, PER_S, LIFE_US), sockets, this::stir,
+        front = new Front("ops", listener, new OperatorSettings.ListenerLimits(CONNECTIONS, PER_S, LIFE_US), sockets, this::stir,
                 (e, f) -> new LineConnection(e, f, this::answer));
         front.begin();
         EventLog.log(LogEvent.CHECKS_LISTENING, "ops", Address.text(bound));
@@ -60,15 +60,15 @@
     }
 
     private void answer(String call, Consumer<byte[]> answer) {
-        Figures f = loop.figures();
+        MetricsSnapshot f = loop.figures();
         switch (call) {
-            case "check" -> answer.accept(text(f == null ? "NAK starting" : f.serves() ? "ACK" : "NAK " + loop.standing()));
+            case "check" -> answer.accept(text(f == null ? "NAK starting" : f.ready() ? "ACK" : "NAK " + loop.standing()));
             case "vars" -> answer.accept(f == null ? text("NAK starting") : vars(f));
             default -> answer.accept(text("NAK known are check and vars"));
         }
     }
 
-    private byte[] vars(Figures f) {
+    private byte[] vars(MetricsSnapshot f) {
         return text(new String(FiguresJson.encode(f, classes), StandardCharsets.UTF_8) + "\n--");
     }
 
--- a/src/main/java/granitefold/operator/Section.java
+++ b/src/main/java/granitefold/operator/ConfigSection.java
@@ -20,7 +20,7 @@
  * One section of the file. Each key is asked for once, with what is allowed and what holds without it; what is wrong
  * is noted and reading goes on. At the end a key that nobody asked for is a problem too.
  */
-public final class Section {
+public final class ConfigSection {
     /** A word this far from a known key, or nearer, is taken for a slip of the pen. */
     private static final int NEAR = 4;
 
@@ -49,45 +49,45 @@
         }
     }
 
-    Section(String path, Config here, Notes notes) {
+    ConfigSection(String path, Config here, Notes notes) {
         this.path = path;
         this.here = here;
         this.notes = notes;
     }
 
     /** The section below a key; without it one that has no keys. */
-    public Section section(String key) {
+    public ConfigSection section(String key) {
         known.add(key);
         ConfigValue v = value(key);
         if (v != null && v.valueType() != ConfigValueType.OBJECT) {
             wrong(key, v, "a section: " + key + " { ... }");
             v = null;
         }
-        return new Section(path(key), v == null ? com.typesafe.config.ConfigFactory.empty() : ((ConfigObject) v).toConfig(),
+        return new ConfigSection(path(key), v == null ? com.typesafe.config.ConfigFactory.empty() : ((ConfigObject) v).toConfig(),
                 notes);
     }
 
     /** The named sections below a key, in the order of the file. */
-    public Map<String, Section> named(String key) {
-        Section all = section(key);
-        Map<String, Section> found = new LinkedHashMap<>();
+    public Map<String, ConfigSection> named(String key) {
+        ConfigSection all = section(key);
+        Map<String, ConfigSection> found = new LinkedHashMap<>();
         all.here.root().entrySet().stream().sorted(java.util.Comparator.comparingInt(e -> e.getValue().origin().lineNumber()))
                 .forEach(e -> found.put(e.getKey(), all.section(e.getKey())));
         return found;
     }
 
     /** The sections of a list. */
-    public List<Section> list(String key) {
+    public List<ConfigSection> sections(String key) {
         known.add(key);
         ConfigValue v = value(key);
-        List<Section> found = new ArrayList<>();
+        List<ConfigSection> found = new ArrayList<>();
         if (v != null && v.valueType() != ConfigValueType.LIST) {
             wrong(key, v, "a list of sections: " + key + " = [ { ... } ]");
         } else if (v != null) {
             for (ConfigValue one : (com.typesafe.config.ConfigList) v) {
                 String at = path(key) + "[" + found.size() + "]";
                 if (one.valueType() == ConfigValueType.OBJECT) {
-                    found.add(new Section(at, ((ConfigObject) one).toConfig(), notes));
+                    found.add(new ConfigSection(at, ((ConfigObject) one).toConfig(), notes));
                 } else {
                     notes.add(one.origin().lineNumber(), at + ": " + one.unwrapped() + " is not a section");
                 }
@@ -114,12 +114,12 @@
     }
 
     /** True or false. */
-    public boolean yes(String key, boolean absent) {
+    public boolean bool(String key, boolean absent) {
         return read(key, absent, "true or false", () -> here.getBoolean(key));
     }
 
     /** A whole number within bounds. */
-    public int whole(String key, int absent, int least, int most) {
+    public int integer(String key, int absent, int least, int most) {
         return read(key, absent, "a whole number from " + least + " to " + most, () -> {
             double v = here.getDouble(key);
             return v == Math.rint(v) && v >= least && v <= most ? (int) v : null;
@@ -135,7 +135,7 @@
     }
 
     /** A time in microseconds, written with its unit. */
-    public long time(String key, long absentUs, long leastMs, long mostMs) {
+    public long durationUs(String key, long absentUs, long leastMs, long mostMs) {
         return read(key, absentUs, "a time from " + leastMs + "ms to " + mostMs + "ms, with its unit", () -> {
             // a bare number would be milliseconds, which nobody can see
             if (here.getValue(key).valueType() != ConfigValueType.STRING) {
@@ -147,7 +147,7 @@
     }
 
     /** A text that a test finds good; {@code allowed} says what that is. */
-    public String text(String key, String absent, String allowed, java.util.function.Predicate<String> good) {
+    public String string(String key, String absent, String allowed, java.util.function.Predicate<String> good) {
         return read(key, absent, allowed, () -> {
             String v = here.getString(key);
             return good.test(v) ? v : null;
@@ -155,12 +155,12 @@
     }
 
     /** One of these words. */
-    public String word(String key, String absent, String... words) {
-        return text(key, absent, String.join(" or ", words), List.of(words)::contains);
+    public String choice(String key, String absent, String... words) {
+        return string(key, absent, String.join(" or ", words), List.of(words)::contains);
     }
 
     /** A list of texts that a test finds good, each. */
-    public List<String> texts(String key, String allowed, java.util.function.Predicate<String> good) {
+    public List<String> strings(String key, String allowed, java.util.function.Predicate<String> good) {
         return read(key, List.of(), allowed, () -> {
             List<String> all = here.getStringList(key);
             return all.stream().allMatch(good) ? all : null;
@@ -170,7 +170,7 @@
     /** An address, or null. */
     public InetSocketAddress address(String key) {
         InetSocketAddress[] found = new InetSocketAddress[1];
-        text(key, "", "host:port with a literal address, as 127.0.0.1:9701", v -> {
+        string(key, "", "host:port with a literal address, as 127.0.0.1:9701", v -> {
             try {
                 found[0] = granitefold.wire.Address.of(v);
                 return true;
@@ -218,7 +218,7 @@
     }
 
     /** Names what is there and unknown, each with the known key that it is most like. */
-    public void finish() {
+    public void reportUnknownKeys() {
         for (Map.Entry<String, ConfigValue> e : here.root().entrySet()) {
             if (!known.contains(e.getKey())) {
                 LevenshteinDistance distance = new LevenshteinDistance();
--- a/src/main/java/granitefold/operator/HoconFile.java
+++ b/src/main/java/granitefold/operator/HoconFile.java
@@ -28,41 +28,41 @@
     private HoconFile() { }
 
     /** Reads a file; {@code reader} asks the whole file's section for all that it may hold. */
-    public static <T> Read<T> read(Path file, Function<Section, T> reader) throws BrokenFile {
+    public static <T> Read<T> read(Path file, Function<ConfigSection, T> reader) throws InvalidFileException {
         try {
             if (Files.size(file) > LENGTH_MOST) {
-                throw new BrokenFile(List.of(file + ": longer than " + LENGTH_MOST + " bytes"));
+                throw new InvalidFileException(List.of(file + ": longer than " + LENGTH_MOST + " bytes"));
             }
             return read(file.toString(), Files.readString(file), reader);
         } catch (CharacterCodingException e) {
-            throw new BrokenFile(List.of(file + ": is not UTF-8"));
+            throw new InvalidFileException(List.of(file + ": is not UTF-8"));
         } catch (IOException e) {
-            throw new BrokenFile(List.of(file + ": cannot be read: " + e));
+            throw new InvalidFileException(List.of(file + ": cannot be read: " + e));
         }
     }
 
     /** Reads a text; {@code name} is what its problems are told by. */
-    public static <T> Read<T> read(String name, String text, Function<Section, T> reader) throws BrokenFile {
-        Section.Notes notes = new Section.Notes(name);
+    public static <T> Read<T> read(String name, String text, Function<ConfigSection, T> reader) throws InvalidFileException {
+        ConfigSection.Notes notes = new ConfigSection.Notes(name);
         T value = null;
         try {
             if (deep(text)) {
-                throw new BrokenFile(List.of(name + ": nested deeper than " + DEPTH_MOST));
+                throw new InvalidFileException(List.of(name + ": nested deeper than " + DEPTH_MOST));
             }
             // an include would read other files, or addresses, that nobody has checked
             Config all = ConfigFactory.parseString(text, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.CONF)
                     .setOriginDescription(name).setIncluder(new NoIncludes()));
             if (!all.isResolved()) {
                 // a few lines of them can stand for a text that fills the memory
-                throw new BrokenFile(List.of(name + ": ${...} is not taken: each key has its own value"));
+                throw new InvalidFileException(List.of(name + ": ${...} is not taken: each key has its own value"));
             }
-            value = reader.apply(new Section("", all, notes));
+            value = reader.apply(new ConfigSection("", all, notes));
         } catch (ConfigException | BadWire e) {
             ConfigException c = e instanceof ConfigException ce ? ce : null;
             notes.add(c == null || c.origin() == null ? 0 : c.origin().lineNumber(), plain(e.getMessage(), name));
         }
         if (!notes.problems().isEmpty()) {
-            throw new BrokenFile(notes.problems());
+            throw new InvalidFileException(notes.problems());
         }
         return new Read<>(value, notes.effective);
     }
--- a/src/main/java/granitefold/operator/BrokenFile.java
+++ b/src/main/java/granitefold/operator/InvalidFileException.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** A file that cannot be used: all problems of it, each with file, line and key. */
-public final class BrokenFile extends Exception {
+public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<String> problems;
 
-    public BrokenFile(List<String> problems) {
+    public InvalidFileException(List<String> problems) {
         super(String.join("; ", problems));
         this.problems = List.copyOf(problems);
     }
--- a/src/main/java/granitefold/operator/OperatorFile.java
+++ b/src/main/java/granitefold/operator/OperatorFile.java
@@ -2,7 +2,7 @@
 
 import granitefold.availability.AvailabilitySettings;
 import granitefold.health.HealthSettings;
-import granitefold.operator.Operator.Bounds;
+import granitefold.operator.OperatorSettings.ListenerLimits;
 import granitefold.wire.BadWire;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
@@ -17,73 +17,73 @@
     private static final long MINUTE_MS = 60_000, HOUR_MS = 3_600_000;
 
     /** A file that was read: the settings, and every key with the value that holds. */
-    public record Read(Operator operator, Map<String, String> effective) { }
+    public record Read(OperatorSettings settings, Map<String, String> effective) { }
 
     private OperatorFile() { }
 
     /** Reads and checks a file. */
-    public static Read read(Path file) throws BrokenFile {
-        HoconFile.Read<Operator> read = HoconFile.read(file, OperatorFile::read);
+    public static Read read(Path file) throws InvalidFileException {
+        HoconFile.Read<OperatorSettings> read = HoconFile.read(file, OperatorFile::read);
         return new Read(read.value(), read.effective());
     }
 
     /** Reads and checks a text; {@code name} is what its problems are told by. */
-    public static Read read(String name, String text) throws BrokenFile {
-        HoconFile.Read<Operator> read = HoconFile.read(name, text, OperatorFile::read);
+    public static Read read(String name, String text) throws InvalidFileException {
+        HoconFile.Read<OperatorSettings> read = HoconFile.read(name, text, OperatorFile::read);
         return new Read(read.value(), read.effective());
     }
 
-    private static Operator read(Section all) {
-        Section log = all.section("log");
-        Section checks = all.section("checks");
-        Section agent = checks.section("agent");
-        Section http = checks.section("http");
-        Section control = all.section("control");
-        Section clients = all.section("clients");
-        Section availability = all.section("availability");
-        Section overload = availability.section("overload");
-        Section probe = all.section("probe");
-        Section eject = all.section("eject");
-        Section state = all.section("state");
-        Operator operator = new Operator(new Operator.Log(log.word("format", "text", "text", "json").equals("json"), log.yes("requests", false)),
+    private static OperatorSettings read(ConfigSection all) {
+        ConfigSection log = all.section("log");
+        ConfigSection checks = all.section("checks");
+        ConfigSection agent = checks.section("agent");
+        ConfigSection http = checks.section("http");
+        ConfigSection control = all.section("control");
+        ConfigSection clients = all.section("clients");
+        ConfigSection availability = all.section("availability");
+        ConfigSection overload = availability.section("overload");
+        ConfigSection probe = all.section("probe");
+        ConfigSection eject = all.section("eject");
+        ConfigSection state = all.section("state");
+        OperatorSettings operator = new OperatorSettings(new OperatorSettings.Log(log.choice("format", "text", "text", "json").equals("json"), log.bool("requests", false)),
                 agent(agent), http(http), control(control), clients(clients), availability(availability, overload),
                 health(probe, eject), probe(probe), state(state));
-        for (Section s : List.of(log, agent, http, checks, control, clients, overload, availability, probe, eject, state, all)) {
-            s.finish();
+        for (ConfigSection s : List.of(log, agent, http, checks, control, clients, overload, availability, probe, eject, state, all)) {
+            s.reportUnknownKeys();
         }
         return operator;
     }
 
-    private static Bounds bounds(Section s) {
-        return new Bounds(s.whole("connections", 64, 1, 4096), s.whole("per-second", 1000, 1, 100_000),
-                s.time("timeout", 2_000_000, 50, MINUTE_MS));
+    private static ListenerLimits bounds(ConfigSection s) {
+        return new ListenerLimits(s.integer("connections", 64, 1, 4096), s.integer("per-second", 1000, 1, 100_000),
+                s.durationUs("timeout", 2_000_000, 50, MINUTE_MS));
     }
 
-    private static Operator.Agent agent(Section s) {
+    private static OperatorSettings.Agent agent(ConfigSection s) {
         boolean on = s.has("listen");
-        Operator.Agent agent = new Operator.Agent(s.address("listen"), bounds(s),
-                s.time("ready-for", 30_000_000, 0, HOUR_MS));
+        OperatorSettings.Agent agent = new OperatorSettings.Agent(s.address("listen"), bounds(s),
+                s.durationUs("ready-for", 30_000_000, 0, HOUR_MS));
         return on ? agent : null;
     }
 
-    private static Operator.Http http(Section s) {
+    private static OperatorSettings.Http http(ConfigSection s) {
         boolean on = s.has("listen");
-        Operator.Http http = new Operator.Http(s.address("listen"), bounds(s),
-                Integer.parseInt(s.word("drain-status", "404", "404", "503")));
+        OperatorSettings.Http http = new OperatorSettings.Http(s.address("listen"), bounds(s),
+                Integer.parseInt(s.choice("drain-status", "404", "404", "503")));
         return on ? http : null;
     }
 
-    private static Operator.Control control(Section s) {
+    private static OperatorSettings.Control control(ConfigSection s) {
         // the kernel's sun_path holds 108 bytes with the end mark, and a name for a moment is longer by a few
-        String path = s.text("socket", "", "an absolute path of at most 90 bytes", v -> v.startsWith("/")
+        String path = s.string("socket", "", "an absolute path of at most 90 bytes", v -> v.startsWith("/")
                 && v.indexOf('\0') < 0 && v.getBytes(java.nio.charset.StandardCharsets.UTF_8).length <= 90);
-        return path.isEmpty() ? null : new Operator.Control(Path.of(path));
+        return path.isEmpty() ? null : new OperatorSettings.Control(Path.of(path));
     }
 
-    private static Operator.Clients clients(Section s) {
+    private static OperatorSettings.Clients clients(ConfigSection s) {
         String allowed = "a list of literal addresses";
         Set<InetAddress> from = new HashSet<>();
-        s.texts("proxy-from", allowed, v -> {
+        s.strings("proxy-from", allowed, v -> {
             try {
                 from.add(granitefold.wire.Address.of((v.contains(":") ? "[" + v + "]" : v) + ":0").getAddress());
                 return true;
@@ -91,50 +91,50 @@
                 return false;
             }
         });
-        return new Operator.Clients(s.word("proxy-protocol", "off", "off", "required").equals("required"), Set.copyOf(from),
-                s.yes("envoy-headers", false), s.yes("load-metrics", false));
+        return new OperatorSettings.Clients(s.choice("proxy-protocol", "off", "off", "required").equals("required"), Set.copyOf(from),
+                s.bool("envoy-headers", false), s.bool("load-metrics", false));
     }
 
-    private static AvailabilitySettings availability(Section s, Section overload) {
+    private static AvailabilitySettings availability(ConfigSection s, ConfigSection overload) {
         AvailabilitySettings d = AvailabilitySettings.DEFAULTS;
-        return new AvailabilitySettings(s.time("interval", d.intervalUs(), 10, MINUTE_MS), s.whole("rise", d.rise(), 1, 1000),
-                s.whole("fall", d.fall(), 1, 1000), s.time("dwell", d.dwellUs(), 0, HOUR_MS),
-                s.whole("step-up", d.stepUp(), 1, 100), s.whole("step-down", d.stepDown(), 1, 100),
-                s.whole("floor", d.floor(), 1, 100), s.whole("stale-weight", d.staleWeight(), 1, 99),
-                s.whole("stale-tries", d.staleAttempts(), 1, 1_000_000), s.whole("slow-start-from", d.slowFrom(), 1, 100),
-                s.time("slow-start", d.slowUs(), 0, HOUR_MS), s.time("silence", d.silenceUs(), 1000, HOUR_MS),
-                overload.number("rejects", d.rejects(), 0.01, 1),
-                overload.number("full", d.full(), 0.01, 1), overload.number("wait", d.waits(), 0.1, 1000),
-                overload.time("lag", d.lagUs(), 1, MINUTE_MS), overload.number("room", d.room(), 0.1, 1),
-                overload.number("relief", d.relief(), 0.1, 0.99));
+        return new AvailabilitySettings(s.durationUs("interval", d.intervalUs(), 10, MINUTE_MS), s.integer("rise", d.rise(), 1, 1000),
+                s.integer("fall", d.fall(), 1, 1000), s.durationUs("dwell", d.dwellUs(), 0, HOUR_MS),
+                s.integer("step-up", d.stepUp(), 1, 100), s.integer("step-down", d.stepDown(), 1, 100),
+                s.integer("floor", d.minWeight(), 1, 100), s.integer("stale-weight", d.staleWeight(), 1, 99),
+                s.integer("stale-tries", d.staleAttempts(), 1, 1_000_000), s.integer("slow-start-from", d.slowStartWeight(), 1, 100),
+                s.durationUs("slow-start", d.slowStartUs(), 0, HOUR_MS), s.durationUs("silence", d.discoverySilenceUs(), 1000, HOUR_MS),
+                overload.number("rejects", d.rejectShare(), 0.01, 1),
+                overload.number("full", d.refusingWorkerShare(), 0.01, 1), overload.number("wait", d.waitMultiple(), 0.1, 1000),
+                overload.durationUs("lag", d.lagUs(), 1, MINUTE_MS), overload.number("room", d.resourceShare(), 0.1, 1),
+                overload.number("relief", d.reliefFactor(), 0.1, 0.99));
     }
 
-    private static HealthSettings health(Section probe, Section eject) {
+    private static HealthSettings health(ConfigSection probe, ConfigSection eject) {
         HealthSettings d = HealthSettings.DEFAULTS;
-        HealthSettings h = new HealthSettings(probe.yes("allowed", false), probe.time("interval", d.intervalUs(), 50, HOUR_MS),
-                probe.number("jitter", d.jitter(), 0, 0.9), probe.time("timeout", d.timeoutUs(), 10, MINUTE_MS),
-                probe.whole("rise", d.rise(), 1, 1000), probe.whole("fall", d.fall(), 1, 1000),
-                probe.whole("at-once", d.atOnce(), 1, 256), probe.number("panic", d.panic(), 0, 1),
-                probe.yes("slow-start", d.slowStart()), eject.whole("failures", d.failures(), 0, 1000),
-                eject.time("time", d.ejectUs(), 100, HOUR_MS), eject.time("most", d.ejectMostUs(), 100, HOUR_MS),
-                eject.number("share", d.ejectShare(), 0, 1));
-        return h.probes() || h.failures() > 0 ? h : null;
+        HealthSettings h = new HealthSettings(probe.bool("allowed", false), probe.durationUs("interval", d.intervalUs(), 50, HOUR_MS),
+                probe.number("jitter", d.jitter(), 0, 0.9), probe.durationUs("timeout", d.timeoutUs(), 10, MINUTE_MS),
+                probe.integer("rise", d.rise(), 1, 1000), probe.integer("fall", d.fall(), 1, 1000),
+                probe.integer("at-once", d.maxConcurrentProbes(), 1, 256), probe.number("panic", d.panicShare(), 0, 1),
+                probe.bool("slow-start", d.slowStart()), eject.integer("failures", d.ejectAfterFailures(), 0, 1000),
+                eject.durationUs("time", d.ejectUs(), 100, HOUR_MS), eject.durationUs("most", d.maxEjectUs(), 100, HOUR_MS),
+                eject.number("share", d.maxEjectedShare(), 0, 1));
+        return h.probesEnabled() || h.ejectAfterFailures() > 0 ? h : null;
     }
 
-    private static Operator.State state(Section s) {
-        String dir = s.text("dir", "", "an absolute path", v -> v.startsWith("/") && v.indexOf('\0') < 0);
-        Operator.State state = new Operator.State(dir.isEmpty() ? null : Path.of(dir), s.time("every", 1_000_000, 100, HOUR_MS),
-                s.whole("keep", 2, 2, 10));
+    private static OperatorSettings.State state(ConfigSection s) {
+        String dir = s.string("dir", "", "an absolute path", v -> v.startsWith("/") && v.indexOf('\0') < 0);
+        OperatorSettings.State state = new OperatorSettings.State(dir.isEmpty() ? null : Path.of(dir), s.durationUs("every", 1_000_000, 100, HOUR_MS),
+                s.integer("keep", 2, 2, 10));
         return dir.isEmpty() ? null : state;
     }
 
-    private static Operator.Probe probe(Section s) {
-        return new Operator.Probe(s.text("path", Operator.NONE.probe().path(), "a path of visible ASCII that begins with /",
+    private static OperatorSettings.Probe probe(ConfigSection s) {
+        return new OperatorSettings.Probe(s.string("path", OperatorSettings.NONE.probe().path(), "a path of visible ASCII that begins with /",
                 v -> v.matches("/[!-~]{0,200}")));
     }
 
     /** Keys of {@code to} that a running process cannot take over from {@code from}. */
-    public static List<String> restartOnly(Operator from, Operator to) {
+    public static List<String> keysNeedingRestart(OperatorSettings from, OperatorSettings to) {
         List<String> keys = new java.util.ArrayList<>();
         if (from.log().json() != to.log().json()) {
             keys.add("log.format");
@@ -157,7 +157,7 @@
         if (!java.util.Objects.equals(from.state(), to.state())) {
             keys.add("state");
         }
-        if (!from.checks() && to.checks()) {
+        if (!from.hasCheckListener() && to.hasCheckListener()) {
             keys.add("checks");
         }
         return keys;
--- a/src/main/java/granitefold/policy/Decide.java
+++ b/src/main/java/granitefold/policy/Decide.java
@@ -1,7 +1,7 @@
 package granitefold.policy;
 
 import granitefold.Dispatcher;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -247,12 +247,12 @@
     }
 
     @Override
-    public Learned learned(long now) {
+    public LearnedState learned(long now) {
         return FormerLife.learned(k, cold, now);
     }
 
     @Override
-    public void restore(long now, Learned l) {
+    public void restore(long now, LearnedState l) {
         FormerLife.restore(k, admission, now, l);
     }
 }
--- a/src/main/java/granitefold/policy/FormerLife.java
+++ b/src/main/java/granitefold/policy/FormerLife.java
@@ -1,7 +1,7 @@
 package granitefold.policy;
 
 import granitefold.Dispatcher;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.util.List;
 import java.util.stream.LongStream;
 
@@ -9,30 +9,30 @@
 final class FormerLife {
     private FormerLife() { }
 
-    static Learned learned(Knowledge k, ColdBudget cold, long now) {
-        List<Learned.Kind> of = k.kinds.entrySet().stream().map(e -> new Learned.Kind(e.getKey(),
+    static LearnedState learned(Knowledge k, ColdBudget cold, long now) {
+        List<LearnedState.Kind> of = k.kinds.entrySet().stream().map(e -> new LearnedState.Kind(e.getKey(),
                 e.getValue().sum, e.getValue().count, k.kindSlots.getOrDefault(e.getKey(), 0))).toList();
-        List<Learned.Worker> workers = k.nodes.values().stream().filter(n -> n.state != Dispatcher.State.GONE)
-                .map(n -> new Learned.Worker(n.id, n.kind, n.startedAt, n.lostAt, n.speed.sum,
+        List<LearnedState.Worker> workers = k.nodes.values().stream().filter(n -> n.state != Dispatcher.State.GONE)
+                .map(n -> new LearnedState.Worker(n.id, n.kind, n.startedAt, n.lostAt, n.speed.sum,
                 n.speed.count, n.slots, cold.sent(n, now), n.keys())).toList();
-        List<Learned.Bucket> full = k.buckets.entrySet().stream().map(e -> new Learned.Bucket(e.getKey(),
+        List<LearnedState.Bucket> full = k.buckets.entrySet().stream().map(e -> new LearnedState.Bucket(e.getKey(),
                 LongStream.of(e.getValue().used).boxed().toList(), e.getValue().credited,
                 e.getValue().refilledAt)).toList();
-        return new Learned(now, k.fetchTime, k.kept, k.meanWork, k.worksSeen, of, workers, full, List.of());
+        return new LearnedState(now, k.fetchTime, k.kept, k.meanWork, k.worksSeen, of, workers, full, List.of());
     }
 
-    static void restore(Knowledge k, Admission admission, long now, Learned l) {
+    static void restore(Knowledge k, Admission admission, long now, LearnedState l) {
         if (l.works() > k.worksSeen) {
             k.meanWork = l.meanWork();
             k.worksSeen = l.works();
             k.fetchTime = l.fetchUs();
             k.kept = l.kept();
         }
-        for (Learned.Kind of : l.kinds()) {
+        for (LearnedState.Kind of : l.kinds()) {
             restore(k.kinds.computeIfAbsent(of.kind(), x -> new Speed(Waits.KIND_MEMORY)), of.sum(), of.weight());
             k.kindSlots.merge(of.kind(), of.slots(), Math::max);
         }
-        for (Learned.Worker p : l.workers()) {
+        for (LearnedState.Worker p : l.workers()) {
             Node n = k.nodes.get(p.id());
             if (n != null) {
                 restore(n.speed, p.sum(), p.weight());
@@ -45,7 +45,7 @@
                 }
             }
         }
-        for (Learned.Bucket old : l.buckets()) {
+        for (LearnedState.Bucket old : l.buckets()) {
             Bucket b = admission.bucket(old.tenant(), now);
             for (int owner = 0; b != null && owner < Math.min(b.used.length, old.used().size()); owner++) {
                 // our own use of this life comes on top, as where gossip brings the former one back
--- a/src/main/java/granitefold/recovery/Learned.java
+++ b/src/main/java/granitefold/recovery/LearnedState.java
@@ -9,7 +9,7 @@
  * @param fetchUs time that a fetch takes, {@code kept}: keys that a worker keeps
  * @param meanWork mean hinted work in microseconds, {@code works}: hints that it was learned from
  */
-public record Learned(long at, double fetchUs, double kept, double meanWork, long works, List<Kind> kinds, List<Worker> workers,
+public record LearnedState(long at, double fetchUs, double kept, double meanWork, long works, List<Kind> kinds, List<Worker> workers,
         List<Bucket> buckets, List<Key> keys) {
 
     /** Speed as {@code Speed} holds it: a sum of logarithms and its weight in jobs; {@code slots}: 0 while unknown. */
--- a/src/main/java/granitefold/recovery/AgeingSettings.java
+++ b/src/main/java/granitefold/recovery/LearnedStateAgingSettings.java
@@ -9,7 +9,7 @@
  * @param fetchUs the fetch's time and the number of kept keys
  * @param keptUs which keys a worker keeps
  */
-public record AgeingSettings(long speedUs, long kindUs, long fetchUs, long keptUs, double uses) {
+public record LearnedStateAgingSettings(long workerSpeedUs, long kindSpeedUs, long fetchTimeUs, long keptKeysUs, double maxTimeConstants) {
     private static final long S = 1_000_000;
-    public static final AgeingSettings DEFAULTS = new AgeingSettings(60 * S, 86_400 * S, 3_600 * S, 30 * S, 5);
+    public static final LearnedStateAgingSettings DEFAULTS = new LearnedStateAgingSettings(60 * S, 86_400 * S, 3_600 * S, 30 * S, 5);
 }
--- a/src/main/java/granitefold/standin/ground/GroundCommand.java
+++ b/src/main/java/granitefold/standin/ground/GroundCommand.java
@@ -1,6 +1,6 @@
 package granitefold.standin.ground;
 
-import granitefold.operator.BrokenFile;
+import granitefold.operator.InvalidFileException;
 import granitefold.standin.history.Checker;
 import granitefold.standin.history.History;
 import granitefold.standin.history.Violation;
@@ -50,7 +50,7 @@
             }
         });
         line.setExecutionExceptionHandler((e, command, result) -> {
-            if (e instanceof BrokenFile broken) {
+            if (e instanceof InvalidFileException broken) {
                 broken.problems().forEach(command.getErr()::println);
                 return BROKEN_FILE;
             }
--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -80,7 +80,7 @@
         return 0;
     }
 
-    private Outcome play(long seed, Path fresh, Pace pace) throws IOException, InterruptedException, granitefold.operator.BrokenFile {
+    private Outcome play(long seed, Path fresh, Pace pace) throws IOException, InterruptedException, granitefold.operator.InvalidFileException {
         Scenario s = Scenario.read("rollouts", "for = 600s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = 200\n");
         try (Rolling r = new Rolling(s, seed, jar)) {
             r.awaitServed(BEFORE_REQUESTS);
--- a/src/main/java/granitefold/standin/ground/Scenario.java
+++ b/src/main/java/granitefold/standin/ground/Scenario.java
@@ -1,8 +1,8 @@
 package granitefold.standin.ground;
 
-import granitefold.operator.BrokenFile;
+import granitefold.operator.InvalidFileException;
 import granitefold.operator.HoconFile;
-import granitefold.operator.Section;
+import granitefold.operator.ConfigSection;
 import granitefold.standin.history.Terms;
 import granitefold.standin.world.WorkerSpec;
 import java.nio.file.Path;
@@ -72,21 +72,21 @@
             "waits-interrupted", "reads-short", "writes-short", "reads-broken", "storage-fails", "syncs-fail", "clock-stepped", "writes-held", "calls-interrupted");
 
     /** Reads and checks a file. */
-    public static Scenario read(Path file) throws BrokenFile {
+    public static Scenario read(Path file) throws InvalidFileException {
         String name = file.getFileName().toString().replaceFirst("\\.conf$", "");
         return HoconFile.read(file, s -> read(name, s)).value();
     }
 
     /** Reads and checks a text. */
-    public static Scenario read(String name, String text) throws BrokenFile {
+    public static Scenario read(String name, String text) throws InvalidFileException {
         return HoconFile.read(name + ".conf", text, s -> read(name, s)).value();
     }
 
-    private static Scenario read(String name, Section all) {
-        Section d = all.section("dispatchers");
-        Section c = all.section("cocineros");
-        Section l = all.section("load");
-        Section r = all.section("drawn");
+    private static Scenario read(String name, ConfigSection all) {
+        ConfigSection d = all.section("dispatchers");
+        ConfigSection c = all.section("cocineros");
+        ConfigSection l = all.section("load");
+        ConfigSection r = all.section("drawn");
         Map<String, JobClass> classes = new LinkedHashMap<>();
         all.named("classes").forEach((key, s) -> classes.put(key, jobClass(s)));
         if (classes.isEmpty()) {
@@ -95,73 +95,73 @@
         Map<String, Tenant> tenants = new LinkedHashMap<>();
         all.named("tenants").forEach((key, s) -> {
             tenants.put(key, new Tenant(s.number("share", 1, 0, 1), s.number("usage", 1, 0, 100)));
-            s.finish();
+            s.reportUnknownKeys();
         });
         if (tenants.isEmpty()) {
             tenants.put("acme", new Tenant(1, 1));
         }
         double meanWork = classes.values().stream().mapToDouble(j -> j.share * j.workUs * j.slots).sum()
                 / classes.values().stream().mapToDouble(JobClass::share).sum();
-        Scenario s = new Scenario(name, all.text("about", "", "a sentence", t -> true), all.time("for", 10_000_000, 500, 60 * MINUTE_MS),
-                new Dispatchers(d.whole("count", 2, 1, DISPATCHERS_MOST), d.whole("memory-mb", 160, 64, 1024),
-                        d.time("front-notice", 1_500_000, 0, MINUTE_MS), d.text("operator", "", "the text of an operators' file", t -> true),
-                        d.yes("state", false), d.yes("beside", false), d.yes("talk", true), d.yes("kept", false),
-                        d.whole("sockets", 1024, 64, 65_536), d.yes("faults", false)),
+        Scenario s = new Scenario(name, all.string("about", "", "a sentence", t -> true), all.durationUs("for", 10_000_000, 500, 60 * MINUTE_MS),
+                new Dispatchers(d.integer("count", 2, 1, DISPATCHERS_MOST), d.integer("memory-mb", 160, 64, 1024),
+                        d.durationUs("front-notice", 1_500_000, 0, MINUTE_MS), d.string("operator", "", "the text of an operators' file", t -> true),
+                        d.bool("state", false), d.bool("beside", false), d.bool("talk", true), d.bool("kept", false),
+                        d.integer("sockets", 1024, 64, 65_536), d.bool("faults", false)),
                 cocineros(c, meanWork),
-                new Load(l.number("rate", 60, 0.1, 5000), l.whole("retries", 2, 0, 10), l.number("impatient", 0, 0, 1),
+                new Load(l.number("rate", 60, 0.1, 5000), l.integer("retries", 2, 0, 10), l.number("impatient", 0, 0, 1),
                         l.number("honour", 0.8, 0, 1), l.number("churn", 0.05, 0, 1)),
                 classes, tenants, steps(all), drawn(r));
-        for (Section x : List.of(d, c, l, r, all)) {
-            x.finish();
+        for (ConfigSection x : List.of(d, c, l, r, all)) {
+            x.reportUnknownKeys();
         }
         return s;
     }
 
-    private static Cocineros cocineros(Section c, double meanWork) {
-        Cocineros found = new Cocineros(c.whole("count", 4, 1, COCINEROS_MOST), new WorkerSpec(c.whole("slots", 6, 1, 64), c.number("speed", 1, 0.01, 100),
-                c.whole("queue", 40, 0, 10_000), c.number("cold-from", 0.4, 0.01, 1), c.time("cold-for", 6_000_000, 1, MINUTE_MS),
-                c.number("falls-at", 3, 1, 1000), c.time("falls-within", 2_000_000, 100, MINUTE_MS), meanWork, c.whole("keeps", 0, 0, 10_000),
-                c.time("fetch", 0, 0, MINUTE_MS)), c.number("spread", 0, 0, 0.9));
+    private static Cocineros cocineros(ConfigSection c, double meanWork) {
+        Cocineros found = new Cocineros(c.integer("count", 4, 1, COCINEROS_MOST), new WorkerSpec(c.integer("slots", 6, 1, 64), c.number("speed", 1, 0.01, 100),
+                c.integer("queue", 40, 0, 10_000), c.number("cold-from", 0.4, 0.01, 1), c.durationUs("cold-for", 6_000_000, 1, MINUTE_MS),
+                c.number("falls-at", 3, 1, 1000), c.durationUs("falls-within", 2_000_000, 100, MINUTE_MS), meanWork, c.integer("keeps", 0, 0, 10_000),
+                c.durationUs("fetch", 0, 0, MINUTE_MS)), c.number("spread", 0, 0, 0.9));
         return found;
     }
 
-    private static JobClass jobClass(Section s) {
-        JobClass c = new JobClass(s.number("share", 1, 0, 1), s.time("work", 40_000, 0, MINUTE_MS), s.number("spread", 0.8, 0, 5),
-                s.whole("slots", 1, 1, 64), Terms.Effect.valueOf(s.word("effect", "safe", "safe", "keyed", "unsafe").toUpperCase(java.util.Locale.ROOT)),
-                s.time("on-time", 300_000, 1, MINUTE_MS), s.time("deadline", 5_000_000, 10, 5 * MINUTE_MS), s.number("stretch", 2, 0, 100),
-                s.number("worth", 1, 0, 1000), s.time("window", 12_000_000, 100, 5 * MINUTE_MS));
-        s.finish();
+    private static JobClass jobClass(ConfigSection s) {
+        JobClass c = new JobClass(s.number("share", 1, 0, 1), s.durationUs("work", 40_000, 0, MINUTE_MS), s.number("spread", 0.8, 0, 5),
+                s.integer("slots", 1, 1, 64), Terms.Effect.valueOf(s.choice("effect", "safe", "safe", "keyed", "unsafe").toUpperCase(java.util.Locale.ROOT)),
+                s.durationUs("on-time", 300_000, 1, MINUTE_MS), s.durationUs("deadline", 5_000_000, 10, 5 * MINUTE_MS), s.number("stretch", 2, 0, 100),
+                s.number("worth", 1, 0, 1000), s.durationUs("window", 12_000_000, 100, 5 * MINUTE_MS));
+        s.reportUnknownKeys();
         return c;
     }
 
-    private static List<Step> steps(Section all) {
+    private static List<Step> steps(ConfigSection all) {
         List<Step> steps = new ArrayList<>();
-        for (Section s : all.list("steps")) {
+        for (ConfigSection s : all.sections("steps")) {
             List<List<String>> between = new ArrayList<>();
-            for (String group : s.texts("between", "two groups of names, each as \"n0 n1\"", t -> true)) {
+            for (String group : s.strings("between", "two groups of names, each as \"n0 n1\"", t -> true)) {
                 between.add(List.of(group.trim().split("[ ,]+")));
             }
-            Step step = new Step(s.text("do", "", "one of " + String.join(", ", ACTIONS), ACTIONS::contains),
-                    s.time("at", 0, 0, 60 * MINUTE_MS), s.text("when", "", "ready NAME, exited NAME or served COUNT",
+            Step step = new Step(s.string("do", "", "one of " + String.join(", ", ACTIONS), ACTIONS::contains),
+                    s.durationUs("at", 0, 0, 60 * MINUTE_MS), s.string("when", "", "ready NAME, exited NAME or served COUNT",
                             t -> t.matches("(ready|exited) \\S+|served \\d+")),
-                    s.texts("to", "names of dispatchers, cocineros or tenants", t -> t.matches("\\S+")), between,
-                    s.texts("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling", "control").contains(t)),
-                    s.number("amount", 0, 0, 1e9), s.time("lasts", 0, 0, 60 * MINUTE_MS));
+                    s.strings("to", "names of dispatchers, cocineros or tenants", t -> t.matches("\\S+")), between,
+                    s.strings("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling", "control").contains(t)),
+                    s.number("amount", 0, 0, 1e9), s.durationUs("lasts", 0, 0, 60 * MINUTE_MS));
             if (step.action.isEmpty()) {
                 s.reject("do", "a step has to say what it does");
             }
             if (!between.isEmpty() && between.size() != 2) {
                 s.reject("between", "takes two groups");
             }
-            s.finish();
+            s.reportUnknownKeys();
             steps.add(step);
         }
         return steps;
     }
 
-    private static Drawn drawn(Section r) {
-        return new Drawn(r.whole("count", 0, 0, 1000), r.time("from", 2_000_000, 0, 60 * MINUTE_MS), r.time("until", 6_000_000, 0, 60 * MINUTE_MS),
-                r.texts("of", "one of " + String.join(", ", ACTIONS), ACTIONS::contains), r.time("lasts", 1_000_000, 0, 60 * MINUTE_MS));
+    private static Drawn drawn(ConfigSection r) {
+        return new Drawn(r.integer("count", 0, 0, 1000), r.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS), r.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
+                r.strings("of", "one of " + String.join(", ", ACTIONS), ACTIONS::contains), r.durationUs("lasts", 1_000_000, 0, 60 * MINUTE_MS));
     }
 
     /** Names of its first dispatchers. */
--- a/src/main/java/granitefold/standin/soak/SoakCommand.java
+++ b/src/main/java/granitefold/standin/soak/SoakCommand.java
@@ -50,7 +50,7 @@
     private CommandSpec spec;
 
     /** The scenario that a seed stands for. */
-    public static Scenario scenario(long seed, long lengthS) throws granitefold.operator.BrokenFile {
+    public static Scenario scenario(long seed, long lengthS) throws granitefold.operator.InvalidFileException {
         return Scenario.read("soak-" + seed, SoakPlan.text(seed, 1000 * lengthS));
     }
 
--- a/src/main/java/granitefold/state/RealDisk.java
+++ b/src/main/java/granitefold/state/DirectoryStorage.java
@@ -15,20 +15,20 @@
 import java.util.Set;
 
 /** A folder of the file system, this process's own. Links are never followed, files are for their owner only. */
-public final class RealDisk implements Disk {
+public final class DirectoryStorage implements Storage {
     private static final FileAttribute<?> PRIVATE =
             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"));
 
     private final Path folder;
     private final FileChannel lock;
 
-    private RealDisk(Path folder, FileChannel lock) {
+    private DirectoryStorage(Path folder, FileChannel lock) {
         this.folder = folder;
         this.lock = lock;
     }
 
     /** Opens a folder, and makes it if it is missing; one that another process holds is refused. */
-    public static RealDisk open(Path folder) throws IOException {
+    public static DirectoryStorage open(Path folder) throws IOException {
         if (!Files.exists(folder, LinkOption.NOFOLLOW_LINKS)) {
             Files.createDirectories(folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         }
@@ -45,12 +45,12 @@
             lock.close();
             throw new IOException(folder + " is held by another process");
         }
-        return new RealDisk(folder, lock);
+        return new DirectoryStorage(folder, lock);
     }
 
     /** For reading alone, beside whoever holds the folder. */
-    public static Disk reader(Path folder) {
-        return new RealDisk(folder, null);
+    public static Storage readOnly(Path folder) {
+        return new DirectoryStorage(folder, null);
     }
 
     @Override
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void forceFolder() throws IOException {
+    public void forceDirectory() throws IOException {
         try (FileChannel c = FileChannel.open(folder, StandardOpenOption.READ)) {
             c.force(true);
         }
--- a/src/main/java/granitefold/state/StateFile.java
+++ b/src/main/java/granitefold/state/StateFile.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -23,7 +23,7 @@
 public final class StateFile {
     public static final int VERSION = 1;
     /** A file that says to be longer is refused before anything is taken for it. */
-    public static final int LENGTH_MOST = 16 * 1024 * 1024;
+    public static final int MAX_LENGTH_BYTES = 16 * 1024 * 1024;
     static final byte[] MAGIC = "granfold".getBytes(StandardCharsets.US_ASCII);
     private static final int HEAD = 32, SECTION_HEAD = 12;
     private static final int ABOUT = 1, KINDS = 2, WORKERS = 3, BUCKETS = 4, KEYS = 5;
@@ -36,17 +36,17 @@
      * @param settings the key of the settings that it was learned under
      * @param me its number among its siblings, {@code siblings}: how many they were
      */
-    public record Content(String name, String settings, int me, int siblings, List<String> tenants, List<String> kinds, Learned learned) { }
+    public record Content(String name, String settings, int me, int siblings, List<String> tenants, List<String> kinds, LearnedState learned) { }
 
     /** Why a file is not read. */
     public enum Fault { DAMAGED, NEWER, FOREIGN }
 
     /** A file that is not read, with the place and the reason in one line. */
-    public static final class Unreadable extends Exception {
+    public static final class UnreadableFileException extends Exception {
         private static final long serialVersionUID = 1;
         private final Fault fault;
 
-        Unreadable(Fault fault, String why) {
+        UnreadableFileException(Fault fault, String why) {
             super(why, null, false, false);
             this.fault = fault;
         }
@@ -65,7 +65,7 @@
 
     /** The bytes of a file. */
     public static byte[] encode(Content c) {
-        Learned l = c.learned();
+        LearnedState l = c.learned();
         List<byte[]> sections = new ArrayList<>();
         sections.add(section(ABOUT, g -> {
             g.writeStringField("name", c.name());
@@ -178,23 +178,23 @@
 
     // ---------------------------------------------------------------- reading
     /** What a file holds, if it is whole. */
-    public static Content decode(byte[] file) throws Unreadable {
+    public static Content decode(byte[] file) throws UnreadableFileException {
         ByteBuffer in = ByteBuffer.wrap(file);
         if (file.length < HEAD || !ByteBuffer.wrap(MAGIC).equals(in.slice(0, MAGIC.length))) {
-            throw new Unreadable(file.length < HEAD ? Fault.DAMAGED : Fault.FOREIGN, file.length < HEAD
+            throw new UnreadableFileException(file.length < HEAD ? Fault.DAMAGED : Fault.FOREIGN, file.length < HEAD
                     ? "at byte " + file.length + ": the head is cut off" : "at byte 0: not a state file");
         }
         if (in.getInt(HEAD - 4) != crc(file, 0, HEAD - 4)) {
-            throw new Unreadable(Fault.DAMAGED, "at byte " + (HEAD - 4) + ": the head's checksum does not hold");
+            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + (HEAD - 4) + ": the head's checksum does not hold");
         }
         int version = in.getShort(MAGIC.length) & 0xffff;
         if (version != VERSION) {
-            throw new Unreadable(version > VERSION ? Fault.NEWER : Fault.FOREIGN, "at byte " + MAGIC.length + ": version "
+            throw new UnreadableFileException(version > VERSION ? Fault.NEWER : Fault.FOREIGN, "at byte " + MAGIC.length + ": version "
                     + version + ", this program reads " + VERSION);
         }
         int sections = in.getShort(MAGIC.length + 2) & 0xffff;
         if (in.getInt(MAGIC.length + 4) != file.length) {
-            throw new Unreadable(Fault.DAMAGED, "at byte " + file.length + ": the file should have "
+            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + file.length + ": the file should have "
                     + in.getInt(MAGIC.length + 4) + " bytes");
         }
         Builder b = new Builder();
@@ -203,22 +203,22 @@
             int left = file.length - at - SECTION_HEAD;
             int length = left < 0 ? -1 : in.getInt(at + 4);
             if (length < 0 || length > left) {
-                throw new Unreadable(Fault.DAMAGED, "at byte " + at + ": section " + i + " is cut off");
+                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " is cut off");
             }
             byte[] section = new byte[SECTION_HEAD + length];
             in.get(at, section);
             if (crc(section) != in.getInt(at + 8)) {
-                throw new Unreadable(Fault.DAMAGED, "at byte " + at + ": the checksum of section " + i + " does not hold");
+                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": the checksum of section " + i + " does not hold");
             }
             try (JsonParser p = CBOR.createParser(section, SECTION_HEAD, length)) {
                 b.section(in.getInt(at), p);
             } catch (IOException | RuntimeException e) {
-                throw new Unreadable(Fault.DAMAGED, "at byte " + at + ": section " + i + " makes no sense");
+                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " makes no sense");
             }
             at += section.length;
         }
         if (at != file.length || b.name == null) {
-            throw new Unreadable(Fault.DAMAGED, "at byte " + at + ": more than its sections, or none of whose it is");
+            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": more than its sections, or none of whose it is");
         }
         return b.content();
     }
@@ -237,13 +237,13 @@
         private long works;
         private List<String> tenants = List.of();
         private List<String> kindNames = List.of();
-        private final List<Learned.Kind> kinds = new ArrayList<>();
-        private final List<Learned.Worker> workers = new ArrayList<>();
-        private final List<Learned.Bucket> buckets = new ArrayList<>();
-        private final List<Learned.Key> keys = new ArrayList<>();
+        private final List<LearnedState.Kind> kinds = new ArrayList<>();
+        private final List<LearnedState.Worker> workers = new ArrayList<>();
+        private final List<LearnedState.Bucket> buckets = new ArrayList<>();
+        private final List<LearnedState.Key> keys = new ArrayList<>();
 
         Content content() {
-            return new Content(name, settings, me, siblings, tenants, kindNames, new Learned(at, fetchUs, kept, meanWork, works,
+            return new Content(name, settings, me, siblings, tenants, kindNames, new LearnedState(at, fetchUs, kept, meanWork, works,
                     List.copyOf(kinds), List.copyOf(workers), List.copyOf(buckets), List.copyOf(keys)));
         }
 
@@ -287,11 +287,11 @@
 
         private void row(int id, JsonParser p) throws IOException {
             switch (id) {
-                case KINDS -> kinds.add(new Learned.Kind(whole(p), number(p), number(p), whole(p)));
-                case WORKERS -> workers.add(new Learned.Worker(along(p), whole(p), along(p), along(p), number(p), number(p), whole(p),
+                case KINDS -> kinds.add(new LearnedState.Kind(whole(p), number(p), number(p), whole(p)));
+                case WORKERS -> workers.add(new LearnedState.Worker(along(p), whole(p), along(p), along(p), number(p), number(p), whole(p),
                         number(p), longs(p)));
-                case BUCKETS -> buckets.add(new Learned.Bucket(whole(p), longs(p), number(p), along(p)));
-                case KEYS -> keys.add(new Learned.Key(along(p), along(p)));
+                case BUCKETS -> buckets.add(new LearnedState.Bucket(whole(p), longs(p), number(p), along(p)));
+                case KEYS -> keys.add(new LearnedState.Key(along(p), along(p)));
                 default -> { }
             }
         }
--- a/src/main/java/granitefold/state/Places.java
+++ b/src/main/java/granitefold/state/StateIndexMapping.java
@@ -1,6 +1,6 @@
 package granitefold.state;
 
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import granitefold.state.StateFile.Content;
 import java.util.List;
 
@@ -8,31 +8,31 @@
  * Takes a file's places over to those of the present settings: tenants and kinds by their names, a dispatcher's own use by
  * its number. What has no place any more is left out.
  */
-public record Places(String name, String settings, int me, int siblings, List<String> tenants, List<String> kinds) {
+public record StateIndexMapping(String dispatcherName, String settingsKey, int me, int siblings, List<String> tenants, List<String> kinds) {
 
-    public Content content(Learned learned) {
-        return new Content(name, settings, me, siblings, tenants, kinds, learned);
+    public Content toContent(LearnedState learned) {
+        return new Content(dispatcherName, settingsKey, me, siblings, tenants, kinds, learned);
     }
 
     /** Why a file is not ours, in one line; null where it is. What was learned under other settings holds under those alone. */
-    public String foreign(Content c) {
-        return !c.name().equals(name) ? "the file is of " + c.name() + ", not " + name
-                : !c.settings().equals(settings) ? "the file is of other settings than ours, and not used" : null;
+    public String mismatchReason(Content c) {
+        return !c.name().equals(dispatcherName) ? "the file is of " + c.name() + ", not " + dispatcherName
+                : !c.settings().equals(settingsKey) ? "the file is of other settings than ours, and not used" : null;
     }
 
     /** What of a file is ours; null where it is another's. */
-    public Learned here(Content c) {
-        if (foreign(c) != null) {
+    public LearnedState remap(Content c) {
+        if (mismatchReason(c) != null) {
             return null;
         }
-        Learned l = c.learned();
-        return new Learned(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(),
+        LearnedState l = c.learned();
+        return new LearnedState(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(),
                 l.kinds().stream().filter(k -> kind(c, k.kind()) != MISSING)
-                        .map(k -> new Learned.Kind(kind(c, k.kind()), k.sum(), k.weight(), k.slots())).toList(),
-                l.workers().stream().filter(p -> kind(c, p.kind()) != MISSING).map(p -> new Learned.Worker(p.id(),
+                        .map(k -> new LearnedState.Kind(kind(c, k.kind()), k.sum(), k.weight(), k.slots())).toList(),
+                l.workers().stream().filter(p -> kind(c, p.kind()) != MISSING).map(p -> new LearnedState.Worker(p.id(),
                         kind(c, p.kind()), p.startedAt(), p.lostAt(), p.sum(), p.weight(), p.slots(), p.work(), p.kept())).toList(),
                 l.buckets().stream().filter(b -> b.tenant() >= 0 && b.tenant() < c.tenants().size()
-                        && tenants.contains(c.tenants().get(b.tenant()))).map(b -> new Learned.Bucket(
+                        && tenants.contains(c.tenants().get(b.tenant()))).map(b -> new LearnedState.Bucket(
                         tenants.indexOf(c.tenants().get(b.tenant())), used(c, b.used()), b.credited(), b.refilledAt())).toList(),
                 l.keys());
     }
--- a/src/main/java/granitefold/state/StateStore.java
+++ b/src/main/java/granitefold/state/StateStore.java
@@ -2,7 +2,7 @@
 
 import granitefold.state.StateFile.Content;
 import granitefold.state.StateFile.Fault;
-import granitefold.state.StateFile.Unreadable;
+import granitefold.state.StateFile.UnreadableFileException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,35 +15,35 @@
 public final class StateStore {
     static final String NAME = "learned.state", NEW = "learned.new", ASIDE = "learned.aside";
 
-    private final Disk disk;
+    private final Storage disk;
     private final int keep;
     private boolean looked;
 
     /** {@code keep}: generations, the present one counted; at least 2. */
-    public StateStore(Disk disk, int keep) {
+    public StateStore(Storage disk, int keep) {
         this.disk = disk;
         this.keep = Math.max(2, keep);
     }
 
     /** What was found, null if nothing can be used, and what was wrong with newer ones. */
-    public record Found(Content content, List<String> problems) { }
+    public record LoadResult(Content content, List<String> problems) { }
 
     static String generation(int n) {
         return n == 0 ? NAME : NAME + "." + n;
     }
 
     /** The newest generation that is whole. */
-    public Found load() {
+    public LoadResult load() {
         List<String> problems = new ArrayList<>();
         looked = true;
         for (int n = 0; n < keep; n++) {
             String name = generation(n);
             try {
-                byte[] file = disk.read(name, StateFile.LENGTH_MOST);
+                byte[] file = disk.read(name, StateFile.MAX_LENGTH_BYTES);
                 if (file != null) {
-                    return new Found(StateFile.decode(file), problems);
+                    return new LoadResult(StateFile.decode(file), problems);
                 }
-            } catch (Unreadable e) {
+            } catch (UnreadableFileException e) {
                 problems.add(name + ": " + e.getMessage());
                 if (e.fault() != Fault.DAMAGED) {
                     aside(name, problems);
@@ -52,13 +52,13 @@
                 problems.add(name + ": " + e.getMessage());
             }
         }
-        return new Found(null, problems);
+        return new LoadResult(null, problems);
     }
 
     private void aside(String name, List<String> problems) {
         try {
             disk.rename(name, ASIDE);
-            disk.forceFolder();
+            disk.forceDirectory();
         } catch (IOException e) {
             // then nothing is written at all, since that would take its place
             problems.add(name + ": cannot be set aside: " + e.getMessage());
@@ -79,10 +79,10 @@
             }
         }
         disk.rename(NEW, NAME);
-        disk.forceFolder();
+        disk.forceDirectory();
     }
 
     private boolean exists(String name) throws IOException {
-        return disk.read(name, StateFile.LENGTH_MOST) != null;
+        return disk.read(name, StateFile.MAX_LENGTH_BYTES) != null;
     }
 }
--- a/src/main/java/granitefold/state/StateKeeper.java
+++ b/src/main/java/granitefold/state/StateWriter.java
@@ -2,7 +2,7 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
@@ -13,31 +13,31 @@
  * value that it was given; ones that come while a write goes on replace each other. A disk that is slow, full or gone
  * costs the loop nothing, and is tried again with the next value.
  */
-public final class StateKeeper {
+public final class StateWriter {
     private final Opener folder;
     private final String name;
-    private final int keep;
-    private final Places places;
-    private final Consumer<Learned> recovered;
-    private Learned next;
+    private final int submit;
+    private final StateIndexMapping places;
+    private final Consumer<LearnedState> recovered;
+    private LearnedState next;
     private boolean ending;
     private boolean idle;
     private boolean failing;
 
     /** Takes hold of the folder. */
     interface Opener {
-        Disk open() throws IOException;
+        Storage open() throws IOException;
     }
 
     /** {@code recovered} is told, on this keeper's thread, what a former life left. */
-    public StateKeeper(Path folder, int keep, Places places, Consumer<Learned> recovered) {
-        this(folder.toString(), () -> RealDisk.open(folder), keep, places, recovered);
+    public StateWriter(Path folder, int keep, StateIndexMapping places, Consumer<LearnedState> recovered) {
+        this(folder.toString(), () -> DirectoryStorage.open(folder), keep, places, recovered);
     }
 
-    StateKeeper(String name, Opener folder, int keep, Places places, Consumer<Learned> recovered) {
+    StateWriter(String name, Opener folder, int keep, StateIndexMapping places, Consumer<LearnedState> recovered) {
         this.name = name;
         this.folder = folder;
-        this.keep = keep;
+        this.submit = keep;
         this.places = places;
         this.recovered = recovered;
     }
@@ -49,7 +49,7 @@
     }
 
     /** Takes a newer value; from any thread. */
-    public synchronized void keep(Learned learned) {
+    public synchronized void submit(LearnedState learned) {
         next = learned;
         notifyAll();
     }
@@ -58,7 +58,7 @@
      * Waits for the last value to be on the disk, for so long as a planned end has left; one that is not by then is lost, and
      * that is told: the next life begins with an older one.
      */
-    public void end(long mostUs) {
+    public void shutDown(long mostUs) {
         try {
             if (!awaitLast(mostUs)) {
                 EventLog.log(LogEvent.STATE_PROBLEM, "the last value was not written before the end");
@@ -79,10 +79,10 @@
     }
 
     private void run() {
-        try (Disk disk = folder.open()) {
-            StateStore store = new StateStore(disk, keep);
+        try (Storage disk = folder.open()) {
+            StateStore store = new StateStore(disk, submit);
             recover(store.load());
-            for (Learned value = take(); value != null; value = take()) {
+            for (LearnedState value = take(); value != null; value = take()) {
                 write(store, value);
             }
         } catch (IOException e) {
@@ -92,21 +92,21 @@
         }
     }
 
-    private void recover(StateStore.Found found) {
+    private void recover(StateStore.LoadResult found) {
         found.problems().forEach(p -> EventLog.log(LogEvent.STATE_PROBLEM, p));
-        Learned here = found.content() == null ? null : places.here(found.content());
+        LearnedState here = found.content() == null ? null : places.remap(found.content());
         if (here != null) {
             recovered.accept(here);
         } else if (found.content() != null) {
-            EventLog.log(LogEvent.STATE_PROBLEM, places.foreign(found.content()));
+            EventLog.log(LogEvent.STATE_PROBLEM, places.mismatchReason(found.content()));
         } else {
             EventLog.log(LogEvent.STATE_EMPTY, name);
         }
     }
 
-    private void write(StateStore store, Learned value) {
+    private void write(StateStore store, LearnedState value) {
         try {
-            store.save(places.content(value));
+            store.save(places.toContent(value));
             failing = false;
         } catch (IOException e) {
             if (!failing) {
@@ -116,7 +116,7 @@
         }
     }
 
-    private synchronized Learned take() {
+    private synchronized LearnedState take() {
         try {
             while (next == null && !ending) {
                 wait();
@@ -125,7 +125,7 @@
             Thread.currentThread().interrupt();
             return null;
         }
-        Learned value = next;
+        LearnedState value = next;
         next = null;
         return value;
     }
--- a/src/main/java/granitefold/state/Disk.java
+++ b/src/main/java/granitefold/state/Storage.java
@@ -7,7 +7,7 @@
  * The few things that a store asks of one folder, small enough that a double can do them wrong in every way that disks
  * do. Names are plain file names.
  */
-public interface Disk extends Closeable {
+public interface Storage extends Closeable {
     /** A file's bytes, or null where there is none; one longer than {@code most} is an error. */
     byte[] read(String name, int most) throws IOException;
 
@@ -21,7 +21,7 @@
     void rename(String from, String to) throws IOException;
 
     /** Makes the folder's names last. */
-    void forceFolder() throws IOException;
+    void forceDirectory() throws IOException;
 
     /** Lets go of the folder. */
     @Override
--- a/src/main/java/granitefold/wire/AgentLine.java
+++ b/src/main/java/granitefold/wire/AgentLine.java
@@ -1,6 +1,6 @@
 package granitefold.wire;
 
-import granitefold.availability.Verdict;
+import granitefold.availability.AvailabilityReport;
 import java.nio.charset.StandardCharsets;
 
 /**
@@ -18,13 +18,13 @@
      * The line for a verdict. {@code ready}: also withdraw a {@code drain} or {@code maint} said before. It is not said
      * for good, since it would also withdraw what HAProxy's own operator has set.
      */
-    public static byte[] encode(Verdict v, boolean ready) {
-        String words = switch (v.standing()) {
+    public static byte[] encode(AvailabilityReport v, boolean ready) {
+        String words = switch (v.status()) {
             case STARTING -> "down";
             case DRAINING -> "drain";
             case MAINT -> "maint";
             case STOPPED -> "stopped";
-            default -> (ready ? "ready " : "") + "up " + v.weight() + "% maxconn:" + v.connections();
+            default -> (ready ? "ready " : "") + "up " + v.weightPercent() + "% maxconn:" + v.maxConnections();
         };
         return line(words, v.reason());
     }
--- a/src/main/java/granitefold/wire/Config.java
+++ b/src/main/java/granitefold/wire/Config.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonStreamContext;
 import com.fasterxml.jackson.core.JsonToken;
 import granitefold.core.WorkerList;
-import granitefold.state.Places;
+import granitefold.state.StateIndexMapping;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -30,8 +30,8 @@
     private static final String OPS = "LB_OPS";
 
     /** What places in the settings stand for, for a state file. */
-    public Places places() {
-        return new Places(name, words.key(), words.settings().me(), words.settings().siblings(), Vocabulary.names(words.tenants()),
+    public StateIndexMapping places() {
+        return new StateIndexMapping(name, words.key(), words.settings().me(), words.settings().siblings(), Vocabulary.names(words.tenants()),
                 Vocabulary.names(words.kinds()));
     }
 
--- a/src/main/java/granitefold/wire/FiguresJson.java
+++ b/src/main/java/granitefold/wire/FiguresJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,13 +15,13 @@
     private FiguresJson() { }
 
     /** {@code classes}: their names, in the order of the settings. */
-    public static byte[] encode(Figures f, List<String> classes) {
+    public static byte[] encode(MetricsSnapshot f, List<String> classes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
         try (JsonGenerator g = JSON.createGenerator(out)) {
             g.writeStartObject();
             g.writeObjectFieldStart("replies");
             for (int i = 0; i < classes.size(); i++) {
-                Figures.Replies r = f.replies().get(i);
+                MetricsSnapshot.Replies r = f.replies().get(i);
                 g.writeObjectFieldStart(classes.get(i));
                 g.writeNumberField("success", r.success());
                 g.writeNumberField("overload", r.overload());
--- a/src/main/java/granitefold/wire/LoadMetrics.java
+++ b/src/main/java/granitefold/wire/LoadMetrics.java
@@ -15,6 +15,6 @@
         return String.format(Locale.ROOT, "TEXT cpu_utilization=%.3f, mem_utilization=%.3f, application_utilization=%.3f,"
                 + " rps_fractional=%.1f, eps=%.1f, named_metrics.weight=%d, named_metrics.owed=%d",
                 Math.max(0, r.resources().cpuShare()), r.resources().heapShare(), r.waits(), r.perS(),
-                r.perS() * r.rejectShare(), r.verdict().weight(), r.owed());
+                r.perS() * r.rejectShare(), r.verdict().weightPercent(), r.owed());
     }
 }
--- a/src/main/java/granitefold/wire/ReportJson.java
+++ b/src/main/java/granitefold/wire/ReportJson.java
@@ -23,10 +23,10 @@
             g.writeStartObject();
             g.writeNumberField("version", VERSION);
             g.writeStringField("name", name);
-            g.writeStringField("standing", silent ? "SILENT" : r == null ? "STARTING" : r.verdict().standing().name());
+            g.writeStringField("standing", silent ? "SILENT" : r == null ? "STARTING" : r.verdict().status().name());
             if (r != null) {
-                g.writeNumberField("weight", silent ? 0 : r.verdict().weight());
-                g.writeNumberField("maxconn", silent ? 0 : r.verdict().connections());
+                g.writeNumberField("weight", silent ? 0 : r.verdict().weightPercent());
+                g.writeNumberField("maxconn", silent ? 0 : r.verdict().maxConnections());
                 g.writeStringField("reason", silent ? "the loop is silent" : r.verdict().reason());
                 g.writeBooleanField("impaired", r.verdict().impaired());
                 g.writeStringField("phase", r.phase().name());
--- a/src/test/java/granitefold/ArrowsTest.java
+++ b/src/test/java/granitefold/ArrowsTest.java
@@ -46,8 +46,8 @@
         classes().that().resideOutsideOfPackages("granitefold.cli..", "granitefold.standin..").should()
                 .onlyDependOnClassesThat().resideOutsideOfPackages("picocli..", "ch.qos.logback..", "net.logstash..")
                 .check(CLASSES);
-        noClasses().that().doNotHaveSimpleName("OperatorFile").and().doNotHaveSimpleName("HoconFile").and().doNotHaveSimpleName("Section").and()
-                .resideOutsideOfPackages("granitefold.cli..", "granitefold.standin..").and().haveNameNotMatching(".*\\.(OperatorFile|HoconFile|Section)\\$.*")
+        noClasses().that().doNotHaveSimpleName("OperatorFile").and().doNotHaveSimpleName("HoconFile").and().doNotHaveSimpleName("ConfigSection").and()
+                .resideOutsideOfPackages("granitefold.cli..", "granitefold.standin..").and().haveNameNotMatching(".*\\.(OperatorFile|HoconFile|ConfigSection)\\$.*")
                 .should().dependOnClassesThat().resideInAnyPackage("com.typesafe..", "org.apache.commons..").check(CLASSES);
     }
 }
--- a/src/test/java/granitefold/availability/FleetTest.java
+++ b/src/test/java/granitefold/availability/FleetTest.java
@@ -22,9 +22,9 @@
     /** Serves {@code load} for two minutes; each has this part of a full one's capacity. */
     private static Outcome run(double load, double[] part, boolean checks, long seed) {
         AvailabilitySettings set = AvailabilitySettings.DEFAULTS;
-        Availability machine = new Availability(set, 400);
+        AvailabilityStateMachine machine = new AvailabilityStateMachine(set, 400);
         SplittableRandom random = new SplittableRandom(seed);
-        Availability.State[] states = new Availability.State[COUNT];
+        AvailabilityStateMachine.State[] states = new AvailabilityStateMachine.State[COUNT];
         double[] weights = new double[COUNT];
         double[] queue = new double[COUNT];
         double[] total = new double[COUNT];
@@ -33,7 +33,7 @@
         int changes = 0;
         int[] offset = random.ints(COUNT, 0, POLL).toArray();
         for (int i = 0; i < COUNT; i++) {
-            states[i] = Availability.State.first(0);
+            states[i] = AvailabilityStateMachine.State.initial(0);
         }
         double dt = set.intervalUs() / 1e6;
         for (int step = 1; step <= STEPS; step++) {
@@ -50,13 +50,13 @@
                 total[i] += arrive;
                 double share = arrive == 0 ? 0 : 1 - taken / arrive;
                 double wait = queue[i] / (CAPACITY * part[i]) / 0.3;
-                Availability.State next = machine.next(states[i], new Signals(Life.SERVING, Wish.READY, true, 0, 0, 5, 0, 0,
+                AvailabilityStateMachine.State next = machine.next(states[i], new AvailabilitySignals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 5, 0, 0,
                         share, 0, wait, 0.1, 0.1, 0.1, 0, 0), step * set.intervalUs());
                 // the first ones are the start's own
-                changes += next.standing() != states[i].standing() && step > 200 ? 1 : 0;
+                changes += next.status() != states[i].status() && step > 200 ? 1 : 0;
                 states[i] = next;
                 if (checks && step % POLL == offset[i]) {
-                    weights[i] = Math.max(1, machine.verdict(next).weight());
+                    weights[i] = Math.max(1, machine.report(next).weightPercent());
                 }
             }
         }
--- a/src/test/java/granitefold/bench/ChecksBench.java
+++ b/src/test/java/granitefold/bench/ChecksBench.java
@@ -1,12 +1,12 @@
 package granitefold.bench;
 
 import granitefold.Dispatcher;
-import granitefold.availability.Availability;
+import granitefold.availability.AvailabilityStateMachine;
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Life;
-import granitefold.availability.Signals;
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.ProcessPhase;
+import granitefold.availability.AvailabilitySignals;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 import granitefold.core.Event;
 import granitefold.core.Extras;
 import granitefold.core.FinalAnswer;
@@ -46,14 +46,14 @@
 @Measurement(iterations = 5, time = 1)
 public class ChecksBench {
     private static final int WORKERS = 12;
-    private static final Signals SIGNALS = new Signals(Life.SERVING, Wish.READY, true, 0, 0, WORKERS, 100, 1, 0.1, 0.1, 0.4,
+    private static final AvailabilitySignals SIGNALS = new AvailabilitySignals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, WORKERS, 100, 1, 0.1, 0.1, 0.4,
             0.3, 0.3, 0.4, 900, 60_000_000);
     private static final byte[] PROXY = "PROXY TCP4 192.168.0.1 192.168.0.11 56324 443\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final HttpFields HEAD = HttpFields.build().add("Host", "x").add("X-Org", "acme").add("X-Remaining-Ms", "5000")
             .add("X-Estimate", "100000").add("X-Txn", "9b1f03aa5c7e2d41");
 
-    private final Availability machine = new Availability(AvailabilitySettings.DEFAULTS, 400);
-    private Availability.State state = Availability.State.first(0);
+    private final AvailabilityStateMachine machine = new AvailabilityStateMachine(AvailabilitySettings.DEFAULTS, 400);
+    private AvailabilityStateMachine.State state = AvailabilityStateMachine.State.initial(0);
     private Vocabulary words;
     private Reducer plain;
     private Reducer watched;
@@ -84,10 +84,10 @@
     }
 
     @Benchmark
-    public Verdict evaluation() {
+    public AvailabilityReport evaluation() {
         now += 100_000;
         state = machine.next(state, SIGNALS, now);
-        return machine.verdict(state);
+        return machine.report(state);
     }
 
     /** What the loop does ten times a second: signals, evaluation, report. */
@@ -99,7 +99,7 @@
 
     @Benchmark
     public byte[] agentAnswer() {
-        return AgentLine.encode(machine.verdict(state), true);
+        return AgentLine.encode(machine.report(state), true);
     }
 
     @Benchmark
--- a/src/test/java/granitefold/cli/CommandsTest.java
+++ b/src/test/java/granitefold/cli/CommandsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import granitefold.state.StateFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -47,7 +47,7 @@
 
     @Test
     void stateCommandsTellWholeFilesFromDamaged() throws Exception {
-        Learned l = new Learned(7, 1, 1, 1, 1, List.of(), List.of(), List.of(new Learned.Bucket(0, List.of(3L), 2, 1)), List.of());
+        LearnedState l = new LearnedState(7, 1, 1, 1, 1, List.of(), List.of(), List.of(new LearnedState.Bucket(0, List.of(3L), 2, 1)), List.of());
         byte[] bytes = StateFile.encode(new StateFile.Content("n0", "s", 0, 1, List.of("acme"), List.of(), l));
         Path whole = Files.write(folder.resolve("learned.state"), bytes);
         bytes[50] ^= 1;
--- a/src/test/java/granitefold/core/FiguresTest.java
+++ b/src/test/java/granitefold/core/FiguresTest.java
@@ -11,7 +11,7 @@
 import granitefold.Dispatcher.Rules;
 import granitefold.Dispatcher.Settings;
 import granitefold.Dispatcher.State;
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -48,7 +48,7 @@
     private long client;
     private long now = 1_000 * SECOND;
     private long wakeAt = Long.MAX_VALUE;
-    private Figures last;
+    private MetricsSnapshot last;
     private boolean quiet;
 
     private void play(Event event) {
@@ -167,13 +167,13 @@
             play(new Event.Woken());
         } while (!quiet);
         for (int c = 0; c < CLASSES; c++) {
-            Figures.Replies r = last.replies().get(c);
+            MetricsSnapshot.Replies r = last.replies().get(c);
             assertEquals(List.of(replies[c][0], replies[c][1], replies[c][2]), List.of(r.success(), r.overload(), r.error()));
         }
         assertEquals(dispatches, last.dispatches());
         assertEquals(owed.size() + writing.size(), last.concurrent());
         assertEquals(WORKERS, last.targets());
         assertTrue(last.targetsDisabled() >= 1 && last.targetsDisabled() <= WORKERS, "one drains");
-        assertTrue(last.serves());
+        assertTrue(last.ready());
     }
 }
--- a/src/test/java/granitefold/net/HandoverTest.java
+++ b/src/test/java/granitefold/net/HandoverTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import granitefold.recovery.Learned;
-import granitefold.state.Places;
+import granitefold.recovery.LearnedState;
+import granitefold.state.StateIndexMapping;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,9 +18,9 @@
 
 /** What passes from one version to the next, and what must not. */
 class HandoverTest {
-    private static final Learned LEARNED = new Learned(5_000_000, 2e5, 4, 1e6, 99, List.of(new Learned.Kind(0, 1, 2, 3)),
-            List.of(new Learned.Worker(7, 0, 0, 0, 1, 2, 5, 0, List.of(11L))),
-            List.of(new Learned.Bucket(0, List.of(4L), 9, 5_000_000)), List.of());
+    private static final LearnedState LEARNED = new LearnedState(5_000_000, 2e5, 4, 1e6, 99, List.of(new LearnedState.Kind(0, 1, 2, 3)),
+            List.of(new LearnedState.Worker(7, 0, 0, 0, 1, 2, 5, 0, List.of(11L))),
+            List.of(new LearnedState.Bucket(0, List.of(4L), 9, 5_000_000)), List.of());
 
     @TempDir
     private Path folder;
@@ -30,7 +30,7 @@
 
     @BeforeEach
     void both() {
-        Places places = new Places("n0", "s", 0, 1, List.of("acme"), List.of("m"));
+        StateIndexMapping places = new StateIndexMapping("n0", "s", 0, 1, List.of("acme"), List.of("m"));
         old = new Handover(folder.resolve("granitefold-a"), places);
         next = new Handover(folder.resolve("granitefold-a"), places);
     }
@@ -49,7 +49,7 @@
         old.tell(word, LEARNED);
         old.look(asked::add);
         assertEquals(1, asked.size(), "one wish, one answer");
-        Learned inherited = next.await(word, 0);
+        LearnedState inherited = next.await(word, 0);
         assertNotNull(inherited);
         assertEquals(LEARNED.workers(), inherited.workers());
         assertEquals(LEARNED.buckets(), inherited.buckets());
--- a/src/test/java/granitefold/operator/OperatorFileFuzz.java
+++ b/src/test/java/granitefold/operator/OperatorFileFuzz.java
@@ -8,10 +8,10 @@
     @FuzzTest(maxDuration = "8s")
     void read(byte[] bytes) {
         try {
-            if (OperatorFile.read("f", new String(bytes, StandardCharsets.UTF_8)).operator() == null) {
+            if (OperatorFile.read("f", new String(bytes, StandardCharsets.UTF_8)).settings() == null) {
                 throw new AssertionError("read as nothing");
             }
-        } catch (BrokenFile e) {
+        } catch (InvalidFileException e) {
             if (e.problems().isEmpty() || !e.problems().stream().allMatch(p -> p.startsWith("f:"))) {
                 throw new AssertionError("problems without a place: " + e.problems());
             }
--- a/src/test/java/granitefold/operator/OperatorFileTest.java
+++ b/src/test/java/granitefold/operator/OperatorFileTest.java
@@ -18,14 +18,14 @@
 /** The operator's file, read, and broken in the ways that files get broken. */
 class OperatorFileTest {
     private static List<String> problems(String text) {
-        return assertThrows(BrokenFile.class, () -> OperatorFile.read("f.conf", text), text).problems();
+        return assertThrows(InvalidFileException.class, () -> OperatorFile.read("f.conf", text), text).problems();
     }
 
     @Test
-    void anEmptyFileTurnsNothingOn() throws BrokenFile {
-        Operator o = OperatorFile.read("f.conf", "").operator();
-        assertEquals(Operator.NONE.clients(), o.clients());
-        assertFalse(o.tells());
+    void anEmptyFileTurnsNothingOn() throws InvalidFileException {
+        OperatorSettings o = OperatorFile.read("f.conf", "").settings();
+        assertEquals(OperatorSettings.NONE.clients(), o.clients());
+        assertFalse(o.publishesAvailability());
         assertEquals(AvailabilitySettings.DEFAULTS, o.availability());
         assertEquals(Extras.NONE, o.extras(true));
     }
@@ -40,8 +40,8 @@
         assertEquals(new TreeSet<>(all.effective().keySet()), new TreeSet<>(on.lines().map(l -> l.substring(0, l.indexOf(' ')))
                 .toList()));
         // what it calls the defaults are the defaults
-        assertEquals(AvailabilitySettings.DEFAULTS, all.operator().availability());
-        assertTrue(all.operator().tells());
+        assertEquals(AvailabilitySettings.DEFAULTS, all.settings().availability());
+        assertTrue(all.settings().publishesAvailability());
     }
 
     @Test
@@ -65,22 +65,22 @@
     }
 
     @Test
-    void thePlatformForbidsProbesAndWins() throws BrokenFile {
-        Operator o = OperatorFile.read("f", "probe.allowed = true").operator();
-        assertTrue(o.extras(true).health().probes());
+    void thePlatformForbidsProbesAndWins() throws InvalidFileException {
+        OperatorSettings o = OperatorFile.read("f", "probe.allowed = true").settings();
+        assertTrue(o.extras(true).health().probesEnabled());
         assertNull(o.extras(false).health());
-        o = OperatorFile.read("f", "probe.allowed = true\neject.failures = 5").operator();
-        assertFalse(o.extras(false).health().probes());
+        o = OperatorFile.read("f", "probe.allowed = true\neject.failures = 5").settings();
+        assertFalse(o.extras(false).health().probesEnabled());
     }
 
     @Test
-    void whatARunningProcessCannotTakeOverIsNamed() throws BrokenFile {
-        Operator a = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:1\"").operator();
-        Operator b = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:2\"\navailability.rise = 9").operator();
-        assertEquals(List.of(), OperatorFile.restartOnly(a, b));
-        Operator c = OperatorFile.read("f", "log.format = json\nlog.requests = true\nclients.envoy-headers = true\ncontrol.socket = \"/x\"\n"
-                + "eject.failures = 1").operator();
-        assertEquals(List.of("log.format", "log.requests", "control.socket", "clients", "probe and eject"), OperatorFile.restartOnly(a, c));
-        assertEquals(List.of("checks"), OperatorFile.restartOnly(Operator.NONE, a));
+    void whatARunningProcessCannotTakeOverIsNamed() throws InvalidFileException {
+        OperatorSettings a = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:1\"").settings();
+        OperatorSettings b = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:2\"\navailability.rise = 9").settings();
+        assertEquals(List.of(), OperatorFile.keysNeedingRestart(a, b));
+        OperatorSettings c = OperatorFile.read("f", "log.format = json\nlog.requests = true\nclients.envoy-headers = true\ncontrol.socket = \"/x\"\n"
+                + "eject.failures = 1").settings();
+        assertEquals(List.of("log.format", "log.requests", "control.socket", "clients", "probe and eject"), OperatorFile.keysNeedingRestart(a, c));
+        assertEquals(List.of("checks"), OperatorFile.keysNeedingRestart(OperatorSettings.NONE, a));
     }
 }
--- a/src/test/java/granitefold/policy/DecideTest.java
+++ b/src/test/java/granitefold/policy/DecideTest.java
@@ -314,24 +314,24 @@
             b.pass(20);
             b.end(id, 0, Outcome.SERVED);
         }
-        granitefold.recovery.Learned old = b.module.learned(b.now);
+        granitefold.recovery.LearnedState old = b.module.learned(b.now);
         long used = old.buckets().get(0).used().get(0);
         assertEquals(30, used);
         assertTrue(old.workers().stream().anyMatch(p -> p.weight() > 0 && !p.kept().isEmpty()), old.toString());
         Bench next = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         next.request(Bench.SAFE, 0, 40, 9_000);
         next.module.restore(next.now, old);
-        granitefold.recovery.Learned now = next.module.learned(next.now);
+        granitefold.recovery.LearnedState now = next.module.learned(next.now);
         assertEquals(used + 1, now.buckets().get(0).used().get(0), "this life's use comes on top");
         double credit = now.buckets().get(0).credited() - used - 1;
         assertTrue(credit <= 15, "no more than a bucket is granted: " + credit);
-        for (granitefold.recovery.Learned.Worker p : old.workers()) {
-            granitefold.recovery.Learned.Worker q = now.workers().stream().filter(x -> x.id() == p.id()).findFirst().orElseThrow();
+        for (granitefold.recovery.LearnedState.Worker p : old.workers()) {
+            granitefold.recovery.LearnedState.Worker q = now.workers().stream().filter(x -> x.id() == p.id()).findFirst().orElseThrow();
             assertEquals(p.weight(), q.weight(), 1e-9);
             assertEquals(p.kept(), q.kept());
             assertTrue(q.slots() >= p.slots());
         }
-        next.module.restore(next.now, new granitefold.recovery.Learned(0, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
+        next.module.restore(next.now, new granitefold.recovery.LearnedState(0, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
         assertEquals(used + 1, next.module.learned(next.now).buckets().get(0).used().get(0));
     }
 }
--- a/src/test/java/granitefold/real/StateIT.java
+++ b/src/test/java/granitefold/real/StateIT.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import granitefold.real.RealProgram.Worker;
-import granitefold.state.RealDisk;
+import granitefold.state.DirectoryStorage;
 import granitefold.state.StateFile;
 import granitefold.state.StateStore;
 import java.io.IOException;
@@ -63,7 +63,7 @@
     private StateFile.Content await(Predicate<StateFile.Content> what) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.PATIENCE_S);
         while (true) {
-            byte[] file = RealDisk.reader(folder).read("learned.state", StateFile.LENGTH_MOST);
+            byte[] file = DirectoryStorage.readOnly(folder).read("learned.state", StateFile.MAX_LENGTH_BYTES);
             if (file != null && what.test(StateFile.decode(file))) {
                 return StateFile.decode(file);
             }
@@ -109,7 +109,7 @@
         assertTrue(program.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(program.process.exitValue(), 0);
         // the file of that name may have just been put aside where the disk took longer than the end may
-        StateFile.Content c = new StateStore(RealDisk.reader(folder), 2).load().content();
+        StateFile.Content c = new StateStore(DirectoryStorage.readOnly(folder), 2).load().content();
         assertEquals(c.learned().buckets().get(0).used().get(0), Long.valueOf(20), "each request's use is in it");
         assertTrue(c.learned().workers().get(0).weight() > 5, c.learned().workers().toString());
         if (c.learned().at() < termAt + LAST_US) {
@@ -160,6 +160,6 @@
         assertEquals(Files.readString(folder.resolve("learned.aside")).substring(0, 7), "rubbish");
         assertEquals(Files.size(elsewhere), 0);
         Files.delete(elsewhere);
-        assertEquals(new StateStore(RealDisk.reader(folder), 2).load().problems().size(), 0);
+        assertEquals(new StateStore(DirectoryStorage.readOnly(folder), 2).load().problems().size(), 0);
     }
 }
--- a/src/test/java/granitefold/recovery/AgeingTest.java
+++ b/src/test/java/granitefold/recovery/LearnedStateAgingTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 
 /** What time and a changed list leave of a file. */
-class AgeingTest {
+class LearnedStateAgingTest {
     private static final long S = 1_000_000, AT = 1_000_000 * S;
-    private final Ageing ageing = new Ageing(AgeingSettings.DEFAULTS);
-    private final Learned old = new Learned(AT, 3e5, 6, 4e5, 900, List.of(new Learned.Kind(0, 10, 40, 6)), List.of(
-            worker(1, 0, AT - 500 * S), worker(2, 0, 0), worker(3, 1, 0)), List.of(new Learned.Bucket(0, List.of(7L), 9, AT)),
-            List.of(new Learned.Key(5, AT + 12 * S)));
+    private final LearnedStateAging ageing = new LearnedStateAging(LearnedStateAgingSettings.DEFAULTS);
+    private final LearnedState old = new LearnedState(AT, 3e5, 6, 4e5, 900, List.of(new LearnedState.Kind(0, 10, 40, 6)), List.of(
+            worker(1, 0, AT - 500 * S), worker(2, 0, 0), worker(3, 1, 0)), List.of(new LearnedState.Bucket(0, List.of(7L), 9, AT)),
+            List.of(new LearnedState.Key(5, AT + 12 * S)));
 
-    private static Learned.Worker worker(long id, int kind, long startedAt) {
-        return new Learned.Worker(id, kind, startedAt, AT - S, 4, 8, 6, 1e5, List.of(11L, 12L));
+    private static LearnedState.Worker worker(long id, int kind, long startedAt) {
+        return new LearnedState.Worker(id, kind, startedAt, AT - S, 4, 8, 6, 1e5, List.of(11L, 12L));
     }
 
     private static Worker worker(long id, int kind, long startedAt, State state) {
@@ -32,43 +32,43 @@
 
     @Test
     void aFewSecondsLeaveAlmostAll() {
-        Ageing.Aged a = ageing.age(old, LIST, AT + 5 * S);
-        assertEquals(List.of(), a.reasons());
-        assertEquals(8 * Math.exp(-5.0 / 60), a.learned().workers().get(0).weight(), 1e-9);
-        assertEquals(4 / 8.0, a.learned().workers().get(0).sum() / a.learned().workers().get(0).weight(), 1e-9, "the mean stays");
-        assertEquals(List.of(11L, 12L), a.learned().workers().get(0).kept());
-        assertEquals(old.keys(), a.learned().keys());
+        LearnedStateAging.Result a = ageing.apply(old, LIST, AT + 5 * S);
+        assertEquals(List.of(), a.dropReasons());
+        assertEquals(8 * Math.exp(-5.0 / 60), a.state().workers().get(0).weight(), 1e-9);
+        assertEquals(4 / 8.0, a.state().workers().get(0).sum() / a.state().workers().get(0).weight(), 1e-9, "the mean stays");
+        assertEquals(List.of(11L, 12L), a.state().workers().get(0).kept());
+        assertEquals(old.keys(), a.state().keys());
     }
 
     @Test
     void daysLeaveKindsAndCountsAlone() {
-        Ageing.Aged a = ageing.age(old, LIST, AT + 2 * 86_400 * S);
-        assertTrue(a.learned().workers().stream().allMatch(p -> p.weight() == 0 && p.kept().isEmpty()));
-        assertEquals(0, a.learned().works());
-        assertEquals(List.of(), a.learned().keys());
-        assertEquals(List.of(7L), a.learned().buckets().get(0).used(), "a count that only grows is never too old");
-        assertTrue(a.learned().kinds().get(0).weight() > 0);
-        assertTrue(ageing.age(old, LIST, AT + 6 * 86_400 * S).learned().kinds().isEmpty());
+        LearnedStateAging.Result a = ageing.apply(old, LIST, AT + 2 * 86_400 * S);
+        assertTrue(a.state().workers().stream().allMatch(p -> p.weight() == 0 && p.kept().isEmpty()));
+        assertEquals(0, a.state().works());
+        assertEquals(List.of(), a.state().keys());
+        assertEquals(List.of(7L), a.state().buckets().get(0).used(), "a count that only grows is never too old");
+        assertTrue(a.state().kinds().get(0).weight() > 0);
+        assertTrue(ageing.apply(old, LIST, AT + 6 * 86_400 * S).state().kinds().isEmpty());
     }
 
     @Test
     void workersThatRestartedLeftOrAreOthersLoseWhatTheyLose() {
-        Ageing.Aged a = ageing.age(old, List.of(worker(1, 0, AT + S, State.READY), worker(3, 0, 0, State.READY)), AT + 2 * S);
-        Learned.Worker restarted = a.learned().workers().get(0);
+        LearnedStateAging.Result a = ageing.apply(old, List.of(worker(1, 0, AT + S, State.READY), worker(3, 0, 0, State.READY)), AT + 2 * S);
+        LearnedState.Worker restarted = a.state().workers().get(0);
         assertEquals(List.of(), restarted.kept());
         assertTrue(restarted.weight() > 0 && restarted.slots() == 6, "the machine is what it was");
-        Learned.Worker other = a.learned().workers().get(1);
+        LearnedState.Worker other = a.state().workers().get(1);
         assertTrue(other.weight() == 0 && other.slots() == 0 && other.kept().isEmpty());
         assertEquals(1e5, other.work(), "work sent to a cold worker counts whatever it is now");
-        assertEquals(2, a.learned().workers().size());
-        assertEquals(List.of("1 workers: no longer listed", "1 workers: of another kind now"), a.reasons());
+        assertEquals(2, a.state().workers().size());
+        assertEquals(List.of("1 workers: no longer listed", "1 workers: of another kind now"), a.dropReasons());
     }
 
     /** Whenever the clock is, what guards the rules is never weaker than it was, and nothing gains weight. */
     @Property(tries = 500)
     void ageingErrsToTheSafeSide(@ForAll @LongRange(min = -100_000_000, max = 100_000_000) long later) {
-        Learned a = ageing.age(old, LIST, AT + later).learned();
-        for (Learned.Worker p : a.workers()) {
+        LearnedState a = ageing.apply(old, LIST, AT + later).state();
+        for (LearnedState.Worker p : a.workers()) {
             assertEquals(1e5, p.work());
             assertTrue(p.weight() <= 8);
         }
--- a/src/test/java/granitefold/state/FaultyDisk.java
+++ b/src/test/java/granitefold/state/FaultyStorage.java
@@ -12,7 +12,7 @@
  * A folder in memory that does what disks do: what was not forced may be lost, torn or kept at a power loss, renames that
  * were not forced in any order, and each call may fail.
  */
-final class FaultyDisk implements Disk {
+final class FaultyStorage implements Storage {
     /** The power has gone: nothing after it happens. */
     static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1;
@@ -41,7 +41,7 @@
     int failAt = -1;
     int steps;
 
-    FaultyDisk(long seed) {
+    FaultyStorage(long seed) {
         random = new SplittableRandom(seed);
     }
 
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void forceFolder() throws IOException {
+    public void forceDirectory() throws IOException {
         step();
         durable = new HashMap<>(names);
         unforced.clear();
--- a/src/test/java/granitefold/state/SaveLoop.java
+++ b/src/test/java/granitefold/state/SaveLoop.java
@@ -1,6 +1,6 @@
 package granitefold.state;
 
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.nio.file.Path;
 import java.util.List;
 
@@ -9,16 +9,16 @@
     private SaveLoop() { }
 
     public static void main(String[] args) throws Exception {
-        try (RealDisk disk = RealDisk.open(Path.of(args[0]))) {
+        try (DirectoryStorage disk = DirectoryStorage.open(Path.of(args[0]))) {
             StateStore store = new StateStore(disk, 2);
-            StateStore.Found found = store.load();
+            StateStore.LoadResult found = store.load();
             long n = found.content() == null ? 0 : found.content().learned().at();
             System.out.println("found " + n + " " + found.problems());
             while (true) {
                 n++;
                 StateFile.Content c = StateFileTest.content(200, n);
-                Learned l = c.learned();
-                store.save(new StateFile.Content(c.name(), c.settings(), 0, 1, c.tenants(), c.kinds(), new Learned(n, l.fetchUs(), l.kept(),
+                LearnedState l = c.learned();
+                store.save(new StateFile.Content(c.name(), c.settings(), 0, 1, c.tenants(), c.kinds(), new LearnedState(n, l.fetchUs(), l.kept(),
                         l.meanWork(), l.works(), l.kinds(), l.workers(), l.buckets(), List.of())));
                 System.out.println("saved " + n);
             }
--- a/src/test/java/granitefold/state/StateFileTest.java
+++ b/src/test/java/granitefold/state/StateFileTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import granitefold.state.StateFile.Content;
 import granitefold.state.StateFile.Fault;
-import granitefold.state.StateFile.Unreadable;
+import granitefold.state.StateFile.UnreadableFileException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -27,19 +27,19 @@
 
     private static Content content(int workers, long seed, String settings) {
         SplittableRandom r = new SplittableRandom(seed);
-        List<Learned.Worker> ps = new ArrayList<>();
+        List<LearnedState.Worker> ps = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
-            ps.add(new Learned.Worker(r.nextLong(1L << 42), r.nextInt(-1, 2), r.nextLong(1L << 50), r.nextLong(1L << 50),
+            ps.add(new LearnedState.Worker(r.nextLong(1L << 42), r.nextInt(-1, 2), r.nextLong(1L << 50), r.nextLong(1L << 50),
                     r.nextDouble(-9, 9), r.nextDouble(20), r.nextInt(9), r.nextDouble(1e6),
                     r.longs(r.nextInt(20)).boxed().toList()));
         }
         return new Content("n" + r.nextInt(9), settings, 1, 3, List.of("cocina-de-casa", "dulce-tarde"), List.of("nuevo-5n", "viejo-6n"),
-                new Learned(r.nextLong(1L << 50), 3e5, 6.5, 4e5, 900, List.of(new Learned.Kind(1, -0.3, 40, 6)), ps,
-                List.of(new Learned.Bucket(0, List.of(5L, 6L, 7L), 123.5, 99)), List.of(new Learned.Key(r.nextLong(), 77))));
+                new LearnedState(r.nextLong(1L << 50), 3e5, 6.5, 4e5, 900, List.of(new LearnedState.Kind(1, -0.3, 40, 6)), ps,
+                List.of(new LearnedState.Bucket(0, List.of(5L, 6L, 7L), 123.5, 99)), List.of(new LearnedState.Key(r.nextLong(), 77))));
     }
 
     @Property(tries = 200)
-    void whatIsWrittenIsRead(@ForAll long seed, @ForAll @IntRange(max = 40) int workers) throws Unreadable {
+    void whatIsWrittenIsRead(@ForAll long seed, @ForAll @IntRange(max = 40) int workers) throws UnreadableFileException {
         Content c = content(workers, seed);
         assertEquals(c, StateFile.decode(StateFile.encode(c)));
     }
@@ -58,17 +58,17 @@
         int refused = 0;
         for (int n = 0; n < file.length; n++) {
             byte[] cut = Arrays.copyOf(file, n);
-            assertThrows(Unreadable.class, () -> StateFile.decode(cut));
+            assertThrows(UnreadableFileException.class, () -> StateFile.decode(cut));
             refused++;
         }
         for (int bit = 0; bit < file.length * 8; bit++) {
             byte[] flipped = file.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThrows(Unreadable.class, () -> StateFile.decode(flipped), "bit " + bit);
+            assertThrows(UnreadableFileException.class, () -> StateFile.decode(flipped), "bit " + bit);
             refused++;
         }
         assertEquals(file.length * 9, refused);
-        assertThrows(Unreadable.class, () -> StateFile.decode(Arrays.copyOf(file, file.length + 1)), "longer");
+        assertThrows(UnreadableFileException.class, () -> StateFile.decode(Arrays.copyOf(file, file.length + 1)), "longer");
     }
 
     @Test
@@ -92,21 +92,21 @@
     }
 
     private static Fault fault(byte[] file) {
-        return assertThrows(Unreadable.class, () -> StateFile.decode(file)).fault();
+        return assertThrows(UnreadableFileException.class, () -> StateFile.decode(file)).fault();
     }
 
     @Test
     void tenThousandWorkersStayUnderTheirBound() {
         SplittableRandom r = new SplittableRandom(5);
-        List<Learned.Worker> workers = new ArrayList<>();
+        List<LearnedState.Worker> workers = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
-            workers.add(new Learned.Worker(r.nextLong(1L << 42), 1, 0, 0, r.nextDouble(), 20, 6, 0, r.longs(12).boxed().toList()));
+            workers.add(new LearnedState.Worker(r.nextLong(1L << 42), 1, 0, 0, r.nextDouble(), 20, 6, 0, r.longs(12).boxed().toList()));
         }
-        List<Learned.Bucket> buckets = new ArrayList<>();
+        List<LearnedState.Bucket> buckets = new ArrayList<>();
         for (int i = 0; i < 4096; i++) {
-            buckets.add(new Learned.Bucket(i, List.of(r.nextLong(1L << 40), 0L, 0L), r.nextDouble(1e9), 1L << 50));
+            buckets.add(new LearnedState.Bucket(i, List.of(r.nextLong(1L << 40), 0L, 0L), r.nextDouble(1e9), 1L << 50));
         }
-        byte[] file = StateFile.encode(new Content("n", "s", 0, 3, List.of(), List.of(), new Learned(0, 1, 1, 1, 1, List.of(), workers,
+        byte[] file = StateFile.encode(new Content("n", "s", 0, 3, List.of(), List.of(), new LearnedState(0, 1, 1, 1, 1, List.of(), workers,
                 buckets, List.of())));
         assertTrue(file.length < 4 << 20, file.length + " bytes");
     }
@@ -114,13 +114,13 @@
     @Test
     void placesFollowTheirNamesAndAnothersFileIsNotOurs() {
         Content c = content(3, 9);
-        Places turned = new Places(c.name(), c.settings(), 0, 2, List.of("dulce-tarde", "cocina-de-casa"), List.of("viejo-6n"));
-        Learned here = turned.here(c);
+        StateIndexMapping turned = new StateIndexMapping(c.name(), c.settings(), 0, 2, List.of("dulce-tarde", "cocina-de-casa"), List.of("viejo-6n"));
+        LearnedState here = turned.remap(c);
         assertEquals(0, here.kinds().get(0).kind());
         assertEquals(1, here.buckets().get(0).tenant());
         assertEquals(List.of(6L, 0L), here.buckets().get(0).used(), "our own use moves to our number, others' are unknown");
         assertTrue(here.workers().stream().allMatch(p -> p.kind() == -1 || p.kind() == 0));
-        assertEquals(null, new Places("other", c.settings(), 0, 2, List.of(), List.of()).here(c));
-        assertEquals(null, new Places(c.name(), "others", 0, 2, List.of(), List.of()).here(c));
+        assertEquals(null, new StateIndexMapping("other", c.settings(), 0, 2, List.of(), List.of()).remap(c));
+        assertEquals(null, new StateIndexMapping(c.name(), "others", 0, 2, List.of(), List.of()).remap(c));
     }
 }
--- a/src/test/java/granitefold/state/StateStoreTest.java
+++ b/src/test/java/granitefold/state/StateStoreTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import granitefold.state.StateFile.Content;
 import java.io.IOException;
 import java.util.List;
@@ -15,12 +15,12 @@
 /** Power loss and failing calls at every step of a save. */
 class StateStoreTest {
     private static Content numbered(long n) {
-        return new Content("n0", "s", 0, 1, List.of(), List.of(), new Learned(n, 1, 1, 1, 1, List.of(), List.of(), List.of(),
+        return new Content("n0", "s", 0, 1, List.of(), List.of(), new LearnedState(n, 1, 1, 1, 1, List.of(), List.of(), List.of(),
                 List.of()));
     }
 
     /** A life: it loads, then saves; returns the number that the last save that came back had. */
-    private static long load(FaultyDisk disk, int keep) {
+    private static long load(FaultyStorage disk, int keep) {
         Content found = new StateStore(disk, keep).load().content();
         return found == null ? 0 : found.learned().at();
     }
@@ -32,7 +32,7 @@
         for (int keep = 2; keep <= 4; keep++) {
             for (int step = 0; step < 8; step++) {
                 for (long seed = 0; seed < 500; seed++) {
-                    FaultyDisk disk = new FaultyDisk(seed);
+                    FaultyStorage disk = new FaultyStorage(seed);
                     StateStore store = new StateStore(disk, keep);
                     store.load();
                     store.save(numbered(1));
@@ -43,7 +43,7 @@
                     try {
                         store.save(numbered(4));
                         told = 4;
-                    } catch (FaultyDisk.PowerLoss e) {
+                    } catch (FaultyStorage.PowerLoss e) {
                         // nothing was promised
                     }
                     disk.powerBack();
@@ -64,7 +64,7 @@
     @Test
     void aFullDiskAtAnyStepLosesNothingThatWasThereAndIsTriedAgain() throws IOException {
         for (int step = 0; step < 6; step++) {
-            FaultyDisk disk = new FaultyDisk(step);
+            FaultyStorage disk = new FaultyStorage(step);
             StateStore store = new StateStore(disk, 2);
             store.load();
             store.save(numbered(1));
@@ -86,39 +86,39 @@
 
     @Test
     void aNewerFileIsSetAsideUntouchedAndAnOlderGenerationIsTaken() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1);
+        FaultyStorage disk = new FaultyStorage(1);
         byte[] newer = StateFileTest.version(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
         disk.put(StateStore.NAME, newer);
         disk.put(StateStore.generation(1), StateFile.encode(numbered(8)));
         StateStore store = new StateStore(disk, 2);
-        StateStore.Found found = store.load();
+        StateStore.LoadResult found = store.load();
         assertEquals(8, found.content().learned().at());
         assertEquals(1, found.problems().size());
         store.save(numbered(10));
         store.save(numbered(11));
-        assertArrayEquals(newer, disk.read(StateStore.ASIDE, StateFile.LENGTH_MOST));
+        assertArrayEquals(newer, disk.read(StateStore.ASIDE, StateFile.MAX_LENGTH_BYTES));
     }
 
     @Test
     void whereItCannotBeSetAsideNothingIsWritten() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1);
+        FaultyStorage disk = new FaultyStorage(1);
         byte[] newer = StateFileTest.version(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
         disk.put(StateStore.NAME, newer);
         disk.failAt = 0;
         StateStore store = new StateStore(disk, 2);
         assertNull(store.load().content());
         assertThrows(IOException.class, () -> store.save(numbered(10)));
-        assertArrayEquals(newer, disk.read(StateStore.NAME, StateFile.LENGTH_MOST));
+        assertArrayEquals(newer, disk.read(StateStore.NAME, StateFile.MAX_LENGTH_BYTES));
     }
 
     @Test
     void aDamagedFileIsToldAndTheOneBeforeIsTaken() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1);
+        FaultyStorage disk = new FaultyStorage(1);
         byte[] damaged = StateFile.encode(numbered(2));
         damaged[40] ^= 4;
         disk.put(StateStore.NAME, damaged);
         disk.put(StateStore.generation(1), StateFile.encode(numbered(1)));
-        StateStore.Found found = new StateStore(disk, 2).load();
+        StateStore.LoadResult found = new StateStore(disk, 2).load();
         assertEquals(1, found.content().learned().at());
         assertTrue(found.problems().get(0).startsWith("learned.state: at byte "), found.problems().get(0));
     }
--- a/src/test/java/granitefold/state/StateKeeperTest.java
+++ b/src/test/java/granitefold/state/StateWriterTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 
 /** What a planned end leaves behind, on a disk that takes its time. */
-class StateKeeperTest {
+class StateWriterTest {
     private static final long PATIENCE_US = 30_000_000;
     private static final long OWN_BOUND_MS = 200;
-    private final FaultyDisk memory = new FaultyDisk(1);
+    private final FaultyStorage memory = new FaultyStorage(1);
     /** A value is being forced; it may be through. */
     private final CountDownLatch forcing = new CountDownLatch(1), through = new CountDownLatch(1);
-    private final Disk slow = new Disk() {
+    private final Storage slow = new Storage() {
         @Override
         public byte[] read(String name, int most) {
             return memory.read(name, most);
@@ -45,29 +45,29 @@
         }
 
         @Override
-        public void forceFolder() throws IOException {
-            memory.forceFolder();
+        public void forceDirectory() throws IOException {
+            memory.forceDirectory();
         }
     };
-    private final StateKeeper keeper = new StateKeeper("slow", () -> slow, 2,
-            new Places("n0", "s", 0, 1, List.of("acme"), List.of("m")), learned -> { });
+    private final StateWriter keeper = new StateWriter("slow", () -> slow, 2,
+            new StateIndexMapping("n0", "s", 0, 1, List.of("acme"), List.of("m")), learned -> { });
 
-    private static Learned learned(long at) {
-        return new Learned(at, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of());
+    private static LearnedState learned(long at) {
+        return new LearnedState(at, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of());
     }
 
     private long newest() {
-        StateStore.Found found = new StateStore(memory, 2).load();
+        StateStore.LoadResult found = new StateStore(memory, 2).load();
         return found.content() == null ? 0 : found.content().learned().at();
     }
 
     @Test
     void thePlannedEndWaitsForTheLastValueForAsLongAsItMay() throws Exception {
         keeper.start();
-        keeper.keep(learned(1));
+        keeper.submit(learned(1));
         forcing.await();
-        keeper.keep(learned(2));
-        Thread ends = new Thread(() -> keeper.end(PATIENCE_US));
+        keeper.submit(learned(2));
+        Thread ends = new Thread(() -> keeper.shutDown(PATIENCE_US));
         ends.start();
         // an end that had a bound of its own, shorter than the time there is, would be over
         ends.join(OWN_BOUND_MS);
@@ -80,9 +80,9 @@
     @Test
     void aDiskThatTakesLongerThanTheEndMayDoesNotHoldIt() throws Exception {
         keeper.start();
-        keeper.keep(learned(1));
+        keeper.submit(learned(1));
         forcing.await();
-        keeper.end(1);
+        keeper.shutDown(1);
         assertEquals(0, newest(), "what was not forced has no name that is read");
         through.countDown();
     }
