--- a/src/main/java/granitefold/core/StatusReport.java
+++ b/src/main/java/granitefold/core/StatusReport.java
@@ -1,7 +1,7 @@
 package granitefold.core;
 
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 
 /**
  * How the dispatcher stands, for balancers and operators.
@@ -19,6 +19,6 @@
  * @param answersPerSecond requests answered a second, lately
  * @param served requests served since the start, {@code rejected} and {@code failed} alike
  */
-public record StatusReport(Verdict verdict, Phase phase, Wish requestedMode, int owed, int clients, int readyWorkers, int downWorkers, boolean panic,
+public record StatusReport(AvailabilityReport verdict, Phase phase, RequestedMode requestedMode, int owed, int clients, int readyWorkers, int downWorkers, boolean panic,
         boolean confirmed, long listVersion, long listAgeUs, long watchSilentUs, double waitRatio, double rejectShare, double answersPerSecond,
         ResourceUsage resources, long uptimeUs, long served, long rejected, long failed) { }
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -6,12 +6,12 @@
 import granitefold.core.Phase;
 import granitefold.core.Reducer;
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Wish;
-import granitefold.figures.Figures;
+import granitefold.availability.RequestedMode;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.operator.Operator;
-import granitefold.recovery.Learned;
+import granitefold.operator.OperatorSettings;
+import granitefold.recovery.LearnedState;
 import granitefold.wire.Address;
 import granitefold.wire.BadWire;
 import granitefold.wire.Config;
@@ -70,25 +70,25 @@
     private long heldBytes;
     /** What the operator's file adds; null where no part of it needs the loop. */
     private final StatusReporter insight;
-    private final Operator operator;
-    private Consumer<Learned> keeper;
+    private final OperatorSettings operator;
+    private Consumer<LearnedState> keeper;
     private final OutboundConnections links;
     /** The other processes that serve at our address; null where nobody may start one. */
     private final ProcessRegistry company;
     /** Null where no other process may share our folder. */
     private final StateHandover handover;
-    private volatile Figures figures;
+    private volatile MetricsSnapshot figures;
 
     /** As the platform starts it. */
     public EventLoop(Config config) {
-        this(config, Operator.NONE);
+        this(config, OperatorSettings.NONE);
     }
 
-    public EventLoop(Config config, Operator operator) {
+    public EventLoop(Config config, OperatorSettings operator) {
         this.config = config;
         this.operator = operator;
-        insight = operator.tells() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
-        if (operator.health() != null && operator.health().probes() && !config.probing()) {
+        insight = operator.publishesAvailability() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
+        if (operator.health() != null && operator.health().probesEnabled() && !config.probing()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
         // a request holds a connection on either side
@@ -96,9 +96,9 @@
         links = new OutboundConnections(this, sockets, config, operator);
         company = ops ? ProcessRegistry.at(config.listen()) : null;
         handover = ops && company.stem != null ? new StateHandover(company.stem, config.places()) : null;
-        int checks = operator.descriptors() + (ops ? OPS_DESCRIPTORS : 0);
-        if (operator.descriptors() > config.sockets() / 4) {
-            throw new BadWire("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
+        int checks = operator.maxDescriptors() + (ops ? OPS_DESCRIPTORS : 0);
+        if (operator.maxDescriptors() > config.sockets() / 4) {
+            throw new BadWire("checks may hold " + operator.maxDescriptors() + " descriptors, more than a quarter of limits.sockets, "
                     + config.sockets());
         }
         int each = Math.max(SPARE + 1, (config.sockets() - RESERVED - checks) / 2);
@@ -108,7 +108,7 @@
 
     /** Opens the sockets and begins; from the main thread. */
     public void start() throws Exception {
-        Learned inherited = null;
+        LearnedState inherited = null;
         if (company != null && company.others()) {
             // the old version serves meanwhile, so that a cold start need not be any client's
             String word = handover == null ? null : handover.ask();
@@ -116,7 +116,7 @@
             EventLog.log(LogEvent.WARMED, JitWarmup.run(config, bounds), (clock.micros() - at) / 1000);
             inherited = word == null ? null : handover.await(word, INHERIT_MS);
         }
-        Learned former = inherited;
+        LearnedState former = inherited;
         // where the next version may start beside this one, it listens on the same address
         long openedNs = System.nanoTime();
         listener = new ClientListener(sockets, SocketOpener.openTcpListener(config.listen(), BACKLOG, company != null), this::accepted);
@@ -174,26 +174,26 @@
     }
 
     /** Who keeps what was learned; set before the start, where the operator has named a folder. */
-    public void saveStateWith(Consumer<Learned> who) {
+    public void saveStateWith(Consumer<LearnedState> who) {
         keeper = who;
     }
 
     /** What a former life left; from any thread. */
-    public void restore(Learned learned) {
+    public void restore(LearnedState learned) {
         sockets.submit(() -> post(new Event.StateRecovered(learned)));
     }
 
     /** What the process has done and how it stands; null before the first. From any thread. */
-    public Figures figures() {
+    public MetricsSnapshot figures() {
         return figures;
     }
 
     /** Looks whether a new version asks what was learned; {@code writer} runs what may wait for a file. */
     public void answerHandoverRequests(Consumer<Runnable> writer) {
         // while this one does not serve, the wish is its own
-        if (handover != null && figures != null && figures.serves()) {
+        if (handover != null && figures != null && figures.ready()) {
             handover.look(word -> sockets.submit(() -> {
-                Learned learned = reducer.learned();
+                LearnedState learned = reducer.learned();
                 writer.accept(() -> handover.tell(word, learned));
             }));
         }
@@ -205,7 +205,7 @@
     }
 
     /** An operator's word; from any thread. {@code then} runs on the loop's, once it has been taken in. */
-    public void setOperatorOverride(Wish wish, Runnable then) {
+    public void setOperatorOverride(RequestedMode wish, Runnable then) {
         sockets.submit(() -> {
             post(new Event.ModeRequested(wish));
             then.run();
@@ -222,7 +222,7 @@
         return reducer.phase().name();
     }
 
-    Operator.Clients clientRules() {
+    OperatorSettings.Clients clientRules() {
         return operator.clients();
     }
 
@@ -345,7 +345,7 @@
             insight.publish(e.report());
         } else if (effect instanceof Effect.PublishFigures e) {
             figures = e.figures();
-            if (company != null && figures.serves()) {
+            if (company != null && figures.ready()) {
                 company.enter();
             }
         } else if (effect instanceof Effect.Log e) {
