--- a/src/main/java/granitefold/core/FiguresPublisher.java
+++ b/src/main/java/granitefold/core/FiguresPublisher.java
@@ -32,8 +32,8 @@
     /** Tells how things stand now, out of turn where something of weight has changed. */
     void publish() {
         if (tally != null) {
-            Dispatcher.Choice choice = reducer.choice();
-            MetricsSnapshot f = tally.snapshot(reducer.owed(), choice.listed(), choice.avoided(), reducer.ready());
+            Dispatcher.WorkerCounts counts = reducer.workerCounts();
+            MetricsSnapshot f = tally.snapshot(reducer.owed(), counts.listed(), counts.avoided(), reducer.ready());
             effects.add(new Effect.PublishFigures(f));
         }
     }
--- a/src/main/java/granitefold/core/SiblingTracker.java
+++ b/src/main/java/granitefold/core/SiblingTracker.java
@@ -31,8 +31,8 @@
 
     SiblingTracker(Settings settings, Timers timers, List<Effect> effects) {
         leavesUs = ShutdownSchedule.of(settings.classes()).killedUs();
-        on = settings.limits().siblings();
-        me = settings.me();
+        on = settings.limits().siblingMessages();
+        me = settings.selfIndex();
         count = settings.siblings();
         this.timers = timers;
         this.effects = effects;
