--- a/src/main/java/granitefold/Main.java
+++ b/src/main/java/granitefold/Main.java
@@ -1,6 +1,6 @@
 package granitefold;
 
-import granitefold.benchlink.BenchLink;
+import granitefold.benchlink.SimulatorAdapter;
 import granitefold.cli.Commands;
 import granitefold.cli.Serve;
 
@@ -16,7 +16,7 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> Serve.run(System.getenv("LB_CONFIG"), null);
-            case "benchlink" -> System.exit(BenchLink.run());
+            case "benchlink" -> System.exit(SimulatorAdapter.run());
             case "load" -> Rehearsal.run();
             default -> {
                 int status = Commands.run(args);
--- a/src/main/java/granitefold/Rehearsal.java
+++ b/src/main/java/granitefold/Rehearsal.java
@@ -1,7 +1,7 @@
 package granitefold;
 
 import granitefold.net.Loop;
-import granitefold.net.checks.Ops;
+import granitefold.net.checks.OpsEndpoint;
 import granitefold.wire.Config;
 import java.io.IOException;
 import java.io.InputStream;
@@ -28,7 +28,7 @@
 
     /** Loaded with an operator's file or for other commands only: in the archive they would cost every start. */
     private static final String ELSEWHERE = "granitefold\\.(rollout\\.|cli\\.(rollout|Commands|ControlClient|JsonLines|StateCommand)|operator\\.(OperatorFile|HoconFile"
-            + "|Section)|net\\.checks\\.(Checks|HttpCheck|Agent|Control)|state\\.|recovery\\.Ageing|shaded\\.jackson\\.(databind|annotation|dataformat)).*";
+            + "|Section)|net\\.checks\\.(CheckEndpoints|HttpCheck|Agent|Control)|state\\.|recovery\\.Ageing|shaded\\.jackson\\.(databind|annotation|dataformat)).*";
 
     private Rehearsal() { }
 
@@ -45,7 +45,7 @@
                 + "\"classes\":[{\"name\":\"job\",\"effect\":\"retryable\",\"onTimeMs\":900,\"deadlineMs\":900}]}}");
         Config config = Config.read(file);
         Loop loop = new Loop(config);
-        InetSocketAddress ops = new Ops(config.ops(), loop, config.words().classNames()).start();
+        InetSocketAddress ops = new OpsEndpoint(config.ops(), loop, config.namedSettings().classNames()).start();
         Files.delete(file);
         loop.start();
         try (Socket client = new Socket()) {
--- a/src/main/java/granitefold/benchlink/Event.java
+++ b/src/main/java/granitefold/benchlink/Event.java
@@ -2,7 +2,7 @@
 
 import granitefold.Dispatcher.Settings;
 import granitefold.Dispatcher.Worker;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import granitefold.wire.SettingsReader;
 import java.util.List;
 
@@ -37,14 +37,14 @@
     /** The id of the request that the event is about. */
     long request() {
         if (!hasId) {
-            throw new BadWire(verb + " without msgId");
+            throw new InvalidInputException(verb + " without msgId");
         }
         return id;
     }
 
     Settings settings() {
         if (setup == null) {
-            throw new BadWire("PowerOn without setup");
+            throw new InvalidInputException("PowerOn without setup");
         }
         return setup.settings();
     }
--- a/src/main/java/granitefold/benchlink/Instance.java
+++ b/src/main/java/granitefold/benchlink/Instance.java
@@ -5,7 +5,7 @@
 import granitefold.Dispatcher.Report;
 import granitefold.Dispatcher.Request;
 import granitefold.Dispatcher.Settings;
-import granitefold.wire.Words;
+import granitefold.wire.WireCodes;
 import java.util.Base64;
 import java.util.List;
 
@@ -50,12 +50,12 @@
         switch (e.verb) {
             case "PowerOn" -> module.start(now);
             case "Members" -> {
-                Dispatcher.ListNews news = Words.news(e.how == null ? "" : e.how);
+                Dispatcher.ListNews news = WireCodes.news(e.how == null ? "" : e.how);
                 module.listed(now, news, news == Dispatcher.ListNews.FAILED ? List.of() : lists.get(e.list));
             }
             case "Ingress" -> module.requested(now, new Request(e.request(), e.category, e.clientGroup,
                     Math.round(e.timeLeftMs * 1000), e.expectedMs * 1000, e.needs, e.ramUnits,
-                    Words.key(e.item)));
+                    WireCodes.key(e.item)));
             case "Note" -> {
                 if (e.topic == 1) {
                     module.started(now, e.request(), e.trial);
@@ -63,7 +63,7 @@
                     module.progressed(now, e.request(), e.trial, e.amount);
                 }
             }
-            case "Response" -> module.ended(now, e.request(), e.trial, e.ended, Words.outcome(e.code), report(e));
+            case "Response" -> module.ended(now, e.request(), e.trial, e.ended, WireCodes.outcome(e.code), report(e));
             case "Expired" -> module.expired(now, e.request());
             case "Elapsed" -> module.elapsed(now, e.label);
             case "FromPeer" -> module.heard(now, e.src, e.body == null ? new byte[0] : e.body);
--- a/src/main/java/granitefold/benchlink/Link.java
+++ b/src/main/java/granitefold/benchlink/Link.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.core.JsonToken;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher.Worker;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import granitefold.wire.SettingsReader;
-import granitefold.wire.Words;
+import granitefold.wire.WireCodes;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -50,7 +50,7 @@
                 try (JsonParser p = json.createParser(buf, from, end - from)) {
                     batch(p);
                 } catch (JsonProcessingException e) {
-                    throw new BadWire(e.getOriginalMessage());
+                    throw new InvalidInputException(e.getOriginalMessage());
                 }
                 reply.writeTo(out);
             }
@@ -80,7 +80,7 @@
             int n = in.read(buf, to, buf.length - to);
             if (n < 0) {
                 if (!blank(from, to)) {
-                    throw new BadWire("input ends in the middle of a line");
+                    throw new InvalidInputException("input ends in the middle of a line");
                 }
                 return -1;
             }
@@ -115,10 +115,10 @@
             }
         }
         if (p.nextToken() != null) {
-            throw new BadWire("more than one value on a line");
+            throw new InvalidInputException("more than one value on a line");
         }
         if (Double.isNaN(atMs) || parts == null || !numbered) {
-            throw new BadWire("a batch needs atTimeMs, turn and parts");
+            throw new InvalidInputException("a batch needs atTimeMs, turn and parts");
         }
         long now = Math.round(atMs * 1000);
         reply.clear();
@@ -140,14 +140,14 @@
         boolean first = true;
         for (Event e : part.news) {
             if (e.verb == null) {
-                throw new BadWire("an event without verb");
+                throw new InvalidInputException("an event without verb");
             }
             if (e.verb.equals("List")) {
                 lists.put(e.list, e.entries);
                 continue;
             }
             if (part.name == null) {
-                throw new BadWire(e.verb + " without dispatcherId");
+                throw new InvalidInputException(e.verb + " without dispatcherId");
             }
             if (e.verb.equals("Kill")) {
                 instances.remove(part.name);
@@ -164,7 +164,7 @@
             it.begin(first);
             try {
                 it.play(now, e, lists);
-            } catch (BadWire bad) {
+            } catch (InvalidInputException bad) {
                 throw bad;
             } catch (RuntimeException | StackOverflowError broke) {
                 it.giveIn(broke + (broke.getStackTrace().length > 0 ? " at " + broke.getStackTrace()[0] : ""));
@@ -276,7 +276,7 @@
                 switch (name) {
                     case "runner" -> id = whole(p);
                     case "powerHint" -> size = real(p);
-                    case "lifecycle" -> state = Words.state(p.getText());
+                    case "lifecycle" -> state = WireCodes.state(p.getText());
                     case "sinceMs" -> sinceMs = real(p);
                     case "failureDomain" -> zone = (int) whole(p);
                     case "stripe" -> cell = (int) whole(p);
@@ -285,7 +285,7 @@
                 }
             }
             if (id < 0) {
-                throw new BadWire("a list entry without runner");
+                throw new InvalidInputException("a list entry without runner");
             }
             found.add(new Worker(id, size, state, Math.round(sinceMs * 1000), zone, cell, kind));
         }
@@ -294,13 +294,13 @@
 
     private static void expect(JsonToken is, JsonToken wanted, String what) {
         if (is != wanted) {
-            throw new BadWire(what + " is not as expected");
+            throw new InvalidInputException(what + " is not as expected");
         }
     }
 
     private static double real(JsonParser p) throws IOException {
         if (!p.currentToken().isNumeric()) {
-            throw new BadWire(p.currentName() + " is not a number");
+            throw new InvalidInputException(p.currentName() + " is not a number");
         }
         return p.getDoubleValue();
     }
--- a/src/main/java/granitefold/benchlink/ListTable.java
+++ b/src/main/java/granitefold/benchlink/ListTable.java
@@ -1,7 +1,7 @@
 package granitefold.benchlink;
 
 import granitefold.Dispatcher.Worker;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import java.util.List;
 
 /** The numbered lists of workers that the wire declares; a number is used again for another list. */
@@ -11,7 +11,7 @@
 
     void put(int number, List<Worker> entries) {
         if (number < 0 || number >= NUMBERS || entries == null) {
-            throw new BadWire("List with a bad number or without nodesList");
+            throw new InvalidInputException("List with a bad number or without nodesList");
         }
         lists[number] = entries;
     }
@@ -19,7 +19,7 @@
     @SuppressWarnings("unchecked")
     List<Worker> get(int number) {
         if (number < 0 || number >= NUMBERS || lists[number] == null) {
-            throw new BadWire("Members names list " + number + ", which was never sent");
+            throw new InvalidInputException("Members names list " + number + ", which was never sent");
         }
         return (List<Worker>) lists[number];
     }
--- a/src/main/java/granitefold/cli/Commands.java
+++ b/src/main/java/granitefold/cli/Commands.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import granitefold.availability.Wish;
-import granitefold.benchlink.BenchLink;
+import granitefold.benchlink.SimulatorAdapter;
 import granitefold.cli.rollout.KeepCommand;
 import granitefold.cli.rollout.PlanFile;
 import granitefold.cli.rollout.RolloutCommand;
 import granitefold.operator.BrokenFile;
 import granitefold.operator.OperatorFile;
-import granitefold.wire.BadWire;
 import granitefold.wire.Config;
+import granitefold.wire.InvalidInputException;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -97,7 +97,7 @@
     static final class BenchLinkCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return BenchLink.run();
+            return SimulatorAdapter.run();
         }
     }
 
@@ -125,7 +125,7 @@
                             ? PlanFile.read(file).effective() : OperatorFile.read(file).effective();
                     out.println("# " + file);
                     settings.forEach((key, value) -> out.println(key + " = " + value));
-                } catch (BadWire e) {
+                } catch (InvalidInputException e) {
                     spec.commandLine().getErr().println(e.getMessage());
                     status = Serve.BAD_CONFIGURATION;
                 } catch (BrokenFile e) {
--- a/src/main/java/granitefold/cli/Serve.java
+++ b/src/main/java/granitefold/cli/Serve.java
@@ -3,14 +3,14 @@
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
 import granitefold.net.Loop;
-import granitefold.net.checks.Checks;
-import granitefold.net.checks.Ops;
+import granitefold.net.checks.CheckEndpoints;
+import granitefold.net.checks.OpsEndpoint;
 import granitefold.operator.Operator;
 import granitefold.operator.BrokenFile;
 import granitefold.operator.OperatorFile;
 import granitefold.state.StateKeeper;
-import granitefold.wire.BadWire;
 import granitefold.wire.Config;
+import granitefold.wire.InvalidInputException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -26,7 +26,7 @@
     private final Path operatorFile;
     private Operator operator = Operator.NONE;
     private Loop loop;
-    private Checks checks;
+    private CheckEndpoints checks;
     private StateKeeper keeper;
 
     private Serve(Path config, Path operatorFile) {
@@ -38,10 +38,10 @@
     public static void run(String config, String operatorFile) {
         try {
             if (config == null || config.isEmpty()) {
-                throw new BadWire("LB_CONFIG names no file");
+                throw new InvalidInputException("LB_CONFIG names no file");
             }
             new Serve(Path.of(config), operatorFile == null ? null : Path.of(operatorFile)).start();
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             fail(List.of("bad configuration: " + e.getMessage()));
         } catch (Exception e) {
             if (operatorFile != null && e instanceof BrokenFile broken) {
@@ -68,14 +68,14 @@
         Config platform = Config.read(config);
         loop = new Loop(platform, operator);
         if (operator.state() != null) {
-            keeper = new StateKeeper(operator.state().dir(), operator.state().keep(), platform.places(), loop::recovered);
+            keeper = new StateKeeper(operator.state().dir(), operator.state().keep(), platform.settingsIndexes(), loop::recovered);
             loop.keeper(keeper::keep);
         }
         if (platform.ops() != null) {
-            new Ops(platform.ops(), loop, platform.words().classNames()).start();
+            new OpsEndpoint(platform.ops(), loop, platform.namedSettings().classNames()).start();
         }
         if (operator.checks()) {
-            checks = new Checks(loop.name(), loop, operator);
+            checks = new CheckEndpoints(loop.name(), loop, operator);
             checks.start();
         }
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
@@ -118,7 +118,7 @@
             Thread.currentThread().interrupt();
         }
         if (checks != null) {
-            checks.end();
+            checks.close();
         }
         // a planned end is a success: without this the status would tell of the signal
         Runtime.getRuntime().halt(0);
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -232,7 +232,7 @@
             core.recollection.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
         } else if (event instanceof Event.Inherited e) {
             core.module.restore(core.now, e.learned());
-            core.effects.add(new Effect.Log(LogEvent.INHERITED, e.learned().workers().size(), e.learned().buckets().size()));
+            core.effects.add(new Effect.Log(LogEvent.HAND_OVER_RECEIVED, e.learned().workers().size(), e.learned().buckets().size()));
         } else if (event instanceof Event.Probed e && core.health != null) {
             list.judged(core.health.probed(e.worker(), e.well(), e.reason(), core.now));
         }
--- a/src/main/java/granitefold/logging/EventLog.java
+++ b/src/main/java/granitefold/logging/EventLog.java
@@ -57,7 +57,7 @@
             c.written = 0;
             c.kept = 0;
             if (kept > 0) {
-                emit(LogEvent.REPEATED, null, event.id(), kept);
+                emit(LogEvent.SUPPRESSED_COUNT, null, event.id(), kept);
             }
         }
         if (c.written >= MOST) {
--- a/src/main/java/granitefold/logging/LogEvent.java
+++ b/src/main/java/granitefold/logging/LogEvent.java
@@ -22,18 +22,18 @@
     SIBLINGS_FOREIGN("siblings.foreign", Level.WARN, "siblings: words of other settings than ours come from {}, and are not used",
             "address"),
     SIBLINGS_LOST("siblings.lost", Level.WARN, "siblings: cannot listen on {}: {}", "address", "reason"),
-    COMPANY_UNKNOWN("company.unknown", Level.WARN, "upgrade: cannot tell who else serves, by {}: {}", "file", "reason"),
-    WARMED("warmed", Level.INFO, "upgrade: another process serves, warmed up with {} made-up requests in {} ms", "requests", "ms"),
-    HANDED_OVER("handed.over", Level.INFO, "upgrade: a new version asked, told what was learned of {} workers and {} buckets", "peers",
+    OTHER_PROCESSES_UNKNOWN("company.unknown", Level.WARN, "upgrade: cannot tell who else serves, by {}: {}", "file", "reason"),
+    WARM_UP_DONE("warmed", Level.INFO, "upgrade: another process serves, warmed up with {} made-up requests in {} ms", "requests", "ms"),
+    HAND_OVER_SENT("handed.over", Level.INFO, "upgrade: a new version asked, told what was learned of {} workers and {} buckets", "peers",
             "buckets"),
-    INHERITED("inherited", Level.INFO, "upgrade: took over what the old version learned of {} workers and {} buckets", "peers",
+    HAND_OVER_RECEIVED("inherited", Level.INFO, "upgrade: took over what the old version learned of {} workers and {} buckets", "peers",
             "buckets"),
-    NOT_INHERITED("not.inherited", Level.WARN, "upgrade: nothing is passed on of what was learned: {}", "reason"),
-    RELIEVED("relieved", Level.INFO, "upgrade: another process serves at {}, clients go over to it", "address"),
+    HAND_OVER_FAILED("not.inherited", Level.WARN, "upgrade: nothing is passed on of what was learned: {}", "reason"),
+    REPLACEMENT_SERVING("relieved", Level.INFO, "upgrade: another process serves at {}, clients go over to it", "address"),
     AVAILABILITY("availability", Level.INFO, "availability: {} to {}, weight {}: {}", "from", "to", "weight", "reason"),
     CHECKS_LISTENING("checks.listening", Level.INFO, "checks: {} on {}", "front", "address"),
     CHECKS_FAILED("checks.failed", Level.WARN, "checks: {} cannot listen on {}: {}", "front", "address", "reason"),
-    CHECKS_CROWDED("checks.crowded", Level.WARN, "checks: {} closed its oldest connection for want of room", "front"),
+    CHECKS_CONNECTION_EVICTED("checks.crowded", Level.WARN, "checks: {} closed its oldest connection for want of room", "front"),
     CHECKS_REFUSED("checks.refused", Level.INFO, "checks: {} refused what {} sent: {}", "front", "address", "reason"),
     CONTROL("control", Level.INFO, "control: {}", "command"),
     CLIENT_REFUSED("client.refused", Level.INFO, "client: {} refused: {}", "address", "reason"),
@@ -61,7 +61,7 @@
     WORKER_CLOSED("worker.closed", Level.REQUEST, "worker connection {}: closed: {}", "connection", "reason"),
     RULE_BROKEN("rule.broken", Level.ERROR, "rule broken: {}: {}", "rule", "what"),
     INTERNAL_ERROR("internal.error", Level.ERROR, "internal error on {}", "what"),
-    REPEATED("repeated", Level.INFO, "the last line of {} stands for {} more", "event", "count");
+    SUPPRESSED_COUNT("repeated", Level.INFO, "the last line of {} stands for {} more", "event", "count");
 
     /** How much it matters. */
     public enum Level {
--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -6,7 +6,7 @@
 import granitefold.core.FinalAnswer;
 import granitefold.core.Phase;
 import granitefold.core.Submission;
-import granitefold.wire.BadRequest;
+import granitefold.wire.BadRequestException;
 import granitefold.wire.ClientRequest;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
@@ -25,7 +25,7 @@
 final class ClientConnection extends LoopConnection {
     private static final int BUFFER = 4096;
     /** So much is read after the last answer: without it a polite client's answer would be lost in the reset. */
-    private static final int LINGER_MOST = 4 * ClientRequest.BODY_MOST;
+    private static final int LINGER_MOST = 4 * ClientRequest.MAX_BODY_BYTES;
     private static final ByteBuffer CONTINUE =
             ByteBuffer.wrap("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII)).asReadOnlyBuffer();
 
@@ -175,7 +175,7 @@
         try {
             InetSocketAddress proxy = (InetSocketAddress) source;
             if (!loop.clientRules().from().isEmpty() && !loop.clientRules().from().contains(proxy.getAddress())) {
-                throw new BadRequest(400, "not one of clients.proxy-from");
+                throw new BadRequestException(400, "not one of clients.proxy-from");
             }
             ProxyHeader header = ProxyHeader.decode(in);
             if (header != null) {
@@ -185,14 +185,14 @@
             }
             int n = BufferUtil.isFull(in) ? -1 : getEndPoint().fill(in);
             if (n < 0) {
-                throw new BadRequest(400, "closed within its PROXY header");
+                throw new BadRequestException(400, "closed within its PROXY header");
             }
             if (n == 0) {
                 awaitReadable();
             }
             // what came is looked at in the next step
             return n > 0;
-        } catch (BadRequest e) {
+        } catch (BadRequestException e) {
             // section 2 of the protocol: the receiver drops the connection, and says nothing to who may be anybody
             EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
             gone(CloseReason.NO_PROXY_HEADER);
@@ -203,7 +203,7 @@
     /** Makes room to read on while a request is unanswered: only by reading is a client's leaving seen. */
     private boolean widen() {
         int more = in.capacity();
-        if (more > ClientRequest.BODY_MOST || !loop.hold(more)) {
+        if (more > ClientRequest.MAX_BODY_BYTES || !loop.hold(more)) {
             return false;
         }
         resize(2 * more);
@@ -241,7 +241,7 @@
         if (reader.isFor("/healthz")) {
             boolean ready = loop.phase() == Phase.SERVING;
             boolean close = reader.wantsClose();
-            answerHere(HttpMessages.plain(ready ? 200 : 503, loop.phase().name(), close), close);
+            answerHere(HttpMessages.plainText(ready ? 200 : 503, loop.phase().name(), close), close);
             return;
         }
         try {
@@ -252,13 +252,13 @@
             } else {
                 loop.post(new Event.RequestArrived(id, s, unseenUs()));
             }
-        } catch (BadRequest e) {
+        } catch (BadRequestException e) {
             if (loop.clientRules().proxy()) {
                 EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
             }
             // what follows may not be what it looks like either: the connection ends
             answerHere(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.because(Refusal.LIMIT), true)
-                    : HttpMessages.plain(e.status(), e.getMessage(), true), true);
+                    : HttpMessages.plainText(e.status(), e.getMessage(), true), true);
         }
     }
 
@@ -348,7 +348,7 @@
             if (reader.isStart()) {
                 gone(CloseReason.TIMED_OUT);
             } else {
-                reader.giveUp(new BadRequest(408, "the request did not come to its end"));
+                reader.giveUp(new BadRequestException(408, "the request did not come to its end"));
                 received();
             }
         }
@@ -389,7 +389,7 @@
     }
 
     private void reject() {
-        reader.giveUp(new BadRequest(503, "no room"));
+        reader.giveUp(new BadRequestException(503, "no room"));
         received();
     }
 }
--- a/src/main/java/granitefold/net/Company.java
+++ b/src/main/java/granitefold/net/Company.java
@@ -42,7 +42,7 @@
             return new Company(stem, FileChannel.open(path,
                     Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)));
         } catch (IOException e) {
-            EventLog.log(LogEvent.COMPANY_UNKNOWN, path, e);
+            EventLog.log(LogEvent.OTHER_PROCESSES_UNKNOWN, path, e);
             return new Company(null, null);
         }
     }
--- a/src/main/java/granitefold/net/Handover.java
+++ b/src/main/java/granitefold/net/Handover.java
@@ -50,7 +50,7 @@
             Files.move(whole, wish, StandardCopyOption.ATOMIC_MOVE);
             return word;
         } catch (IOException e) {
-            EventLog.log(LogEvent.NOT_INHERITED, e.toString());
+            EventLog.log(LogEvent.HAND_OVER_FAILED, e.toString());
             return null;
         }
     }
@@ -63,20 +63,20 @@
                 Thread.sleep(LOOK_MS);
             }
             if (!Files.exists(answer(word))) {
-                EventLog.log(LogEvent.NOT_INHERITED, "no answer in time");
+                EventLog.log(LogEvent.HAND_OVER_FAILED, "no answer in time");
                 return null;
             }
             if (Files.size(answer(word)) > StateFile.LENGTH_MOST) {
-                EventLog.log(LogEvent.NOT_INHERITED, "the answer is too long");
+                EventLog.log(LogEvent.HAND_OVER_FAILED, "the answer is too long");
                 return null;
             }
             StateFile.Content found = StateFile.decode(Files.readAllBytes(answer(word)));
             if (places.foreign(found) != null) {
-                EventLog.log(LogEvent.NOT_INHERITED, places.foreign(found));
+                EventLog.log(LogEvent.HAND_OVER_FAILED, places.foreign(found));
             }
             return places.here(found);
         } catch (IOException | StateFile.Unreadable e) {
-            EventLog.log(LogEvent.NOT_INHERITED, e.getMessage());
+            EventLog.log(LogEvent.HAND_OVER_FAILED, e.getMessage());
             return null;
         } finally {
             forget(wish);
@@ -114,9 +114,9 @@
         try {
             Files.write(whole, StateFile.encode(places.content(learned)), StandardOpenOption.CREATE_NEW);
             Files.move(whole, answer(word), StandardCopyOption.ATOMIC_MOVE);
-            EventLog.log(LogEvent.HANDED_OVER, learned.workers().size(), learned.buckets().size());
+            EventLog.log(LogEvent.HAND_OVER_SENT, learned.workers().size(), learned.buckets().size());
         } catch (IOException e) {
-            EventLog.log(LogEvent.NOT_INHERITED, e.toString());
+            EventLog.log(LogEvent.HAND_OVER_FAILED, e.toString());
             forget(whole);
         }
     }
--- a/src/main/java/granitefold/net/Links.java
+++ b/src/main/java/granitefold/net/Links.java
@@ -118,14 +118,14 @@
      * listen there too; each sibling's words reach one of them.
      */
     DatagramChannel bindSiblings(boolean shared) {
-        if (config.siblingListen() == null) {
+        if (config.siblingAddress() == null) {
             return null;
         }
         try {
             return openDatagrams(shared);
         } catch (IOException e) {
             // words between siblings may be lost at any time: the program serves without them
-            EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), e);
+            EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingAddress()), e);
             return null;
         }
     }
@@ -136,7 +136,7 @@
             if (shared) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
-            channel.bind(config.siblingListen());
+            channel.bind(config.siblingAddress());
             channel.configureBlocking(false);
             return channel;
         } catch (IOException e) {
@@ -153,13 +153,13 @@
         sockets.accept(channel, new Sockets.Opening() {
             @Override
             public Connection opened(EndPoint endPoint) {
-                siblings = new SiblingConnection(endPoint, loop, config.siblings(), config.words().key());
+                siblings = new SiblingConnection(endPoint, loop, config.siblings(), config.namedSettings().key());
                 return siblings;
             }
 
             @Override
             public void failed(Throwable why) {
-                EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), why);
+                EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingAddress()), why);
             }
         });
     }
--- a/src/main/java/granitefold/net/Loop.java
+++ b/src/main/java/granitefold/net/Loop.java
@@ -13,10 +13,10 @@
 import granitefold.operator.Operator;
 import granitefold.recovery.Learned;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
 import granitefold.wire.Config;
 import granitefold.wire.HttpMessages;
-import granitefold.wire.Vocabulary;
+import granitefold.wire.InvalidInputException;
+import granitefold.wire.NamedSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -88,22 +88,22 @@
         this.config = config;
         this.operator = operator;
         insight = operator.tells() ? new Insight(clock, operator.clients(), config.cores()) : null;
-        if (operator.health() != null && operator.health().probes() && !config.probing()) {
+        if (operator.health() != null && operator.health().probes() && !config.probingAllowed()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
         // a request holds a connection on either side
         boolean ops = config.ops() != null;
         links = new Links(this, sockets, config, operator);
         company = ops ? Company.at(config.listen()) : null;
-        handover = ops && company.stem != null ? new Handover(company.stem, config.places()) : null;
+        handover = ops && company.stem != null ? new Handover(company.stem, config.settingsIndexes()) : null;
         int checks = operator.descriptors() + (ops ? OPS_DESCRIPTORS : 0);
         if (operator.descriptors() > config.sockets() / 4) {
-            throw new BadWire("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
+            throw new InvalidInputException("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
                     + config.sockets());
         }
         int each = Math.max(SPARE + 1, (config.sockets() - RESERVED - checks) / 2);
         bounds = new Reducer.Bounds(each, each - SPARE, each, config.connectTimeoutUs(), config.idleCloseUs());
-        reducer = new Reducer(config.words().settings(), bounds, config.seed(), operator.extras(config.probing()).withFigures(ops));
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withFigures(ops));
     }
 
     /** Opens the sockets and begins; from the main thread. */
@@ -113,7 +113,7 @@
             // the old version serves meanwhile, so that a cold start need not be any client's
             String word = handover == null ? null : handover.ask();
             long at = clock.micros();
-            EventLog.log(LogEvent.WARMED, Warmup.run(config, bounds), (clock.micros() - at) / 1000);
+            EventLog.log(LogEvent.WARM_UP_DONE, Warmup.run(config, bounds), (clock.micros() - at) / 1000);
             inherited = word == null ? null : handover.await(word, INHERIT_MS);
         }
         Learned former = inherited;
@@ -125,7 +125,7 @@
         sockets.start();
         sockets.submit(() -> {
             links.openSiblings(siblings);
-            post(new Event.Opened(config.known(), Address.text(config.discovery())));
+            post(new Event.Opened(config.initialWorkers(), Address.text(config.discovery())));
             if (former != null) {
                 post(new Event.Inherited(former));
             }
@@ -162,7 +162,7 @@
         started.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
         boolean relieved = company != null && company.others();
         if (relieved) {
-            EventLog.log(LogEvent.RELIEVED, Address.text(config.listen()));
+            EventLog.log(LogEvent.REPLACEMENT_SERVING, Address.text(config.listen()));
         }
         sockets.submit(() -> post(new Event.Terminated(relieved)));
         stopped.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
@@ -230,8 +230,8 @@
         return reducer.phase();
     }
 
-    Vocabulary words() {
-        return config.words();
+    NamedSettings words() {
+        return config.namedSettings();
     }
 
     long now() {
--- a/src/main/java/granitefold/net/ProbeLink.java
+++ b/src/main/java/granitefold/net/ProbeLink.java
@@ -26,7 +26,7 @@
 
     @Override
     void connected() {
-        write(HttpMessages.get(path, address), () -> { });
+        write(HttpMessages.probeRequest(path, address), () -> { });
     }
 
     @Override
--- a/src/main/java/granitefold/net/RequestReader.java
+++ b/src/main/java/granitefold/net/RequestReader.java
@@ -1,9 +1,9 @@
 package granitefold.net;
 
 import granitefold.core.Submission;
-import granitefold.wire.BadRequest;
+import granitefold.wire.BadRequestException;
 import granitefold.wire.ClientRequest;
-import granitefold.wire.Vocabulary;
+import granitefold.wire.NamedSettings;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.util.function.IntPredicate;
@@ -31,7 +31,7 @@
     private String target;
     private HttpFields.Mutable head;
     private ByteArrayOutputStream body;
-    private BadRequest bad;
+    private BadRequestException bad;
     /** Bytes of body that count as held for this request. */
     private int held;
 
@@ -59,7 +59,7 @@
     }
 
     /** The request is not to be waited for any longer, for this reason. */
-    void giveUp(BadRequest why) {
+    void giveUp(BadRequestException why) {
         bad = why;
     }
 
@@ -82,7 +82,7 @@
         return value.equalsIgnoreCase(head.get(field));
     }
 
-    Submission decode(Vocabulary words) throws BadRequest {
+    Submission decode(NamedSettings words) throws BadRequestException {
         if (bad != null) {
             throw bad;
         }
@@ -111,8 +111,8 @@
         if (head.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
             close = true;
         }
-        if (parser.getContentLength() > ClientRequest.BODY_MOST) {
-            bad = new BadRequest(413, "body too long");
+        if (parser.getContentLength() > ClientRequest.MAX_BODY_BYTES) {
+            bad = new BadRequestException(413, "body too long");
             return true;
         }
         if (head.contains(HttpHeader.EXPECT, HttpHeaderValue.CONTINUE.asString())) {
@@ -123,12 +123,12 @@
 
     @Override
     public boolean content(ByteBuffer content) {
-        if (body.size() + content.remaining() > ClientRequest.BODY_MOST) {
-            bad = new BadRequest(413, "body too long");
+        if (body.size() + content.remaining() > ClientRequest.MAX_BODY_BYTES) {
+            bad = new BadRequestException(413, "body too long");
             return true;
         }
         if (!hold.test(content.remaining())) {
-            bad = new BadRequest(503, "too much in hand");
+            bad = new BadRequestException(503, "too much in hand");
             return true;
         }
         held += content.remaining();
@@ -152,12 +152,12 @@
     @Override
     public void badMessage(HttpException failure) {
         int status = failure.getCode();
-        bad = new BadRequest(status >= 400 && status < 500 ? status : 400, "malformed request");
+        bad = new BadRequestException(status >= 400 && status < 500 ? status : 400, "malformed request");
     }
 
     @Override
     public void earlyEOF() {
         // so the parser calls what is malformed behind the head
-        bad = new BadRequest(400, "malformed body");
+        bad = new BadRequestException(400, "malformed body");
     }
 }
--- a/src/main/java/granitefold/net/Warmup.java
+++ b/src/main/java/granitefold/net/Warmup.java
@@ -6,7 +6,7 @@
 import granitefold.core.Reducer;
 import granitefold.core.Submission;
 import granitefold.core.AttemptNews;
-import granitefold.wire.BadRequest;
+import granitefold.wire.BadRequestException;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.Config;
 import granitefold.wire.HttpMessages;
@@ -47,9 +47,9 @@
 
     private Warmup(Config config, Reducer.Bounds bounds) {
         this.config = config;
-        reducer = new Reducer(config.words().settings(), bounds, config.seed());
-        classes = config.words().classes().keySet().toArray(String[]::new);
-        tenants = config.words().tenants().keySet().toArray(String[]::new);
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed());
+        classes = config.namedSettings().classes().keySet().toArray(String[]::new);
+        tenants = config.namedSettings().tenants().keySet().toArray(String[]::new);
     }
 
     /** Runs it; returns how many requests were answered, for the log. */
@@ -59,7 +59,7 @@
 
     private int run() {
         List<WorkerList.Entry> workers = new ArrayList<>();
-        for (WorkerList.Entry e : config.known().entries()) {
+        for (WorkerList.Entry e : config.initialWorkers().entries()) {
             // the reducer's clock is made up: none of them has just started
             workers.add(new WorkerList.Entry(e.name(), e.address(), e.state(), e.weight(), 0, e.zone(), e.cell(), e.kind()));
         }
@@ -93,8 +93,8 @@
         Parsed parsed = new Parsed();
         new HttpParser(parsed, text.length()).parseNext(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
         try {
-            return ClientRequest.decode("POST", parsed.target, parsed.head, new byte[4], config.words());
-        } catch (BadRequest e) {
+            return ClientRequest.decode("POST", parsed.target, parsed.head, new byte[4], config.namedSettings());
+        } catch (BadRequestException e) {
             // a class or tenant whose name no target can hold
             return null;
         }
@@ -115,7 +115,7 @@
             events.add(new Event.WorkerConnected(e.connection()));
         } else if (effect instanceof Effect.SendRequest e) {
             ClientRequest request = (ClientRequest) e.payload();
-            HttpMessages.toWorker(request, "127.0.0.1:1", e.expiresAt() - now);
+            HttpMessages.workerRequest(request, "127.0.0.1:1", e.expiresAt() - now);
             events.add(new Event.RequestWritten(e.connection()));
             for (String state : new String[] {"started", "done\",\"result\":\"made"}) {
                 byte[] line = ("{\"id\":\"" + request.txn() + "\",\"from\":\"w\",\"state\":\"" + state + "\"}")
--- a/src/main/java/granitefold/net/WatchLink.java
+++ b/src/main/java/granitefold/net/WatchLink.java
@@ -2,10 +2,10 @@
 
 import granitefold.core.Event;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
-import granitefold.wire.Frames;
 import granitefold.wire.HttpMessages;
-import granitefold.wire.Listing;
+import granitefold.wire.InvalidInputException;
+import granitefold.wire.JsonObjectFramer;
+import granitefold.wire.WorkerListJson;
 import java.net.InetSocketAddress;
 
 /** The watch on discovery. */
@@ -16,7 +16,7 @@
     private final Links links;
     private final InetSocketAddress discovery;
     private final long version;
-    private final Frames frames = new Frames(LINE_MOST);
+    private final JsonObjectFramer frames = new JsonObjectFramer(LINE_MOST);
 
     WatchLink(Loop loop, Links links, InetSocketAddress discovery, long version) {
         super(discovery, LINE_MOST);
@@ -28,7 +28,7 @@
 
     @Override
     void connected() {
-        write(HttpMessages.watch(Address.text(discovery), version), () -> { });
+        write(HttpMessages.discoveryWatch(Address.text(discovery), version), () -> { });
     }
 
     @Override
@@ -44,12 +44,12 @@
             return;
         }
         try {
-            Frames.Found found = frames.add(buf, from, length);
-            if (found != Frames.Found.PART) {
-                loop.post(new Event.WatchNews(found == Frames.Found.BLANK ? null
-                        : Listing.decode(frames.buffer(), frames.offset(), frames.length(), loop.words())));
+            JsonObjectFramer.Result found = frames.add(buf, from, length);
+            if (found != JsonObjectFramer.Result.INCOMPLETE) {
+                loop.post(new Event.WatchNews(found == JsonObjectFramer.Result.BLANK ? null
+                        : WorkerListJson.decode(frames.buffer(), frames.offset(), frames.length(), loop.words())));
             }
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             end(e.getMessage());
         }
     }
--- a/src/main/java/granitefold/net/WorkerLink.java
+++ b/src/main/java/granitefold/net/WorkerLink.java
@@ -4,9 +4,9 @@
 import granitefold.core.Payload;
 import granitefold.core.AttemptNews;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.HttpMessages;
+import granitefold.wire.InvalidInputException;
 import granitefold.wire.WorkerLine;
 
 /** A connection to a worker. */
@@ -41,7 +41,7 @@
         txn = request.txn();
         // a loop that is short of processor time comes to write long after it has decided
         long waitUs = Math.max(0, expiresAt - loop.now());
-        write(HttpMessages.toWorker(request, address, waitUs), () -> loop.post(new Event.RequestWritten(id)));
+        write(HttpMessages.workerRequest(request, address, waitUs), () -> loop.post(new Event.RequestWritten(id)));
     }
 
     @Override
@@ -52,7 +52,7 @@
     @Override
     void status(int status, String turnedAway) {
         if (status != 200) {
-            loop.post(new Event.WorkerSaid(id, WorkerLine.refusal(status, turnedAway)));
+            loop.post(new Event.WorkerSaid(id, WorkerLine.fromStatus(status, turnedAway)));
         }
     }
 
@@ -66,7 +66,7 @@
             if (news != null) {
                 loop.post(new Event.WorkerSaid(id, news));
             }
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             end(e.getMessage());
         }
     }
--- a/src/main/java/granitefold/net/checks/Checks.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -14,7 +14,7 @@
 import granitefold.operator.Operator;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import granitefold.wire.ReportJson;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -28,7 +28,7 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** The check fronts of one dispatcher, on a thread of their own. */
-public final class Checks implements Sockets.Host {
+public final class CheckEndpoints implements Sockets.Host {
     private static final int BACKLOG = 256;
     /** The loop publishes several times a second; after this much silence nothing that it said counts. */
     private static final long SILENT_US = 2_000_000;
@@ -51,14 +51,14 @@
     private boolean away;
 
     /** {@code name}: the dispatcher's. */
-    public Checks(String name, Loop loop, Operator operator) {
+    public CheckEndpoints(String name, Loop loop, Operator operator) {
         this.name = name;
         this.loop = loop;
         this.operator = operator;
         insight = loop.insight();
     }
 
-    /** Opens what the operator has set; an address or a socket that can't be had is told by {@link BadWire}. */
+    /** Opens what the operator has set; an address or a socket that can't be had is told by {@link InvalidInputException}. */
     public void start() throws Exception {
         ServerSocketChannel agentListener = null;
         ServerSocketChannel httpListener = null;
@@ -72,7 +72,7 @@
             try {
                 socket = ControlSocket.open(operator.control().socket());
             } catch (IOException e) {
-                throw new BadWire("control.socket: " + operator.control().socket() + ": " + e.getMessage());
+                throw new InvalidInputException("control.socket: " + operator.control().socket() + ": " + e.getMessage());
             }
         }
         sockets.start();
@@ -88,7 +88,7 @@
     }
 
     /** Takes the control socket's name away; from the shutdown hook. */
-    public void end() {
+    public void close() {
         if (socket != null) {
             socket.end();
         }
@@ -98,7 +98,7 @@
         try {
             return Listeners.tcp(address, BACKLOG, false);
         } catch (IOException e) {
-            throw new BadWire(key + ": cannot listen on " + Address.text(address) + ": " + e.getMessage());
+            throw new InvalidInputException(key + ": cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
     }
 
@@ -155,7 +155,7 @@
                 sockets.submit(front::end);
             }
             return moved;
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
             return front;
         }
@@ -169,7 +169,7 @@
         try {
             turn.await(1, java.util.concurrent.TimeUnit.SECONDS);
             return open.apply(bind("checks." + what + ".listen", address));
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/granitefold/net/checks/Front.java
+++ b/src/main/java/granitefold/net/checks/Front.java
@@ -72,7 +72,7 @@
         if (open.size() >= bounds.connections()) {
             // whoever holds on longest has had the most of it
             Iterator<CheckConnection> oldest = open.keySet().iterator();
-            EventLog.log(LogEvent.CHECKS_CROWDED, name);
+            EventLog.log(LogEvent.CHECKS_CONNECTION_EVICTED, name);
             oldest.next().close();
         }
         channel.configureBlocking(false);
--- a/src/main/java/granitefold/net/checks/HttpCheckConnection.java
+++ b/src/main/java/granitefold/net/checks/HttpCheckConnection.java
@@ -72,7 +72,7 @@
             a = answers.to(target);
         }
         writing = true;
-        ByteBuffer[] message = HttpMessages.check(a.status(), a.fields(), a.body(), "HEAD".equals(method), last);
+        ByteBuffer[] message = HttpMessages.checkResponse(a.status(), a.fields(), a.body(), "HEAD".equals(method), last);
         write(last, () -> {
             writing = false;
             ended = last;
--- a/src/main/java/granitefold/net/checks/Ops.java
+++ b/src/main/java/granitefold/net/checks/OpsEndpoint.java
@@ -8,8 +8,8 @@
 import granitefold.net.Sockets;
 import granitefold.operator.Operator;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
 import granitefold.wire.FiguresJson;
+import granitefold.wire.InvalidInputException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -21,7 +21,7 @@
  * The second address, where staff and the platform ask how this process stands: a line in, an answer out. It has a thread
  * of its own and reads what the loop last published, so that neither a busy loop nor a crowd of clients delays it.
  */
-public final class Ops implements Sockets.Host {
+public final class OpsEndpoint implements Sockets.Host {
     /** Callers who say nothing give way to new ones, so few places are enough. */
     private static final int CONNECTIONS = Loop.OPS_DESCRIPTORS - 8, PER_S = 1000, BACKLOG = 256;
     private static final long LIFE_US = 2_500_000;
@@ -35,13 +35,13 @@
     private long sweepAt = System.nanoTime();
 
     /** {@code classes}: their names, in the order of the settings. */
-    public Ops(InetSocketAddress address, Loop loop, List<String> classes) {
+    public OpsEndpoint(InetSocketAddress address, Loop loop, List<String> classes) {
         this.address = address;
         this.loop = loop;
         this.classes = classes;
     }
 
-    /** Opens the address; one that can't be had is told by {@link BadWire}. Returns where it listens. */
+    /** Opens the address; one that can't be had is told by {@link InvalidInputException}. Returns where it listens. */
     public InetSocketAddress start() throws Exception {
         ServerSocketChannel listener;
         InetSocketAddress bound;
@@ -49,7 +49,7 @@
             listener = Listeners.tcp(address, BACKLOG, false);
             bound = (InetSocketAddress) listener.getLocalAddress();
         } catch (IOException e) {
-            throw new BadWire("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
+            throw new InvalidInputException("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
         sockets.start();
         front = new Front("ops", listener, new Operator.Bounds(CONNECTIONS, PER_S, LIFE_US), sockets, this::stir,
--- a/src/main/java/granitefold/operator/HoconFile.java
+++ b/src/main/java/granitefold/operator/HoconFile.java
@@ -6,7 +6,7 @@
 import com.typesafe.config.ConfigIncluder;
 import com.typesafe.config.ConfigParseOptions;
 import com.typesafe.config.ConfigSyntax;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.file.Files;
@@ -57,7 +57,7 @@
                 throw new BrokenFile(List.of(name + ": ${...} is not taken: each key has its own value"));
             }
             value = reader.apply(new Section("", all, notes));
-        } catch (ConfigException | BadWire e) {
+        } catch (ConfigException | InvalidInputException e) {
             ConfigException c = e instanceof ConfigException ce ? ce : null;
             notes.add(c == null || c.origin() == null ? 0 : c.origin().lineNumber(), plain(e.getMessage(), name));
         }
@@ -75,7 +75,7 @@
 
         @Override
         public com.typesafe.config.ConfigObject include(com.typesafe.config.ConfigIncludeContext context, String what) {
-            throw new BadWire("include: " + what + ": one file holds all settings");
+            throw new InvalidInputException("include: " + what + ": one file holds all settings");
         }
     }
 
--- a/src/main/java/granitefold/operator/OperatorFile.java
+++ b/src/main/java/granitefold/operator/OperatorFile.java
@@ -3,7 +3,7 @@
 import granitefold.availability.AvailabilitySettings;
 import granitefold.health.HealthSettings;
 import granitefold.operator.Operator.Bounds;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.nio.file.Path;
@@ -87,7 +87,7 @@
             try {
                 from.add(granitefold.wire.Address.of((v.contains(":") ? "[" + v + "]" : v) + ":0").getAddress());
                 return true;
-            } catch (BadWire e) {
+            } catch (InvalidInputException e) {
                 return false;
             }
         });
--- a/src/main/java/granitefold/operator/Section.java
+++ b/src/main/java/granitefold/operator/Section.java
@@ -174,7 +174,7 @@
             try {
                 found[0] = granitefold.wire.Address.of(v);
                 return true;
-            } catch (granitefold.wire.BadWire e) {
+            } catch (granitefold.wire.InvalidInputException e) {
                 return false;
             }
         });
--- a/src/main/java/granitefold/wire/Address.java
+++ b/src/main/java/granitefold/wire/Address.java
@@ -23,6 +23,6 @@
                 // told below
             }
         }
-        throw new BadWire("not an address: " + text);
+        throw new InvalidInputException("not an address: " + text);
     }
 }
--- a/src/main/java/granitefold/wire/ClientRequest.java
+++ b/src/main/java/granitefold/wire/ClientRequest.java
@@ -13,13 +13,13 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpURI;
 
-/** A client's request as it is passed on to a worker: {@code passed} holds the headers that go on unchanged. */
-public record ClientRequest(String method, String target, String txn, HttpFields passed, byte[] body)
+/** A client's request as it is passed on to a worker: {@code forwardedHeaders} holds the headers that go on unchanged. */
+public record ClientRequest(String method, String target, String txn, HttpFields forwardedHeaders, byte[] body)
         implements Payload {
     static final String TXN = "X-Txn", TENANT = "X-Org", REMAINING = "X-Remaining-Ms", KEY = "Idempotency-Key",
             ESTIMATE = "X-Estimate", LABELS = "X-Labels", TURNED_AWAY = "X-Turned-Away";
     /** Longest body that the protocol allows. */
-    public static final int BODY_MOST = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     private static final List<HttpHeader> OWN = List.of(HttpHeader.CONNECTION, HttpHeader.KEEP_ALIVE, HttpHeader.TE,
             HttpHeader.TRAILER, HttpHeader.TRANSFER_ENCODING, HttpHeader.UPGRADE, HttpHeader.EXPECT,
             HttpHeader.CONTENT_LENGTH, HttpHeader.HOST);
@@ -31,32 +31,32 @@
     private static final int LABEL_MOST = 1000;
 
     /** Decodes a whole request into the job that it hands in. */
-    public static Submission decode(String method, String target, HttpFields head, byte[] body, Vocabulary words)
-            throws BadRequest {
+    public static Submission decode(String method, String target, HttpFields head, byte[] body, NamedSettings words)
+            throws BadRequestException {
         HttpURI uri = uri(target);
         check(head);
         Integer jobClass = words.classes().get(classOf(uri.getPath()));
         if (jobClass == null) {
-            throw new BadRequest(404, "unknown class");
+            throw new BadRequestException(404, "unknown class");
         }
         if (!method.equals("POST")) {
-            throw new BadRequest(400, "jobs come by POST");
+            throw new BadRequestException(400, "jobs come by POST");
         }
         String txn = head.get(TXN);
         if (txn == null || txn.isBlank() || txn.length() > NAME_MOST) {
-            throw new BadRequest(400, "no " + TXN);
+            throw new BadRequestException(400, "no " + TXN);
         }
         Integer tenant = words.tenants().isEmpty() ? Integer.valueOf(0) : words.tenants().get(text(head.get(TENANT)));
         if (tenant == null) {
-            throw new BadRequest(400, "unknown tenant");
+            throw new BadRequestException(400, "unknown tenant");
         }
         String key = head.get(KEY);
         if (words.keyed(jobClass) && (key == null || key.isBlank() || key.length() > NAME_MOST)) {
-            throw new BadRequest(400, "a job of this class needs " + KEY);
+            throw new BadRequestException(400, "a job of this class needs " + KEY);
         }
         long remaining = whole(head.get(REMAINING), REMAINING, -1);
         if (remaining < 0) {
-            throw new BadRequest(400, "no " + REMAINING);
+            throw new BadRequestException(400, "no " + REMAINING);
         }
         int slots = 1;
         int memory = 0;
@@ -70,12 +70,12 @@
             }
         }
         return new Submission(txn, jobClass, tenant, remaining * 1000, whole(head.get(ESTIMATE), ESTIMATE, 0), slots,
-                memory, Words.key(key(uri.getQuery())), new ClientRequest(method, target, txn, passed(head), body),
+                memory, WireCodes.key(key(uri.getQuery())), new ClientRequest(method, target, txn, forwardedHeaders(head), body),
                 words.keyed(jobClass) ? key : null);
     }
 
     /** The target, if it passes on to a worker just as it came. */
-    private static HttpURI uri(String target) throws BadRequest {
+    private static HttpURI uri(String target) throws BadRequestException {
         try {
             HttpURI uri = HttpURI.from(target);
             if (target.startsWith("/") && visible(target) && target.equals(uri.getPathQuery())) {
@@ -84,24 +84,24 @@
         } catch (IllegalArgumentException e) {
             // told below
         }
-        throw new BadRequest(400, "bad target");
+        throw new BadRequestException(400, "bad target");
     }
 
     /**
      * Refuses a head that a worker might read otherwise than we do: a field of ours that comes twice, or that is named
      * as the connection's own, or a value that is not text. Workers hang up on such, whatever else they do for us.
      */
-    private static void check(HttpFields head) throws BadRequest {
+    private static void check(HttpFields head) throws BadRequestException {
         Set<String> seen = new HashSet<>();
         for (HttpField field : head) {
             String name = field.getLowerCaseName();
             if (OURS.contains(name) && !seen.add(name) || !visible(field.getValue())) {
-                throw new BadRequest(400, "bad field " + name);
+                throw new BadRequestException(400, "bad field " + name);
             }
         }
         for (String nominated : head.getCSV(HttpHeader.CONNECTION, false)) {
             if (OURS.contains(nominated.toLowerCase(Locale.ROOT))) {
-                throw new BadRequest(400, "bad field connection");
+                throw new BadRequestException(400, "bad field connection");
             }
         }
     }
@@ -111,7 +111,7 @@
     }
 
     /** What concerns only the client's connection, or is worded anew for the worker, stays behind. */
-    private static HttpFields passed(HttpFields head) {
+    private static HttpFields forwardedHeaders(HttpFields head) {
         HttpFields.Mutable passed = HttpFields.build(head);
         for (String nominated : head.getCSV(HttpHeader.CONNECTION, false)) {
             passed.remove(nominated);
@@ -137,7 +137,7 @@
         return value == null ? "" : value.trim();
     }
 
-    private static long whole(String value, String name, long absent) throws BadRequest {
+    private static long whole(String value, String name, long absent) throws BadRequestException {
         if (value == null) {
             return absent;
         }
@@ -149,10 +149,10 @@
         } catch (NumberFormatException e) {
             // answered below
         }
-        throw new BadRequest(400, name + " is not a whole number");
+        throw new BadRequestException(400, name + " is not a whole number");
     }
 
-    private static int label(String value) throws BadRequest {
+    private static int label(String value) throws BadRequestException {
         try {
             double v = Double.parseDouble(value.trim());
             if (v >= 0 && v <= LABEL_MOST) {
@@ -161,6 +161,6 @@
         } catch (NumberFormatException e) {
             // answered below
         }
-        throw new BadRequest(400, LABELS + " holds a bad figure");
+        throw new BadRequestException(400, LABELS + " holds a bad figure");
     }
 }
--- a/src/main/java/granitefold/wire/Config.java
+++ b/src/main/java/granitefold/wire/Config.java
@@ -16,13 +16,13 @@
 import java.util.Map;
 
 /**
- * What a dispatcher is told at its start. {@code siblingListen} is null where there are no datagrams, {@code ops} where
+ * What a dispatcher is told at its start. {@code siblingAddress} is null where there are no datagrams, {@code ops} where
  * nobody asks how the process stands.
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        InetSocketAddress siblingListen, List<InetSocketAddress> siblings, WorkerList known, Vocabulary words,
+        InetSocketAddress siblingAddress, List<InetSocketAddress> siblings, WorkerList initialWorkers, NamedSettings namedSettings,
         long connectTimeoutUs, long idleCloseUs, double cores,
-        boolean probing, InetSocketAddress ops) {
+        boolean probingAllowed, InetSocketAddress ops) {
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final int SOCKETS_UNTOLD = 1024;
@@ -30,9 +30,9 @@
     private static final String OPS = "LB_OPS";
 
     /** What places in the settings stand for, for a state file. */
-    public Places places() {
-        return new Places(name, words.key(), words.settings().me(), words.settings().siblings(), Vocabulary.names(words.tenants()),
-                Vocabulary.names(words.kinds()));
+    public Places settingsIndexes() {
+        return new Places(name, namedSettings.key(), namedSettings.settings().me(), namedSettings.settings().siblings(),
+                NamedSettings.names(namedSettings.tenants()), NamedSettings.names(namedSettings.hostTypes()));
     }
 
     /** The settings that hold, as {@code granitefold check} prints them. */
@@ -44,49 +44,49 @@
         all.put("discovery", Address.text(discovery));
         all.put("limits.sockets", Integer.toString(sockets));
         all.put("limits.cores", Double.toString(cores));
-        all.put("peer_listen", siblingListen == null ? "off" : Address.text(siblingListen));
+        all.put("peer_listen", siblingAddress == null ? "off" : Address.text(siblingAddress));
         all.put("peers", siblings.stream().map(Address::text).toList().toString());
-        all.put("known", "version " + known.version() + ", " + known.entries().size() + " workers");
-        all.put("settings", "key " + words.key());
-        all.put("settings.classes", words.classes().keySet().stream().sorted().toList().toString());
-        all.put("settings.tenants", words.tenants().keySet().stream().sorted().toList().toString());
+        all.put("known", "version " + initialWorkers.version() + ", " + initialWorkers.entries().size() + " workers");
+        all.put("settings", "key " + namedSettings.key());
+        all.put("settings.classes", namedSettings.classes().keySet().stream().sorted().toList().toString());
+        all.put("settings.tenants", namedSettings.tenants().keySet().stream().sorted().toList().toString());
         all.put("settings.limits.connectTimeoutMs", Long.toString(connectTimeoutUs / 1000));
         all.put("settings.limits.idleCloseMs", Long.toString(idleCloseUs / 1000));
-        all.put("settings.limits.probing", Boolean.toString(probing));
+        all.put("settings.limits.probing", Boolean.toString(probingAllowed));
         return all;
     }
 
-    /** Reads the file; whatever is wrong with it is told in one line, with file, line and key, by {@link BadWire}. */
+    /** Reads the file; whatever is wrong with it is told in one line, with file, line and key, by {@link InvalidInputException}. */
     public static Config read(Path file) {
         byte[] text;
         try {
             text = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new BadWire(file + ": cannot be read: " + e);
+            throw new InvalidInputException(file + ": cannot be read: " + e);
         }
         // two passes: the list is read with the names in the settings, which may come later in the file
-        Vocabulary words = null;
+        NamedSettings namedSettings = null;
         SettingsReader setup = null;
         JsonParser p = parser(text, file);
         try (p) {
             for (String key = first(p); key != null; key = next(p)) {
                 if (key.equals("settings")) {
                     setup = new SettingsReader(p);
-                    words = setup.vocabulary();
+                    namedSettings = setup.namedSettings();
                 } else {
                     p.skipChildren();
                 }
             }
-        } catch (IOException | BadWire e) {
+        } catch (IOException | InvalidInputException e) {
             throw at(file, p, e);
         }
-        if (words == null || words.classes().isEmpty()) {
-            throw new BadWire(file + ": settings: there are no classes");
+        if (namedSettings == null || namedSettings.classes().isEmpty()) {
+            throw new InvalidInputException(file + ": settings: there are no classes");
         }
         JsonParser again = parser(text, file);
         try (again) {
-            return read(again, words, setup);
-        } catch (IOException | BadWire e) {
+            return read(again, namedSettings, setup);
+        } catch (IOException | InvalidInputException e) {
             throw at(file, again, e);
         }
     }
@@ -95,29 +95,29 @@
         try {
             return JSON.createParser(text);
         } catch (IOException e) {
-            throw new BadWire(file + ": is not JSON");
+            throw new InvalidInputException(file + ": is not JSON");
         }
     }
 
     /** The problem in one line, with the place that reading had come to. */
-    private static BadWire at(Path file, JsonParser p, Exception e) {
+    private static InvalidInputException at(Path file, JsonParser p, Exception e) {
         StringBuilder key = new StringBuilder();
         for (JsonStreamContext c = p.getParsingContext(); c != null; c = c.getParent()) {
             if (c.getCurrentName() != null) {
                 key.insert(0, c.getCurrentName() + (key.isEmpty() ? "" : "."));
             }
         }
-        String what = e instanceof BadWire ? e.getMessage() : "not JSON: " + e.getMessage().lines().findFirst().orElse("");
-        return new BadWire(file + ":" + p.currentLocation().getLineNr() + ": " + (key.isEmpty() ? "" : key + ": ") + what);
+        String what = e instanceof InvalidInputException ? e.getMessage() : "not JSON: " + e.getMessage().lines().findFirst().orElse("");
+        return new InvalidInputException(file + ":" + p.currentLocation().getLineNr() + ": " + (key.isEmpty() ? "" : key + ": ") + what);
     }
 
-    private static Config read(JsonParser p, Vocabulary words, SettingsReader setup) throws IOException {
+    private static Config read(JsonParser p, NamedSettings namedSettings, SettingsReader setup) throws IOException {
         String name = "";
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
-        InetSocketAddress siblingListen = null;
+        InetSocketAddress siblingAddress = null;
         List<InetSocketAddress> siblings = new ArrayList<>();
-        WorkerList known = new WorkerList(0, true, List.of());
+        WorkerList initialWorkers = new WorkerList(0, true, List.of());
         long seed = 0;
         int sockets = SOCKETS_UNTOLD;
         double cores = 1;
@@ -129,7 +129,7 @@
                 case "ops" -> ops = p.currentToken() == JsonToken.VALUE_NULL ? ops : Address.of(p.getValueAsString(""));
                 case "discovery" -> discovery = Address.of(p.getValueAsString(""));
                 case "seed" -> seed = seed(p.getValueAsString(""));
-                case "peer_listen" -> siblingListen = p.currentToken() == JsonToken.VALUE_NULL ? null
+                case "peer_listen" -> siblingAddress = p.currentToken() == JsonToken.VALUE_NULL ? null
                         : Address.of(p.getValueAsString(""));
                 case "peers" -> {
                     while (p.currentToken() != JsonToken.VALUE_NULL && p.nextToken() != JsonToken.END_ARRAY) {
@@ -147,23 +147,23 @@
                         }
                     }
                 }
-                case "known" -> known = p.currentToken() == JsonToken.VALUE_NULL ? known : Listing.read(p, words);
+                case "known" -> initialWorkers = p.currentToken() == JsonToken.VALUE_NULL ? initialWorkers : WorkerListJson.read(p, namedSettings);
                 default -> p.skipChildren();
             }
         }
         if (listen == null || discovery == null) {
-            throw new BadWire("the configuration needs listen and discovery");
+            throw new InvalidInputException("the configuration needs listen and discovery");
         }
-        return new Config(name, listen, discovery, seed, sockets, words.settings().limits().siblings() ? siblingListen
-                : null, List.copyOf(siblings), known, words, setup.connectTimeoutUs(), setup.idleCloseUs(), cores > 0 ? cores : 1,
+        return new Config(name, listen, discovery, seed, sockets, namedSettings.settings().limits().siblings() ? siblingAddress
+                : null, List.copyOf(siblings), initialWorkers, namedSettings, setup.connectTimeoutUs(), setup.idleCloseUs(), cores > 0 ? cores : 1,
                 setup.probing(), ops);
     }
 
     private static InetSocketAddress ops(String text) {
         try {
             return Address.of(text);
-        } catch (BadWire e) {
-            throw new BadWire("$" + OPS + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException("$" + OPS + ": " + e.getMessage());
         }
     }
 
@@ -171,13 +171,13 @@
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new BadWire("the seed is not 16 hex digits");
+            throw new InvalidInputException("the seed is not 16 hex digits");
         }
     }
 
     private static String first(JsonParser p) throws IOException {
         if (p.nextToken() != JsonToken.START_OBJECT) {
-            throw new BadWire("the configuration is not an object");
+            throw new InvalidInputException("the configuration is not an object");
         }
         return next(p);
     }
--- a/src/main/java/granitefold/wire/HttpMessages.java
+++ b/src/main/java/granitefold/wire/HttpMessages.java
@@ -50,12 +50,12 @@
     }
 
     /** An answer that needs no decision. */
-    public static ByteBuffer[] plain(int status, String text, boolean close) {
+    public static ByteBuffer[] plainText(int status, String text, boolean close) {
         return response(status, HttpFields.build(), text(text), close);
     }
 
     /** An answer to a check; where only the head was asked for, the body is told by its length alone. */
-    public static ByteBuffer[] check(int status, HttpFields fields, byte[] body, boolean headOnly, boolean close) {
+    public static ByteBuffer[] checkResponse(int status, HttpFields fields, byte[] body, boolean headOnly, boolean close) {
         HttpFields.Mutable head = HttpFields.build(fields);
         if (close) {
             head.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE);
@@ -66,7 +66,7 @@
     }
 
     /** A GET, as a probe sends it. */
-    public static ByteBuffer[] get(String path, String address) {
+    public static ByteBuffer[] probeRequest(String path, String address) {
         return request("GET", path, HttpFields.build().put(HttpHeader.HOST, address), new byte[0]);
     }
 
@@ -75,19 +75,19 @@
     }
 
     private static ByteBuffer[] response(int status, HttpFields.Mutable head, byte[] body, boolean close) {
-        return check(status, head, body, false, close);
+        return checkResponse(status, head, body, false, close);
     }
 
     /** A request passed on to a worker at an address, which learns how long the dispatcher waits. */
-    public static ByteBuffer[] toWorker(ClientRequest r, String address, long waitUs) {
-        HttpFields.Mutable head = HttpFields.build(r.passed());
+    public static ByteBuffer[] workerRequest(ClientRequest r, String address, long waitUs) {
+        HttpFields.Mutable head = HttpFields.build(r.forwardedHeaders());
         head.put(HttpHeader.HOST, address);
         head.put(ClientRequest.REMAINING, Long.toString(waitUs / 1000));
         return request(r.method(), r.target(), head, r.body());
     }
 
     /** A watch on discovery for what changed after a version. */
-    public static ByteBuffer[] watch(String address, long version) {
+    public static ByteBuffer[] discoveryWatch(String address, long version) {
         return request("GET", "/v1/servers?stream=1&index=" + version,
                 HttpFields.build().put(HttpHeader.HOST, address), new byte[0]);
     }
--- a/src/main/java/granitefold/wire/BadWire.java
+++ b/src/main/java/granitefold/wire/InvalidInputException.java
@@ -1,10 +1,10 @@
 package granitefold.wire;
 
 /** The input is not what the wire allows. */
-public final class BadWire extends RuntimeException {
+public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    public BadWire(String message) {
+    public InvalidInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/granitefold/wire/Frames.java
+++ b/src/main/java/granitefold/wire/JsonObjectFramer.java
@@ -6,15 +6,15 @@
  * Puts the lines of a stream together to whole JSON objects: one may come indented, over many lines. It only looks for where an
  * object ends; whether it is one that makes sense is found where it is decoded.
  */
-public final class Frames {
+public final class JsonObjectFramer {
     /** What a line has brought. */
-    public enum Found {
+    public enum Result {
         /** Nothing: a sign of life. */
         BLANK,
         /** A part of an object. */
-        PART,
+        INCOMPLETE,
         /** An object's end: it stands in {@link #buffer}. */
-        WHOLE
+        COMPLETE
     }
 
     private final int most;
@@ -27,12 +27,12 @@
     private int offset;
 
     /** An object may be so long at the most. */
-    public Frames(int most) {
+    public JsonObjectFramer(int most) {
         this.most = most;
     }
 
     /** Takes in one line; what it finds stands until the next. */
-    public Found add(byte[] line, int from, int size) {
+    public Result add(byte[] line, int from, int size) {
         if (depth == 0 && !text) {
             length = 0;
         }
@@ -43,7 +43,7 @@
             scan(line[i]);
         }
         if (blank) {
-            return begun ? Found.PART : Found.BLANK;
+            return begun ? Result.INCOMPLETE : Result.BLANK;
         }
         boolean whole = depth <= 0 && !text;
         if (whole && !begun) {
@@ -58,7 +58,7 @@
         if (whole) {
             depth = 0;
         }
-        return whole ? Found.WHOLE : Found.PART;
+        return whole ? Result.COMPLETE : Result.INCOMPLETE;
     }
 
     private void scan(byte b) {
@@ -81,7 +81,7 @@
 
     private void keep(byte[] line, int from, int size) {
         if (length + size + 1 > most) {
-            throw new BadWire("a list is too long");
+            throw new InvalidInputException("a list is too long");
         }
         if (kept.length < length + size + 1) {
             kept = Arrays.copyOf(kept, Math.min(most, 2 * (length + size + 1)));
--- a/src/main/java/granitefold/wire/ProxyHeader.java
+++ b/src/main/java/granitefold/wire/ProxyHeader.java
@@ -21,7 +21,7 @@
     private static final byte[] V2 = {0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A};
     private static final int V2_FIXED = 16;
     /** Of the 65,535 bytes that version 2 could announce; addresses take 216, the rest are extensions. */
-    public static final int V2_MOST = 2048;
+    public static final int MAX_V2_BYTES = 2048;
     private static final int TLV_HEAD = 3, TLV_CRC32C = 0x03, CRC_LENGTH = 4;
     private static final int INET = 0x1, INET6 = 0x2, UNIX = 0x3, STREAM = 0x1;
     private static final int PORT_MOST = 65_535;
@@ -30,7 +30,7 @@
      * Decodes the header at the buffer's start and moves past it; null where more bytes must come first, and then
      * nothing is moved. Section 2: what does not start with a header is refused, never guessed at.
      */
-    public static ProxyHeader decode(ByteBuffer in) throws BadRequest {
+    public static ProxyHeader decode(ByteBuffer in) throws BadRequestException {
         byte[] start = in.get(in.position()) == V2[0] ? V2 : V1;
         int n = Math.min(start.length, in.remaining());
         for (int i = 0; i < n; i++) {
@@ -44,12 +44,12 @@
         return start == V2 ? second(in) : first(in);
     }
 
-    private static BadRequest bad(String why) {
-        return new BadRequest(400, why);
+    private static BadRequestException bad(String why) {
+        return new BadRequestException(400, why);
     }
 
     // ---------------------------------------------------------------- version 1, section 2.1
-    private static ProxyHeader first(ByteBuffer in) throws BadRequest {
+    private static ProxyHeader first(ByteBuffer in) throws BadRequestException {
         int from = in.position();
         int most = Math.min(in.remaining(), V1_MOST);
         int end = -1;
@@ -84,7 +84,7 @@
         return new ProxyHeader(false, new InetSocketAddress(literal(words[2], six), port(words[4])));
     }
 
-    private static InetAddress literal(String text, boolean six) throws BadRequest {
+    private static InetAddress literal(String text, boolean six) throws BadRequestException {
         // only what is surely a literal may reach the resolver
         if (text.matches(six ? "[0-9a-fA-F:]+([0-9.]*)" : "([0-9]{1,3}\\.){3}[0-9]{1,3}") && text.contains(six ? ":" : ".")) {
             try {
@@ -96,7 +96,7 @@
         throw bad("PROXY line has a bad address");
     }
 
-    private static int port(String text) throws BadRequest {
+    private static int port(String text) throws BadRequestException {
         // no sign, no leading zero
         if (text.matches("0|[1-9][0-9]{0,4}") && Integer.parseInt(text) <= PORT_MOST) {
             return Integer.parseInt(text);
@@ -105,7 +105,7 @@
     }
 
     // ---------------------------------------------------------------- version 2, section 2.2
-    private static ProxyHeader second(ByteBuffer in) throws BadRequest {
+    private static ProxyHeader second(ByteBuffer in) throws BadRequestException {
         int from = in.position();
         if (in.remaining() < V2_FIXED) {
             return null;
@@ -117,7 +117,7 @@
         if (command >> 4 != 2 || (command & 0xf) > 1 || family > UNIX || transport > 2) {
             throw bad("PROXY header of an unknown version, command or family");
         }
-        if (length > V2_MOST) {
+        if (length > MAX_V2_BYTES) {
             throw bad("PROXY header is too long");
         }
         if (in.remaining() < V2_FIXED + length) {
@@ -141,7 +141,7 @@
         return new ProxyHeader(false, source);
     }
 
-    private static InetSocketAddress source(ByteBuffer rest, int family) throws BadRequest {
+    private static InetSocketAddress source(ByteBuffer rest, int family) throws BadRequestException {
         int size = family == INET ? 4 : family == INET6 ? 16 : family == UNIX ? 108 : 0;
         int need = family == 0 ? 0 : 2 * size + (family == UNIX ? 0 : 4);
         if (rest.remaining() < need) {
@@ -164,7 +164,7 @@
     }
 
     /** Section 2.2.1 ff.: unknown types are skipped, a checksum must hold (2.2.3). */
-    private static void extensions(ByteBuffer rest, ByteBuffer whole) throws BadRequest {
+    private static void extensions(ByteBuffer rest, ByteBuffer whole) throws BadRequestException {
         while (rest.hasRemaining()) {
             if (rest.remaining() < TLV_HEAD) {
                 throw bad("PROXY extension is cut off");
--- a/src/main/java/granitefold/wire/SettingsReader.java
+++ b/src/main/java/granitefold/wire/SettingsReader.java
@@ -34,7 +34,7 @@
 
     public SettingsReader(JsonParser p) throws IOException {
         if (p.currentToken() != JsonToken.START_OBJECT) {
-            throw new BadWire("setup is not an object");
+            throw new InvalidInputException("setup is not an object");
         }
         flatten(p, "");
     }
@@ -65,7 +65,7 @@
         try {
             return v == null ? fallback : Double.parseDouble(v);
         } catch (NumberFormatException e) {
-            throw new BadWire("setup." + path + " is not a number");
+            throw new InvalidInputException("setup." + path + " is not a number");
         }
     }
 
@@ -91,9 +91,9 @@
     }
 
     /** The names that messages use on sockets. */
-    Vocabulary vocabulary() {
-        return new Vocabulary(Vocabulary.places(names("classes", ".name")), Vocabulary.places(names("tenants", ".name")),
-                Vocabulary.places(names("failureDomains", "")), Vocabulary.places(names("hostTypes", "")), settings(), key());
+    NamedSettings namedSettings() {
+        return new NamedSettings(NamedSettings.indexes(names("classes", ".name")), NamedSettings.indexes(names("tenants", ".name")),
+                NamedSettings.indexes(names("failureDomains", "")), NamedSettings.indexes(names("hostTypes", "")), settings(), key());
     }
 
     /**
@@ -140,8 +140,8 @@
         List<JobClass> classes = new ArrayList<>();
         for (int i = 0; i < sizes.getOrDefault("classes", 0); i++) {
             String c = "classes." + i + ".";
-            Effect effect = Words.effect(word(c + "effect", "fragile"));
-            Group group = Words.group(word(c + "group", "all"));
+            Effect effect = WireCodes.effect(word(c + "effect", "fragile"));
+            Group group = WireCodes.group(word(c + "group", "all"));
             double stretch = number("familyInfo.classStretch." + i, number(c + "aimStretch", 0));
             classes.add(new JobClass(effect, group, micros(c + "dedupWindowMs", 0), micros(c + "onTimeMs", 0),
                     micros(c + "deadlineMs", 0), stretch, whole("familyInfo.classKind." + i, -1),
@@ -159,7 +159,7 @@
                 number("rules.coldFrom", 0), micros("rules.coldMs", 0), number("rules.tipMultiple", 1),
                 micros("rules.fallMs", 1000), micros("rules.askWithinMs", 10000));
         if (whole("me", 0) < 0 || whole("me", 0) >= whole("siblings", 1)) {
-            throw new BadWire("setup.me is not a number below setup.siblings");
+            throw new InvalidInputException("setup.me is not a number below setup.siblings");
         }
         return new Settings(List.copyOf(classes), List.copyOf(tenants), whole("me", 0), whole("siblings", 1),
                 whole("zone", 0), "on_request".equals(word("membershipMode", "")), yes("familyInfo.tellsStart"),
--- a/src/main/java/granitefold/wire/Words.java
+++ b/src/main/java/granitefold/wire/WireCodes.java
@@ -7,9 +7,9 @@
 import granitefold.Dispatcher.State;
 
 /** The wire's words for the interface's terms. */
-public final class Words {
+public final class WireCodes {
 
-    private Words() { }
+    private WireCodes() { }
 
     /** A key as a number, 0 for none: 16 hex digits as they are, anything else by its hash. */
     public static long key(String text) {
@@ -28,7 +28,7 @@
             case "retryable" -> Effect.SAFE;
             case "dedup" -> Effect.KEYED;
             case "fragile" -> Effect.UNSAFE;
-            default -> throw new BadWire("unknown effect " + word);
+            default -> throw new InvalidInputException("unknown effect " + word);
         };
     }
 
@@ -37,7 +37,7 @@
             case "all" -> Group.ALL;
             case "zone" -> Group.ZONE;
             case "cell" -> Group.CELL;
-            default -> throw new BadWire("unknown group " + word);
+            default -> throw new InvalidInputException("unknown group " + word);
         };
     }
 
@@ -47,7 +47,7 @@
             case "FULL" -> ListNews.WHOLE;
             case "SAVED" -> ListNews.SAVED;
             case "FAILED" -> ListNews.FAILED;
-            default -> throw new BadWire("unknown list news " + word);
+            default -> throw new InvalidInputException("unknown list news " + word);
         };
     }
 
@@ -56,7 +56,7 @@
             case "ready" -> State.READY;
             case "draining" -> State.DRAINING;
             case "gone" -> State.GONE;
-            default -> throw new BadWire("unknown lifecycle " + word);
+            default -> throw new InvalidInputException("unknown lifecycle " + word);
         };
     }
 
@@ -70,7 +70,7 @@
             case 598 -> Outcome.BROKEN;
             case 499 -> Outcome.CANCELLED;
             case 410 -> Outcome.MOOT;
-            default -> throw new BadWire("unknown outcome code " + code);
+            default -> throw new InvalidInputException("unknown outcome code " + code);
         };
     }
 }
--- a/src/main/java/granitefold/wire/WorkerLine.java
+++ b/src/main/java/granitefold/wire/WorkerLine.java
@@ -21,7 +21,7 @@
         double share = Double.NaN;
         try (JsonParser p = JSON.createParser(buf, from, length)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadWire("a worker's line is not an object");
+                throw new InvalidInputException("a worker's line is not an object");
             }
             while (p.nextToken() != JsonToken.END_OBJECT) {
                 String name = p.currentName();
@@ -35,18 +35,18 @@
                 }
             }
         } catch (IOException e) {
-            throw new BadWire("a worker's line is not JSON");
+            throw new InvalidInputException("a worker's line is not JSON");
         }
         if (!txn.equals(id)) {
             // never hand one request's result to another
-            throw new BadWire("a worker's line is about another request");
+            throw new InvalidInputException("a worker's line is about another request");
         }
         return switch (state) {
             case "started" -> new AttemptNews.Started();
             case "running" -> new AttemptNews.Progressed(share);
             case "done" -> {
                 if (result == null) {
-                    throw new BadWire("a worker's last line has no result");
+                    throw new InvalidInputException("a worker's last line has no result");
                 }
                 yield new AttemptNews.Served(result.getBytes(StandardCharsets.UTF_8));
             }
@@ -58,7 +58,7 @@
     }
 
     /** What a status other than 200 says of the attempt. */
-    public static AttemptNews refusal(int status, String turnedAway) {
+    public static AttemptNews fromStatus(int status, String turnedAway) {
         return (status == 503 || status == 504) && "1".equals(turnedAway) ? new AttemptNews.Returned()
                 : new AttemptNews.Failed();
     }
--- a/src/main/java/granitefold/wire/Listing.java
+++ b/src/main/java/granitefold/wire/WorkerListJson.java
@@ -10,22 +10,22 @@
 import java.util.List;
 
 /** Discovery's list of workers, whole or changes: one JSON object. */
-public final class Listing {
+public final class WorkerListJson {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Listing() { }
+    private WorkerListJson() { }
 
     /** Decodes one line of the watch. */
-    public static WorkerList decode(byte[] buf, int from, int length, Vocabulary words) {
+    public static WorkerList decode(byte[] buf, int from, int length, NamedSettings words) {
         try (JsonParser p = JSON.createParser(buf, from, length)) {
             p.nextToken();
             return read(p, words);
         } catch (IOException e) {
-            throw new BadWire("a list is not JSON");
+            throw new InvalidInputException("a list is not JSON");
         }
     }
 
-    static WorkerList read(JsonParser p, Vocabulary words) throws IOException {
+    static WorkerList read(JsonParser p, NamedSettings words) throws IOException {
         long version = -1;
         boolean whole = false;
         List<WorkerList.Entry> entries = null;
@@ -41,12 +41,12 @@
             }
         }
         if (version < 0 || entries == null) {
-            throw new BadWire("a list needs index and endpoints");
+            throw new InvalidInputException("a list needs index and endpoints");
         }
         return new WorkerList(version, whole, List.copyOf(entries));
     }
 
-    private static List<WorkerList.Entry> entries(JsonParser p, Vocabulary words) throws IOException {
+    private static List<WorkerList.Entry> entries(JsonParser p, NamedSettings words) throws IOException {
         expect(p, JsonToken.START_ARRAY, "endpoints");
         List<WorkerList.Entry> found = new ArrayList<>();
         while (p.nextToken() != JsonToken.END_ARRAY) {
@@ -56,7 +56,7 @@
         return found;
     }
 
-    private static WorkerList.Entry entry(JsonParser p, Vocabulary words) throws IOException {
+    private static WorkerList.Entry entry(JsonParser p, NamedSettings words) throws IOException {
         String worker = null;
         String address = null;
         State state = null;
@@ -75,18 +75,18 @@
                     case "up" -> State.READY;
                     case "draining" -> State.DRAINING;
                     case "removed" -> State.GONE;
-                    default -> throw new BadWire("an endpoint's status is unknown");
+                    default -> throw new InvalidInputException("an endpoint's status is unknown");
                 };
                 case "weight" -> weight = p.getValueAsDouble(1);
                 case "since_ms" -> sinceMs = p.getValueAsDouble(0);
                 case "zone" -> zone = words.zones().getOrDefault(p.getValueAsString(""), -1);
                 case "group" -> cell = p.getValueAsInt(0);
-                case "type" -> kind = words.kinds().getOrDefault(p.getValueAsString(""), -1);
+                case "type" -> kind = words.hostTypes().getOrDefault(p.getValueAsString(""), -1);
                 default -> p.skipChildren();
             }
         }
         if (worker == null || state == null || address == null && state != State.GONE) {
-            throw new BadWire("an endpoint needs name, address and status");
+            throw new InvalidInputException("an endpoint needs name, address and status");
         }
         if (address != null) {
             Address.of(address);
@@ -96,7 +96,7 @@
 
     private static void expect(JsonParser p, JsonToken wanted, String what) {
         if (p.currentToken() != wanted) {
-            throw new BadWire(what + " is not as expected");
+            throw new InvalidInputException(what + " is not as expected");
         }
     }
 }
--- a/src/test/java/granitefold/bench/ChecksBench.java
+++ b/src/test/java/granitefold/bench/ChecksBench.java
@@ -17,8 +17,8 @@
 import granitefold.wire.AgentLine;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.HttpMessages;
+import granitefold.wire.NamedSettings;
 import granitefold.wire.ProxyHeader;
-import granitefold.wire.Vocabulary;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -54,7 +54,7 @@
 
     private final Availability machine = new Availability(AvailabilitySettings.DEFAULTS, 400);
     private Availability.State state = Availability.State.first(0);
-    private Vocabulary words;
+    private NamedSettings words;
     private Reducer plain;
     private Reducer watched;
     private long now = 1_000_000_000;
@@ -67,7 +67,7 @@
                 Dispatcher.Group.ALL, 0, 300_000, 5_000_000, 2, -1, 1, 0)), List.of(new Dispatcher.Tenant(1, 1e6)), 0, 1, 0,
                 false, true, 0, 5_000, new Dispatcher.Limits(4, false, true, false, false, 2_000_000),
                 new Dispatcher.Rules(3_000_000, 20_000, 0.3, 9_000_000, 3, 2_000_000, 0), new Dispatcher.Prices(0, 0, 60_000_000));
-        words = new Vocabulary(Map.of("ficha", 0), Map.of("acme", 0), Map.of(), Map.of(), set, "");
+        words = new NamedSettings(Map.of("ficha", 0), Map.of("acme", 0), Map.of(), Map.of(), set, "");
         Reducer.Bounds bounds = new Reducer.Bounds(488, 400, 488, 120_000, 60_000_000);
         plain = opened(new Reducer(set, bounds, 1));
         watched = opened(new Reducer(set, bounds, 1, new Extras(AvailabilitySettings.DEFAULTS, null, null, false, false)));
--- a/src/test/java/granitefold/benchlink/LinkTest.java
+++ b/src/test/java/granitefold/benchlink/LinkTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -87,10 +87,10 @@
             batch(1, "d_0", START + ",{\"verb\":\"Response\",\"msgId\":1,\"code\":999}"),
             "{\"atTimeMs\":1,\"turn\":1,\"parts\":[]} {}"};
         for (String line : bad) {
-            assertThrows(BadWire.class, () -> play(line), line);
+            assertThrows(InvalidInputException.class, () -> play(line), line);
         }
         ByteArrayInputStream cut = new ByteArrayInputStream("{\"atTimeMs\":1".getBytes(StandardCharsets.UTF_8));
-        assertThrows(BadWire.class, () -> new Link(cut, new ByteArrayOutputStream()).run());
+        assertThrows(InvalidInputException.class, () -> new Link(cut, new ByteArrayOutputStream()).run());
     }
 
     @Test
--- a/src/test/java/granitefold/wire/FramesTest.java
+++ b/src/test/java/granitefold/wire/JsonObjectFramerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import granitefold.wire.Frames.Found;
+import granitefold.wire.JsonObjectFramer.Result;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Objects put together from lines. */
-class FramesTest {
-    private final Frames frames = new Frames(200);
+class JsonObjectFramerTest {
+    private final JsonObjectFramer frames = new JsonObjectFramer(200);
 
     private List<String> read(String text) {
         List<String> found = new ArrayList<>();
         for (String l : text.split("\n", -1)) {
             byte[] line = (">" + l).getBytes(StandardCharsets.UTF_8);
-            Found f = frames.add(line, 1, line.length - 1);
-            if (f != Found.PART) {
-                found.add(f == Found.BLANK ? "" : new String(frames.buffer(), frames.offset(), frames.length(), StandardCharsets.UTF_8));
+            Result f = frames.add(line, 1, line.length - 1);
+            if (f != Result.INCOMPLETE) {
+                found.add(f == Result.BLANK ? "" : new String(frames.buffer(), frames.offset(), frames.length(), StandardCharsets.UTF_8));
             }
         }
         return found;
@@ -46,14 +46,14 @@
 
     @Test
     void anObjectThatNeverEndsIsNotKeptForGood() {
-        assertThrows(BadWire.class, () -> read("{\n" + "1\n".repeat(200)));
+        assertThrows(InvalidInputException.class, () -> read("{\n" + "1\n".repeat(200)));
     }
 
     @Property(tries = 500)
     void anyTextEndsInABoundedBuffer(@ForAll String text) {
         try {
             read(text);
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             assertEquals("a list is too long", e.getMessage());
         }
     }
--- a/src/test/java/granitefold/wire/ProxyHeaderFuzz.java
+++ b/src/test/java/granitefold/wire/ProxyHeaderFuzz.java
@@ -16,10 +16,10 @@
             if (h == null && in.position() != 0 || h != null && in.position() < 13) {
                 throw new AssertionError("moved to " + in.position() + " for " + h);
             }
-            if (h == null && bytes.length > 16 + ProxyHeader.V2_MOST) {
+            if (h == null && bytes.length > 16 + ProxyHeader.MAX_V2_BYTES) {
                 throw new AssertionError("waits for more than a header may have");
             }
-        } catch (BadRequest e) {
+        } catch (BadRequestException e) {
             // refused, as it should be
         }
     }
--- a/src/test/java/granitefold/wire/ProxyHeaderTest.java
+++ b/src/test/java/granitefold/wire/ProxyHeaderTest.java
@@ -33,7 +33,7 @@
     }
 
     /** Decodes at every length: only the whole gives an answer, and what is behind it stays. */
-    private static ProxyHeader whole(byte[] header) throws BadRequest {
+    private static ProxyHeader whole(byte[] header) throws BadRequestException {
         for (int n = 1; n < header.length; n++) {
             ByteBuffer cut = ByteBuffer.wrap(header, 0, n);
             assertNull(ProxyHeader.decode(cut), "at " + n);
@@ -46,12 +46,12 @@
     }
 
     private static void refused(byte[] header) {
-        assertThrows(BadRequest.class, () -> ProxyHeader.decode(ByteBuffer.wrap(header)), new String(header,
+        assertThrows(BadRequestException.class, () -> ProxyHeader.decode(ByteBuffer.wrap(header)), new String(header,
                 StandardCharsets.ISO_8859_1));
     }
 
     @Test
-    void versionOne() throws BadRequest {
+    void versionOne() throws BadRequestException {
         assertEquals("/192.168.0.1:56324", whole(text("PROXY TCP4 192.168.0.1 192.168.0.11 56324 443\r\n")).source().toString());
         assertEquals(443, whole(text("PROXY TCP6 2001:db8::1 ::1 443 1\r\n")).source().getPort());
         assertNull(whole(text("PROXY UNKNOWN\r\n")).source());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void versionTwo() throws BadRequest {
+    void versionTwo() throws BadRequestException {
         assertEquals("/10.1.2.3:8080", whole(inet()).source().toString());
         assertEquals("/10.1.2.3:8080", whole(inet((byte) 0xEE, (byte) 0, (byte) 2, (byte) 1, (byte) 2)).source().toString(),
                 "an unknown extension is skipped");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aChecksumMustHold() throws BadRequest {
+    void aChecksumMustHold() throws BadRequestException {
         byte[] header = inet((byte) 3, (byte) 0, (byte) 4, (byte) 0, (byte) 0, (byte) 0, (byte) 0);
         CRC32C crc = new CRC32C();
         crc.update(header);
