--- a/src/main/java/granitefold/net/ProcessRegistry.java
+++ b/src/main/java/granitefold/net/ProcessRegistry.java
@@ -42,7 +42,7 @@
             return new ProcessRegistry(stem, FileChannel.open(path,
                     Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)));
         } catch (IOException e) {
-            EventLog.log(LogEvent.COMPANY_UNKNOWN, path, e);
+            EventLog.log(LogEvent.OTHER_PROCESSES_UNKNOWN, path, e);
             return new ProcessRegistry(null, null);
         }
     }
