--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -6,7 +6,7 @@
 import granitefold.core.FinalAnswer;
 import granitefold.core.Phase;
 import granitefold.core.Submission;
-import granitefold.wire.BadRequest;
+import granitefold.wire.BadRequestException;
 import granitefold.wire.ClientRequest;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
@@ -25,7 +25,7 @@
 final class ClientConnection extends NonBlockingConnection {
     private static final int BUFFER_BYTES = 4096;
     /** The limit of input discarded after the last response: closing over unread input would reset the connection and lose the response. */
-    private static final int MAX_DISCARDED_BYTES = 4 * ClientRequest.BODY_MOST;
+    private static final int MAX_DISCARDED_BYTES = 4 * ClientRequest.MAX_BODY_BYTES;
     private static final ByteBuffer CONTINUE =
             ByteBuffer.wrap("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII)).asReadOnlyBuffer();
 
@@ -73,7 +73,7 @@
         this.id = id;
         this.waitingSinceNs = waitingSinceNs;
         reader = new RequestReader(loop::reserveBodyBytes, this::writeContinue);
-        proxyHeaderPending = loop.clientSettings().proxy();
+        proxyHeaderPending = loop.clientSettings().proxyHeaderRequired();
         sourceAddress = endPoint.getRemoteSocketAddress();
     }
 
@@ -161,7 +161,7 @@
             closeConnection(CloseReason.CLIENT);
         } else if (count == 0) {
             if (state == State.READING && inputArrived && !reader.isAtStart()) {
-                loop.post(requestBegun ? new Event.RequestGoesOn(id) : new Event.RequestBegun(id));
+                loop.post(requestBegun ? new Event.RequestContinued(id) : new Event.RequestStarted(id));
                 requestBegun = true;
             }
             inputArrived = false;
@@ -174,8 +174,8 @@
     private boolean readProxyHeader() throws IOException {
         try {
             InetSocketAddress proxy = (InetSocketAddress) sourceAddress;
-            if (!loop.clientSettings().from().isEmpty() && !loop.clientSettings().from().contains(proxy.getAddress())) {
-                throw new BadRequest(400, "not one of clients.proxy-from");
+            if (!loop.clientSettings().proxySources().isEmpty() && !loop.clientSettings().proxySources().contains(proxy.getAddress())) {
+                throw new BadRequestException(400, "not one of clients.proxy-from");
             }
             ProxyHeader header = ProxyHeader.decode(input);
             if (header != null) {
@@ -185,14 +185,14 @@
             }
             int count = BufferUtil.isFull(input) ? -1 : getEndPoint().fill(input);
             if (count < 0) {
-                throw new BadRequest(400, "closed within its PROXY header");
+                throw new BadRequestException(400, "closed within its PROXY header");
             }
             if (count == 0) {
                 awaitReadable();
             }
             // the new input is decoded in the next step
             return count > 0;
-        } catch (BadRequest e) {
+        } catch (BadRequestException e) {
             // section 2 of the protocol: the receiver drops the connection, without a response to an unknown sender
             EventLog.log(LogEvent.CLIENT_REFUSED, sourceAddress, e.getMessage());
             closeConnection(CloseReason.NO_PROXY_HEADER);
@@ -203,7 +203,7 @@
     /** Enlarges the input buffer to read on during a request: a disconnect is only detected by reading. */
     private boolean enlargeBuffer() {
         int additional = input.capacity();
-        if (additional > ClientRequest.BODY_MOST || !loop.reserveBodyBytes(additional)) {
+        if (additional > ClientRequest.MAX_BODY_BYTES || !loop.reserveBodyBytes(additional)) {
             return false;
         }
         resize(2 * additional);
@@ -241,24 +241,24 @@
         if (reader.isTarget("/healthz")) {
             boolean ready = loop.phase() == Phase.SERVING;
             boolean close = reader.wantsClose();
-            answerDirectly(HttpMessages.plain(ready ? 200 : 503, loop.phase().name(), close), close);
+            answerDirectly(HttpMessages.plainText(ready ? 200 : 503, loop.phase().name(), close), close);
             return;
         }
         try {
             Submission submission = reader.decode(loop.vocabulary());
-            wantsMetrics = loop.clientSettings().orca() && reader.hasHeader(StatusReporter.METRICS_REQUEST_HEADER, "text");
+            wantsMetrics = loop.clientSettings().loadMetrics() && reader.hasHeader(StatusReporter.METRICS_REQUEST_HEADER, "text");
             if (hasDisconnected()) {
                 closeConnection(CloseReason.CLIENT);
             } else {
                 loop.post(new Event.RequestArrived(id, submission, maxInputAgeUs()));
             }
-        } catch (BadRequest e) {
-            if (loop.clientSettings().proxy()) {
+        } catch (BadRequestException e) {
+            if (loop.clientSettings().proxyHeaderRequired()) {
                 EventLog.log(LogEvent.CLIENT_REFUSED, sourceAddress, e.getMessage());
             }
             // the input that follows cannot be trusted to be a request: the connection is closed
-            answerDirectly(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.because(Refusal.LIMIT), true)
-                    : HttpMessages.plain(e.status(), e.getMessage(), true), true);
+            answerDirectly(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.withDefaultRetry(Refusal.LIMIT), true)
+                    : HttpMessages.plainText(e.status(), e.getMessage(), true), true);
         }
     }
 
@@ -306,7 +306,7 @@
     }
 
     private void answerDirectly(ByteBuffer[] message, boolean last) {
-        loop.post(new Event.AnsweredHere(id));
+        loop.post(new Event.AnsweredLocally(id));
         answer(message, last);
     }
 
@@ -348,7 +348,7 @@
             if (reader.isAtStart()) {
                 closeConnection(CloseReason.TIMED_OUT);
             } else {
-                reader.fail(new BadRequest(408, "the request did not come to its end"));
+                reader.fail(new BadRequestException(408, "the request did not come to its end"));
                 handleRequest();
             }
         }
@@ -381,7 +381,7 @@
             }
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
-            loop.post(new Event.ClientShut(id));
+            loop.post(new Event.ClientHalfClosed(id));
             readInput();
         } else if (state == State.READING && rejectPartial) {
             reject();
@@ -389,7 +389,7 @@
     }
 
     private void reject() {
-        reader.fail(new BadRequest(503, "no room"));
+        reader.fail(new BadRequestException(503, "no room"));
         handleRequest();
     }
 }
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -6,17 +6,17 @@
 import granitefold.core.Phase;
 import granitefold.core.Reducer;
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Wish;
-import granitefold.figures.Figures;
+import granitefold.availability.RequestedMode;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.operator.Operator;
-import granitefold.recovery.Learned;
+import granitefold.operator.OperatorSettings;
+import granitefold.recovery.LearnedState;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
 import granitefold.wire.Config;
 import granitefold.wire.HttpMessages;
-import granitefold.wire.Vocabulary;
+import granitefold.wire.InvalidInputException;
+import granitefold.wire.NamedSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -70,53 +70,53 @@
     private long heldBytes;
     /** Null unless the operator has configured something that exposes the status. */
     private final StatusReporter statusReporter;
-    private final Operator operator;
-    private Consumer<Learned> stateSaver;
+    private final OperatorSettings operator;
+    private Consumer<LearnedState> stateSaver;
     private final OutboundConnections outbound;
     /** The processes that serve at the same address; null if there is no ops address, and so never a second process. */
     private final ProcessRegistry processes;
     /** Null if there is no folder that is shared with other processes. */
     private final StateHandover handover;
-    private volatile Figures figures;
+    private volatile MetricsSnapshot figures;
 
     /** Creates a loop without an operator's file. */
     public EventLoop(Config config) {
-        this(config, Operator.NONE);
+        this(config, OperatorSettings.NONE);
     }
 
-    public EventLoop(Config config, Operator operator) {
+    public EventLoop(Config config, OperatorSettings operator) {
         this.config = config;
         this.operator = operator;
-        statusReporter = operator.tells() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
-        if (operator.health() != null && operator.health().probes() && !config.probing()) {
+        statusReporter = operator.publishesAvailability() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
+        if (operator.health() != null && operator.health().probesEnabled() && !config.probingAllowed()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
         // each request may take two connections: one to its client and one to a worker
         boolean hasOps = config.ops() != null;
         outbound = new OutboundConnections(this, selectorThread, config, operator);
         processes = hasOps ? ProcessRegistry.forAddress(config.listen()) : null;
-        handover = hasOps && processes.pathPrefix != null ? new StateHandover(processes.pathPrefix, config.places()) : null;
-        int checkDescriptors = operator.descriptors() + (hasOps ? OPS_DESCRIPTORS : 0);
-        if (operator.descriptors() > config.sockets() / 4) {
-            throw new BadWire("checks may hold " + operator.descriptors() + " descriptors, more than a quarter of limits.sockets, "
+        handover = hasOps && processes.pathPrefix != null ? new StateHandover(processes.pathPrefix, config.settingsIndexes()) : null;
+        int checkDescriptors = operator.maxDescriptors() + (hasOps ? OPS_DESCRIPTORS : 0);
+        if (operator.maxDescriptors() > config.sockets() / 4) {
+            throw new InvalidInputException("checks may hold " + operator.maxDescriptors() + " descriptors, more than a quarter of limits.sockets, "
                     + config.sockets());
         }
         int perSide = Math.max(SPARE_CLIENT_CONNECTIONS + 1, (config.sockets() - RESERVED_DESCRIPTORS - checkDescriptors) / 2);
         bounds = new Reducer.Bounds(perSide, perSide - SPARE_CLIENT_CONNECTIONS, perSide, config.connectTimeoutUs(), config.idleCloseUs());
-        reducer = new Reducer(config.words().settings(), bounds, config.seed(), operator.extras(config.probing()).withFigures(hasOps));
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withFigures(hasOps));
     }
 
     /** Opens the sockets and starts the loop; called on the main thread. */
     public void start() throws Exception {
-        Learned inherited = null;
+        LearnedState inherited = null;
         if (processes != null && processes.hasOthers()) {
             // the old version serves in the meantime, so that no client is affected by the cold start
             String token = handover == null ? null : handover.request();
             long startUs = clock.micros();
-            EventLog.log(LogEvent.WARMED, JitWarmup.run(config, bounds), (clock.micros() - startUs) / 1000);
+            EventLog.log(LogEvent.WARM_UP_DONE, JitWarmup.run(config, bounds), (clock.micros() - startUs) / 1000);
             inherited = token == null ? null : handover.await(token, HANDOVER_TIMEOUT_MS);
         }
-        Learned inheritedState = inherited;
+        LearnedState inheritedState = inherited;
         // if the next version may start while this one serves, both listen on the same address
         long openedNs = System.nanoTime();
         listener = new ClientListener(selectorThread, SocketOpener.openTcpListener(config.listen(), BACKLOG, processes != null), this::accepted);
@@ -125,9 +125,9 @@
         selectorThread.start();
         selectorThread.submit(() -> {
             outbound.openSiblingChannel(siblings);
-            post(new Event.Opened(config.known(), Address.text(config.discovery())));
+            post(new Event.SocketsOpened(config.initialWorkers(), Address.text(config.discovery())));
             if (inheritedState != null) {
-                post(new Event.Inherited(inheritedState));
+                post(new Event.StateInherited(inheritedState));
             }
             selectorThread.listen(listener, openedNs);
         });
@@ -147,7 +147,7 @@
         try {
             String discovery = Address.text(Config.read(file).discovery());
             EventLog.log(LogEvent.CONFIGURATION_READ, discovery);
-            selectorThread.submit(() -> post(new Event.DiscoveryMoved(discovery)));
+            selectorThread.submit(() -> post(new Event.DiscoveryAddressChanged(discovery)));
         } catch (RuntimeException e) {
             EventLog.log(LogEvent.CONFIGURATION_KEPT, e.getMessage());
         }
@@ -159,14 +159,14 @@
      */
     public long terminate() throws InterruptedException {
         long startNs = System.nanoTime();
-        started.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
+        started.await(reducer.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
         boolean othersServe = processes != null && processes.hasOthers();
         if (othersServe) {
-            EventLog.log(LogEvent.RELIEVED, Address.text(config.listen()));
+            EventLog.log(LogEvent.REPLACEMENT_SERVING, Address.text(config.listen()));
         }
-        selectorThread.submit(() -> post(new Event.Terminated(othersServe)));
-        stopped.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
-        return Math.max(0, reducer.exitUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs));
+        selectorThread.submit(() -> post(new Event.ShutdownRequested(othersServe)));
+        stopped.await(reducer.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
+        return Math.max(0, reducer.shutdownTimeoutUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNs));
     }
 
     public String name() {
@@ -174,26 +174,26 @@
     }
 
     /** Sets what saves the learned state; called before the start if the operator has configured a state folder. */
-    public void saveStateWith(Consumer<Learned> saver) {
+    public void saveStateWith(Consumer<LearnedState> saver) {
         stateSaver = saver;
     }
 
     /** Restores the state saved by a previous process; may be called from any thread. */
-    public void restore(Learned learned) {
-        selectorThread.submit(() -> post(new Event.Recovered(learned)));
+    public void restore(LearnedState learned) {
+        selectorThread.submit(() -> post(new Event.StateRecovered(learned)));
     }
 
     /** Returns the last published metrics and status, or null before the first. May be called from any thread. */
-    public Figures figures() {
+    public MetricsSnapshot figures() {
         return figures;
     }
 
     /** Answers a request of a new version for the learned state; {@code fileExecutor} runs the writing of the file. */
     public void answerHandoverRequests(Consumer<Runnable> fileExecutor) {
         // until this process serves, the pending request is its own
-        if (handover != null && figures != null && figures.serves()) {
+        if (handover != null && figures != null && figures.ready()) {
             handover.poll(token -> selectorThread.submit(() -> {
-                Learned learned = reducer.learned();
+                LearnedState learned = reducer.learned();
                 fileExecutor.accept(() -> handover.respond(token, learned));
             }));
         }
@@ -205,16 +205,16 @@
     }
 
     /** Sets an operator override; may be called from any thread. {@code then} runs on the loop's thread once the override is in effect. */
-    public void setOperatorOverride(Wish wish, Runnable then) {
+    public void setOperatorOverride(RequestedMode wish, Runnable then) {
         selectorThread.submit(() -> {
-            post(new Event.Wished(wish));
+            post(new Event.ModeRequested(wish));
             then.run();
         });
     }
 
     /** Replaces the availability settings; may be called from any thread. */
     public void updateAvailabilitySettings(AvailabilitySettings availability) {
-        selectorThread.submit(() -> post(new Event.Retuned(availability)));
+        selectorThread.submit(() -> post(new Event.AvailabilitySettingsChanged(availability)));
     }
 
     /** Returns the name of the phase; from other threads it may be slightly out of date. */
@@ -222,7 +222,7 @@
         return reducer.phase().name();
     }
 
-    Operator.Clients clientSettings() {
+    OperatorSettings.Clients clientSettings() {
         return operator.clients();
     }
 
@@ -230,8 +230,8 @@
         return reducer.phase();
     }
 
-    Vocabulary vocabulary() {
-        return config.words();
+    NamedSettings vocabulary() {
+        return config.namedSettings();
     }
 
     long nowUs() {
@@ -265,7 +265,7 @@
         } catch (RuntimeException e) {
             // a failing event must not end the process: the effects decided before the failure are performed, and timers go on
             EventLog.error(LogEvent.INTERNAL_ERROR, e, event.getClass().getSimpleName());
-            List.copyOf(reducer.effects()).forEach(this::performSafely);
+            List.copyOf(reducer.pendingEffects()).forEach(this::performSafely);
             wakeAtUs = clock.micros() + ERROR_RETRY_DELAY_US;
         }
     }
@@ -319,9 +319,9 @@
             wakeAtUs = e.at();
         } else if (effect instanceof Effect.StopListening) {
             listener.close(emptied -> post(new Event.ListenerClosed(emptied)));
-        } else if (effect instanceof Effect.ShutIdle || effect instanceof Effect.ShutAll) {
+        } else if (effect instanceof Effect.HalfCloseIdleClients || effect instanceof Effect.HalfCloseAllClients) {
             for (ClientConnection client : clients.values().toArray(ClientConnection[]::new)) {
-                client.shutDownUnlessBusy(effect instanceof Effect.ShutAll);
+                client.shutDownUnlessBusy(effect instanceof Effect.HalfCloseAllClients);
             }
         } else if (effect instanceof Effect.SendRequest e) {
             ClientConnection client = clients.get(e.client());
@@ -332,21 +332,21 @@
                 outbound.perform(e);
             } else {
                 // the event of its closing is already queued
-                post(new Event.NotSent(e.connection()));
+                post(new Event.RequestNotSent(e.connection()));
             }
         } else if (effect instanceof Effect.Stop) {
             stopping = true;
             stopIfAllWritten();
-        } else if (effect instanceof Effect.Sample) {
-            post(new Event.Sampled(statusReporter.sample(
+        } else if (effect instanceof Effect.SampleResources) {
+            post(new Event.ResourcesSampled(statusReporter.sample(
                     (double) (clients.size() + outbound.workerConnectionCount() + RESERVED_DESCRIPTORS) / config.sockets())));
-        } else if (effect instanceof Effect.Keep e) {
+        } else if (effect instanceof Effect.SaveState e) {
             stateSaver.accept(e.learned());
-        } else if (effect instanceof Effect.Publish e) {
+        } else if (effect instanceof Effect.PublishReport e) {
             statusReporter.publish(e.report());
-        } else if (effect instanceof Effect.Count e) {
+        } else if (effect instanceof Effect.PublishFigures e) {
             figures = e.figures();
-            if (processes != null && figures.serves()) {
+            if (processes != null && figures.ready()) {
                 processes.register();
             }
         } else if (effect instanceof Effect.Log e) {
@@ -373,7 +373,7 @@
             public Connection opened(EndPoint endPoint) {
                 ClientConnection client = new ClientConnection(endPoint, EventLoop.this, id, waitingSinceNs);
                 clients.put(id, client);
-                post(new Event.ClientOpened(id));
+                post(new Event.ClientConnected(id));
                 return client;
             }
 
--- a/src/main/java/granitefold/net/JitWarmup.java
+++ b/src/main/java/granitefold/net/JitWarmup.java
@@ -5,8 +5,8 @@
 import granitefold.core.WorkerList;
 import granitefold.core.Reducer;
 import granitefold.core.Submission;
-import granitefold.core.AttemptNews;
-import granitefold.wire.BadRequest;
+import granitefold.core.AttemptUpdate;
+import granitefold.wire.BadRequestException;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.Config;
 import granitefold.wire.HttpMessages;
@@ -46,9 +46,9 @@
 
     private JitWarmup(Config config, Reducer.Bounds bounds) {
         this.config = config;
-        reducer = new Reducer(config.words().settings(), bounds, config.seed());
-        classes = config.words().classes().keySet().toArray(String[]::new);
-        tenants = config.words().tenants().keySet().toArray(String[]::new);
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed());
+        classes = config.namedSettings().classes().keySet().toArray(String[]::new);
+        tenants = config.namedSettings().tenants().keySet().toArray(String[]::new);
     }
 
     /** Runs the warm-up; returns the number of answered requests, for the log. */
@@ -58,19 +58,19 @@
 
     private int run() {
         List<WorkerList.Entry> workers = new ArrayList<>();
-        for (WorkerList.Entry e : config.known().entries()) {
+        for (WorkerList.Entry e : config.initialWorkers().entries()) {
             // this reducer's clock is simulated: start time 0 keeps workers from counting as just started
             workers.add(new WorkerList.Entry(e.name(), e.address(), e.state(), e.weight(), 0, e.zone(), e.cell(), e.kind()));
         }
-        process(new Event.Opened(new WorkerList(1, true, workers), "127.0.0.1:1"));
-        process(new Event.WatchNews(null));
+        process(new Event.SocketsOpened(new WorkerList(1, true, workers), "127.0.0.1:1"));
+        process(new Event.WatchUpdated(null));
         long sliceStartNs = System.nanoTime();
         long deadlineNs = sliceStartNs + MAX_DURATION_NS;
         for (int i = 0; i < REQUESTS && System.nanoTime() - deadlineNs < 0; i++) {
             nowUs += REQUEST_INTERVAL_US;
             Submission submission = submission(i);
             if (submission != null) {
-                process(new Event.ClientOpened(i));
+                process(new Event.ClientConnected(i));
                 process(new Event.RequestArrived(i, submission));
             }
             if (i % CONCURRENT_REQUESTS == CONCURRENT_REQUESTS - 1) {
@@ -92,8 +92,8 @@
         ParsedRequest parsed = new ParsedRequest();
         new HttpParser(parsed, text.length()).parseNext(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
         try {
-            return ClientRequest.decode("POST", parsed.target, parsed.headers, new byte[4], config.words());
-        } catch (BadRequest e) {
+            return ClientRequest.decode("POST", parsed.target, parsed.headers, new byte[4], config.namedSettings());
+        } catch (BadRequestException e) {
             // the name of the class or tenant is not valid in a request target or header
             return null;
         }
@@ -110,19 +110,19 @@
 
     /** Simulates workers and clients that respond successfully and without delay. */
     private void perform(Effect effect) {
-        if (effect instanceof Effect.Connect e) {
+        if (effect instanceof Effect.ConnectWorker e) {
             events.add(new Event.WorkerConnected(e.connection()));
         } else if (effect instanceof Effect.SendRequest e) {
             ClientRequest request = (ClientRequest) e.payload();
-            HttpMessages.toWorker(request, "127.0.0.1:1", e.expiresAt() - nowUs);
+            HttpMessages.workerRequest(request, "127.0.0.1:1", e.expiresAt() - nowUs);
             events.add(new Event.RequestWritten(e.connection()));
             for (String state : new String[] {"started", "done\",\"result\":\"made"}) {
                 byte[] line = ("{\"id\":\"" + request.txn() + "\",\"from\":\"w\",\"state\":\"" + state + "\"}")
                         .getBytes(StandardCharsets.UTF_8);
-                AttemptNews news = WorkerLine.decode(line, 0, line.length, request.txn());
-                events.add(new Event.WorkerSaid(e.connection(), news));
+                AttemptUpdate news = WorkerLine.decode(line, 0, line.length, request.txn());
+                events.add(new Event.AttemptUpdated(e.connection(), news));
             }
-            events.add(new Event.AnswerEnded(e.connection(), true));
+            events.add(new Event.WorkerAnswerEnded(e.connection(), true));
         } else if (effect instanceof Effect.Answer e) {
             answeredRequests++;
             HttpMessages.answer(e.answer(), false);
--- a/src/main/java/granitefold/net/OutboundConnections.java
+++ b/src/main/java/granitefold/net/OutboundConnections.java
@@ -4,7 +4,7 @@
 import granitefold.core.Event;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.operator.Operator;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.Config;
 import java.io.IOException;
@@ -20,13 +20,13 @@
     private final EventLoop loop;
     private final SelectorThread selectorThread;
     private final Config config;
-    private final Operator operator;
+    private final OperatorSettings operator;
     private final Map<Long, WorkerHttpConnection> workers = new HashMap<>();
     private final Map<Long, ProbeHttpConnection> probes = new HashMap<>(0);
     private SiblingConnection siblings;
     private WatchHttpConnection watch;
 
-    OutboundConnections(EventLoop loop, SelectorThread selectorThread, Config config, Operator operator) {
+    OutboundConnections(EventLoop loop, SelectorThread selectorThread, Config config, OperatorSettings operator) {
         this.loop = loop;
         this.selectorThread = selectorThread;
         this.config = config;
@@ -39,7 +39,7 @@
     }
 
     void perform(Effect effect) {
-        if (effect instanceof Effect.Connect e) {
+        if (effect instanceof Effect.ConnectWorker e) {
             WorkerHttpConnection connection = new WorkerHttpConnection(loop, this, e.connection(), e.address());
             workers.put(e.connection(), connection);
             connection.connect(selectorThread);
@@ -49,8 +49,8 @@
                 // otherwise it has just closed: the event for the reducer is already queued
                 connection.send(e.payload(), e.expiresAt());
             }
-        } else if (effect instanceof Effect.Look e) {
-            selectorThread.afterPendingInput(() -> loop.post(new Event.Looked(e.connection())));
+        } else if (effect instanceof Effect.PollSockets e) {
+            selectorThread.afterPendingInput(() -> loop.post(new Event.SocketsPolled(e.connection())));
         } else if (effect instanceof Effect.CloseWorker e) {
             WorkerHttpConnection connection = workers.remove(e.connection());
             if (connection != null) {
@@ -65,20 +65,20 @@
             if (closing != null) {
                 closing.close();
             }
-        } else if (effect instanceof Effect.Tell e) {
+        } else if (effect instanceof Effect.SendToSibling e) {
             if (siblings != null) {
                 siblings.send(e.sibling(), e.message());
             }
-        } else if (effect instanceof Effect.LeaveSiblings) {
+        } else if (effect instanceof Effect.CloseSiblingSocket) {
             if (siblings != null) {
                 siblings.close();
                 siblings = null;
             }
-        } else if (effect instanceof Effect.Probe e) {
+        } else if (effect instanceof Effect.StartProbe e) {
             ProbeHttpConnection probe = new ProbeHttpConnection(this, e.worker(), e.address(), operator.probe().path());
             probes.put(e.worker(), probe);
             probe.connect(selectorThread);
-        } else if (effect instanceof Effect.EndProbe e) {
+        } else if (effect instanceof Effect.CancelProbe e) {
             ProbeHttpConnection probe = probes.remove(e.worker());
             if (probe != null) {
                 probe.close();
@@ -90,7 +90,7 @@
     void probeFinished(ProbeHttpConnection probe, boolean healthy, String reason) {
         if (probes.remove(probe.worker(), probe)) {
             probe.close();
-            loop.post(new Event.Probed(probe.worker(), healthy, reason));
+            loop.post(new Event.ProbeEnded(probe.worker(), healthy, reason));
         }
     }
 
@@ -118,14 +118,14 @@
      * thread. {@code shared}: another process of this dispatcher may be bound to the address too; a sibling's messages reach one of them.
      */
     DatagramChannel bindSiblingChannel(boolean shared) {
-        if (config.siblingListen() == null) {
+        if (config.siblingAddress() == null) {
             return null;
         }
         try {
             return openDatagramChannel(shared);
         } catch (IOException e) {
             // messages between siblings may be lost at any time: the dispatcher serves without them
-            EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), e);
+            EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingAddress()), e);
             return null;
         }
     }
@@ -136,7 +136,7 @@
             if (shared) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
-            channel.bind(config.siblingListen());
+            channel.bind(config.siblingAddress());
             channel.configureBlocking(false);
             return channel;
         } catch (IOException e) {
@@ -153,13 +153,13 @@
         selectorThread.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
-                siblings = new SiblingConnection(endPoint, loop, config.siblings(), config.words().key());
+                siblings = new SiblingConnection(endPoint, loop, config.siblings(), config.namedSettings().key());
                 return siblings;
             }
 
             @Override
             public void failed(Throwable cause) {
-                EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingListen()), cause);
+                EventLog.log(LogEvent.SIBLINGS_LOST, Address.text(config.siblingAddress()), cause);
             }
         });
     }
--- a/src/main/java/granitefold/net/ProbeHttpConnection.java
+++ b/src/main/java/granitefold/net/ProbeHttpConnection.java
@@ -26,7 +26,7 @@
 
     @Override
     void onConnected() {
-        write(HttpMessages.get(path, address), () -> { });
+        write(HttpMessages.probeRequest(path, address), () -> { });
     }
 
     @Override
--- a/src/main/java/granitefold/net/ProcessRegistry.java
+++ b/src/main/java/granitefold/net/ProcessRegistry.java
@@ -45,7 +45,7 @@
             return new ProcessRegistry(pathPrefix, FileChannel.open(path,
                     Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)));
         } catch (IOException e) {
-            EventLog.log(LogEvent.COMPANY_UNKNOWN, path, e);
+            EventLog.log(LogEvent.OTHER_PROCESSES_UNKNOWN, path, e);
             return new ProcessRegistry(null, null);
         }
     }
--- a/src/main/java/granitefold/net/RequestReader.java
+++ b/src/main/java/granitefold/net/RequestReader.java
@@ -1,9 +1,9 @@
 package granitefold.net;
 
 import granitefold.core.Submission;
-import granitefold.wire.BadRequest;
+import granitefold.wire.BadRequestException;
 import granitefold.wire.ClientRequest;
-import granitefold.wire.Vocabulary;
+import granitefold.wire.NamedSettings;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.util.function.IntPredicate;
@@ -31,7 +31,7 @@
     private String target;
     private HttpFields.Mutable headers;
     private ByteArrayOutputStream body;
-    private BadRequest error;
+    private BadRequestException error;
     /** The body bytes that are reserved for this request. */
     private int reservedBytes;
 
@@ -59,7 +59,7 @@
     }
 
     /** Ends the current request as invalid, for this reason. */
-    void fail(BadRequest reason) {
+    void fail(BadRequestException reason) {
         error = reason;
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Decodes the request; throws the error if it is invalid. */
-    Submission decode(Vocabulary vocabulary) throws BadRequest {
+    Submission decode(NamedSettings vocabulary) throws BadRequestException {
         if (error != null) {
             throw error;
         }
@@ -114,8 +114,8 @@
         if (headers.contains(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString())) {
             wantsClose = true;
         }
-        if (parser.getContentLength() > ClientRequest.BODY_MOST) {
-            error = new BadRequest(413, "body too long");
+        if (parser.getContentLength() > ClientRequest.MAX_BODY_BYTES) {
+            error = new BadRequestException(413, "body too long");
             return true;
         }
         if (headers.contains(HttpHeader.EXPECT, HttpHeaderValue.CONTINUE.asString())) {
@@ -126,12 +126,12 @@
 
     @Override
     public boolean content(ByteBuffer content) {
-        if (body.size() + content.remaining() > ClientRequest.BODY_MOST) {
-            error = new BadRequest(413, "body too long");
+        if (body.size() + content.remaining() > ClientRequest.MAX_BODY_BYTES) {
+            error = new BadRequestException(413, "body too long");
             return true;
         }
         if (!reserveBytes.test(content.remaining())) {
-            error = new BadRequest(503, "too much in hand");
+            error = new BadRequestException(503, "too much in hand");
             return true;
         }
         reservedBytes += content.remaining();
@@ -155,12 +155,12 @@
     @Override
     public void badMessage(HttpException failure) {
         int status = failure.getCode();
-        error = new BadRequest(status >= 400 && status < 500 ? status : 400, "malformed request");
+        error = new BadRequestException(status >= 400 && status < 500 ? status : 400, "malformed request");
     }
 
     @Override
     public void earlyEOF() {
         // the parser reports an error after the head in this way
-        error = new BadRequest(400, "malformed body");
+        error = new BadRequestException(400, "malformed body");
     }
 }
--- a/src/main/java/granitefold/net/SiblingConnection.java
+++ b/src/main/java/granitefold/net/SiblingConnection.java
@@ -48,7 +48,7 @@
                 if (sibling >= 0 && input.remaining() <= MAX_DATAGRAM_BYTES && input.remaining() >= KEY_BYTES) {
                     byte[] datagram = BufferUtil.toArray(input);
                     if (Arrays.equals(datagram, datagram.length - KEY_BYTES, datagram.length, key, 0, KEY_BYTES)) {
-                        loop.post(new Event.SiblingSaid(sibling, Arrays.copyOf(datagram, datagram.length - KEY_BYTES)));
+                        loop.post(new Event.SiblingMessage(sibling, Arrays.copyOf(datagram, datagram.length - KEY_BYTES)));
                     } else if (!foreignLogged) {
                         foreignLogged = true;
                         EventLog.log(LogEvent.SIBLINGS_FOREIGN, sender);
--- a/src/main/java/granitefold/net/StateHandover.java
+++ b/src/main/java/granitefold/net/StateHandover.java
@@ -2,8 +2,8 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Learned;
-import granitefold.state.Places;
+import granitefold.recovery.LearnedState;
+import granitefold.state.StateIndexMapping;
 import granitefold.state.StateFile;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,11 +24,11 @@
     private static final long POLL_INTERVAL_MS = 10;
 
     private final Path requestFile;
-    private final Places places;
+    private final StateIndexMapping places;
     private String handledToken = "";
 
     /** @param pathPrefix common prefix of the paths of shared files */
-    StateHandover(Path pathPrefix, Places places) {
+    StateHandover(Path pathPrefix, StateIndexMapping places) {
         requestFile = withSuffix(pathPrefix, ".wish");
         this.places = places;
     }
@@ -50,33 +50,33 @@
             Files.move(temporary, requestFile, StandardCopyOption.ATOMIC_MOVE);
             return token;
         } catch (IOException e) {
-            EventLog.log(LogEvent.NOT_INHERITED, e.toString());
+            EventLog.log(LogEvent.HAND_OVER_FAILED, e.toString());
             return null;
         }
     }
 
     /** Waits up to {@code timeoutMs} for the response; returns null if there is none, or none that can be used. */
-    Learned await(String token, long timeoutMs) throws InterruptedException {
+    LearnedState await(String token, long timeoutMs) throws InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         try {
             while (!Files.exists(responseFile(token)) && System.nanoTime() - deadlineNs < 0) {
                 Thread.sleep(POLL_INTERVAL_MS);
             }
             if (!Files.exists(responseFile(token))) {
-                EventLog.log(LogEvent.NOT_INHERITED, "no response from the serving process in time");
+                EventLog.log(LogEvent.HAND_OVER_FAILED, "no response from the serving process in time");
                 return null;
             }
-            if (Files.size(responseFile(token)) > StateFile.LENGTH_MOST) {
-                EventLog.log(LogEvent.NOT_INHERITED, "the response file is too long");
+            if (Files.size(responseFile(token)) > StateFile.MAX_LENGTH_BYTES) {
+                EventLog.log(LogEvent.HAND_OVER_FAILED, "the response file is too long");
                 return null;
             }
             StateFile.Content content = StateFile.decode(Files.readAllBytes(responseFile(token)));
-            if (places.foreign(content) != null) {
-                EventLog.log(LogEvent.NOT_INHERITED, places.foreign(content));
+            if (places.mismatchReason(content) != null) {
+                EventLog.log(LogEvent.HAND_OVER_FAILED, places.mismatchReason(content));
             }
-            return places.here(content);
-        } catch (IOException | StateFile.Unreadable e) {
-            EventLog.log(LogEvent.NOT_INHERITED, e.getMessage());
+            return places.remap(content);
+        } catch (IOException | StateFile.UnreadableFileException e) {
+            EventLog.log(LogEvent.HAND_OVER_FAILED, e.getMessage());
             return null;
         } finally {
             deleteQuietly(requestFile);
@@ -112,14 +112,14 @@
     }
 
     /** Called by the serving process: writes the response for a token. */
-    void respond(String token, Learned learned) {
+    void respond(String token, LearnedState learned) {
         Path temporary = responseFile(token + ".new");
         try {
-            Files.write(temporary, StateFile.encode(places.content(learned)), StandardOpenOption.CREATE_NEW);
+            Files.write(temporary, StateFile.encode(places.toContent(learned)), StandardOpenOption.CREATE_NEW);
             Files.move(temporary, responseFile(token), StandardCopyOption.ATOMIC_MOVE);
-            EventLog.log(LogEvent.HANDED_OVER, learned.workers().size(), learned.buckets().size());
+            EventLog.log(LogEvent.HAND_OVER_SENT, learned.workers().size(), learned.buckets().size());
         } catch (IOException e) {
-            EventLog.log(LogEvent.NOT_INHERITED, e.toString());
+            EventLog.log(LogEvent.HAND_OVER_FAILED, e.toString());
             deleteQuietly(temporary);
         }
     }
--- a/src/main/java/granitefold/net/StatusReporter.java
+++ b/src/main/java/granitefold/net/StatusReporter.java
@@ -1,8 +1,8 @@
 package granitefold.net;
 
-import granitefold.core.Report;
-import granitefold.core.Resources;
-import granitefold.operator.Operator;
+import granitefold.core.StatusReport;
+import granitefold.core.ResourceUsage;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.LoadMetrics;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -24,7 +24,7 @@
     private static final HttpField FAIL_HEALTH_CHECK = new HttpField("x-envoy-immediate-health-check-fail", "true");
 
     /** A report and the time of its publication ({@link System#nanoTime}). */
-    public record PublishedReport(Report report, long publishedNs) {
+    public record PublishedReport(StatusReport report, long publishedNs) {
         /** Returns the time since the publication, in microseconds. */
         public long ageUs() {
             return (System.nanoTime() - publishedNs) / 1000;
@@ -32,7 +32,7 @@
     }
 
     private final Clock clock;
-    private final Operator.Clients clients;
+    private final OperatorSettings.Clients clients;
     private final double cores;
     private final List<MemoryPoolMXBean> heap = ManagementFactory.getMemoryPoolMXBeans().stream()
             .filter(p -> p.getType() == MemoryType.HEAP && p.getCollectionUsage() != null).toList();
@@ -44,7 +44,7 @@
     private String metrics = "";
     private volatile PublishedReport published;
 
-    StatusReporter(Clock clock, Operator.Clients clients, double cores) {
+    StatusReporter(Clock clock, OperatorSettings.Clients clients, double cores) {
         this.clock = clock;
         this.clients = clients;
         this.cores = cores;
@@ -62,7 +62,7 @@
     }
 
     /** Measures memory, CPU and timer lag since the last sample. */
-    Resources sample(double descriptorShare) {
+    ResourceUsage sample(double descriptorShare) {
         long used = 0;
         for (MemoryPoolMXBean pool : heap) {
             MemoryUsage usage = pool.getCollectionUsage();
@@ -73,21 +73,21 @@
         double share = (cpuNs - sampledCpuNs) / (cores * Math.max(TimeUnit.MILLISECONDS.toNanos(1), nowNs - sampledNs));
         sampledCpuNs = cpuNs;
         sampledNs = nowNs;
-        Resources resources = new Resources((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, timerLagUs);
+        ResourceUsage resources = new ResourceUsage((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, timerLagUs);
         timerLagUs = 0;
         return resources;
     }
 
-    void publish(Report report) {
+    void publish(StatusReport report) {
         published = new PublishedReport(report, System.nanoTime());
-        if (clients.orca()) {
+        if (clients.loadMetrics()) {
             metrics = LoadMetrics.text(report);
         }
     }
 
     /** Returns the status headers for a response to a client. */
     List<HttpField> headerFields(ClientConnection client) {
-        boolean outOfService = clients.envoy() && published != null && !published.report().verdict().standing().serves();
+        boolean outOfService = clients.envoyHeaders() && published != null && !published.report().verdict().status().acceptsTraffic();
         if (!outOfService && !client.wantsMetrics()) {
             return List.of();
         }
--- a/src/main/java/granitefold/net/WatchHttpConnection.java
+++ b/src/main/java/granitefold/net/WatchHttpConnection.java
@@ -2,10 +2,10 @@
 
 import granitefold.core.Event;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
-import granitefold.wire.Frames;
 import granitefold.wire.HttpMessages;
-import granitefold.wire.Listing;
+import granitefold.wire.InvalidInputException;
+import granitefold.wire.JsonObjectFramer;
+import granitefold.wire.WorkerListJson;
 import java.net.InetSocketAddress;
 
 /** The watch on discovery: one long response that carries the updates of the worker list. */
@@ -16,7 +16,7 @@
     private final OutboundConnections connections;
     private final InetSocketAddress discovery;
     private final long version;
-    private final Frames frames = new Frames(MAX_LINE_BYTES);
+    private final JsonObjectFramer frames = new JsonObjectFramer(MAX_LINE_BYTES);
 
     WatchHttpConnection(EventLoop loop, OutboundConnections connections, InetSocketAddress discovery, long version) {
         super(discovery, MAX_LINE_BYTES);
@@ -28,7 +28,7 @@
 
     @Override
     void onConnected() {
-        write(HttpMessages.watch(Address.text(discovery), version), () -> { });
+        write(HttpMessages.discoveryWatch(Address.text(discovery), version), () -> { });
     }
 
     @Override
@@ -44,12 +44,12 @@
             return;
         }
         try {
-            Frames.Found result = frames.add(buffer, from, length);
-            if (result != Frames.Found.PART) {
-                loop.post(new Event.WatchNews(result == Frames.Found.BLANK ? null
-                        : Listing.decode(frames.buffer(), frames.offset(), frames.length(), loop.vocabulary())));
+            JsonObjectFramer.Result result = frames.add(buffer, from, length);
+            if (result != JsonObjectFramer.Result.INCOMPLETE) {
+                loop.post(new Event.WatchUpdated(result == JsonObjectFramer.Result.BLANK ? null
+                        : WorkerListJson.decode(frames.buffer(), frames.offset(), frames.length(), loop.vocabulary())));
             }
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             fail(e.getMessage());
         }
     }
--- a/src/main/java/granitefold/net/WorkerHttpConnection.java
+++ b/src/main/java/granitefold/net/WorkerHttpConnection.java
@@ -2,11 +2,11 @@
 
 import granitefold.core.Event;
 import granitefold.core.Payload;
-import granitefold.core.AttemptNews;
+import granitefold.core.AttemptUpdate;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.HttpMessages;
+import granitefold.wire.InvalidInputException;
 import granitefold.wire.WorkerLine;
 
 /** A connection to a worker, which carries one request at a time. */
@@ -41,7 +41,7 @@
         txn = request.txn();
         // recomputed here: a loop that lacks CPU time may write long after the decision
         long waitUs = Math.max(0, expiresAtUs - loop.nowUs());
-        write(HttpMessages.toWorker(request, address, waitUs), () -> loop.post(new Event.RequestWritten(id)));
+        write(HttpMessages.workerRequest(request, address, waitUs), () -> loop.post(new Event.RequestWritten(id)));
     }
 
     @Override
@@ -52,7 +52,7 @@
     @Override
     void onStatus(int status, String turnedAway) {
         if (status != 200) {
-            loop.post(new Event.WorkerSaid(id, WorkerLine.refusal(status, turnedAway)));
+            loop.post(new Event.AttemptUpdated(id, WorkerLine.fromStatus(status, turnedAway)));
         }
     }
 
@@ -62,18 +62,18 @@
             return;
         }
         try {
-            AttemptNews news = WorkerLine.decode(buffer, from, length, txn);
+            AttemptUpdate news = WorkerLine.decode(buffer, from, length, txn);
             if (news != null) {
-                loop.post(new Event.WorkerSaid(id, news));
+                loop.post(new Event.AttemptUpdated(id, news));
             }
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             fail(e.getMessage());
         }
     }
 
     @Override
     void onResponseEnd(boolean reusable) {
-        loop.post(new Event.AnswerEnded(id, reusable));
+        loop.post(new Event.WorkerAnswerEnded(id, reusable));
     }
 
     @Override
--- a/src/main/java/granitefold/net/checks/Checks.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -1,20 +1,20 @@
 package granitefold.net.checks;
 
-import granitefold.availability.Standing;
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.AvailabilityStatus;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 import granitefold.core.Phase;
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
 import granitefold.net.StatusReporter;
 import granitefold.net.SocketOpener;
 import granitefold.net.EventLoop;
 import granitefold.net.SelectorThread;
-import granitefold.operator.Operator;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
-import granitefold.wire.BadWire;
+import granitefold.wire.InvalidInputException;
 import granitefold.wire.ReportJson;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -28,18 +28,18 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** The check fronts of one dispatcher, on a thread of their own. */
-public final class Checks implements SelectorThread.TimerHandler {
+public final class CheckEndpoints implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 256;
     /** The loop publishes several times a second; after this much silence nothing that it said counts. */
     private static final long SILENT_US = 2_000_000;
     private static final long SWEEP_MS = 10, IDLE_MS = 1000;
-    private static final Operator.Bounds CONTROL = new Operator.Bounds(8, 1000, 5_000_000);
+    private static final OperatorSettings.ListenerLimits CONTROL = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
 
     private final String name;
     private final EventLoop loop;
     private final StatusReporter insight;
     private final SelectorThread sockets = new SelectorThread("checks", this);
-    private volatile Operator operator;
+    private volatile OperatorSettings operator;
     private volatile Front agent;
     private volatile Front http;
     private volatile Front control;
@@ -51,14 +51,14 @@
     private boolean away;
 
     /** {@code name}: the dispatcher's. */
-    public Checks(String name, EventLoop loop, Operator operator) {
+    public CheckEndpoints(String name, EventLoop loop, OperatorSettings operator) {
         this.name = name;
         this.loop = loop;
         this.operator = operator;
         insight = loop.statusReporter();
     }
 
-    /** Opens what the operator has set; an address or a socket that can't be had is told by {@link BadWire}. */
+    /** Opens what the operator has set; an address or a socket that can't be had is told by {@link InvalidInputException}. */
     public void start() throws Exception {
         ServerSocketChannel agentListener = null;
         ServerSocketChannel httpListener = null;
@@ -72,7 +72,7 @@
             try {
                 socket = ControlSocket.open(operator.control().socket());
             } catch (IOException e) {
-                throw new BadWire("control.socket: " + operator.control().socket() + ": " + e.getMessage());
+                throw new InvalidInputException("control.socket: " + operator.control().socket() + ": " + e.getMessage());
             }
         }
         sockets.start();
@@ -88,7 +88,7 @@
     }
 
     /** Takes the control socket's name away; from the shutdown hook. */
-    public void end() {
+    public void close() {
         if (socket != null) {
             socket.end();
         }
@@ -98,11 +98,11 @@
         try {
             return SocketOpener.openTcpListener(address, BACKLOG, false);
         } catch (IOException e) {
-            throw new BadWire(key + ": cannot listen on " + Address.text(address) + ": " + e.getMessage());
+            throw new InvalidInputException(key + ": cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
     }
 
-    private Front front(String what, ServerSocketChannel listener, Operator.Bounds bounds,
+    private Front front(String what, ServerSocketChannel listener, OperatorSettings.ListenerLimits bounds,
             BiFunction<EndPoint, Front, CheckConnection> make) {
         Front front = new Front(what, listener, bounds, sockets, this::stir, make);
         front.begin();
@@ -114,20 +114,20 @@
         return front;
     }
 
-    private Front agent(ServerSocketChannel listener, Operator.Agent set) {
-        return front("agent", listener, set.bounds(), (e, f) -> new AgentConnection(e, f, agentLine()));
+    private Front agent(ServerSocketChannel listener, OperatorSettings.Agent set) {
+        return front("agent", listener, set.limits(), (e, f) -> new AgentConnection(e, f, agentLine()));
     }
 
-    private Front http(ServerSocketChannel listener, Operator.Http set) {
-        return front("http", listener, set.bounds(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
+    private Front http(ServerSocketChannel listener, OperatorSettings.Http set) {
+        return front("http", listener, set.limits(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
     }
 
     /**
      * Moves listeners that are elsewhere now. The new one is bound before the old one goes; one that can't be had
      * leaves the old one as it is. From any thread but the checks'.
      */
-    public synchronized void reload(Operator next) {
-        Operator last = operator;
+    public synchronized void reload(OperatorSettings next) {
+        OperatorSettings last = operator;
         operator = next;
         agent = moved("agent", agent, last.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
                 last.agent() == null ? null : last.agent().listen(), l -> agent(l, next.agent()));
@@ -155,7 +155,7 @@
                 sockets.submit(front::end);
             }
             return moved;
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
             return front;
         }
@@ -169,7 +169,7 @@
         try {
             turn.await(1, java.util.concurrent.TimeUnit.SECONDS);
             return open.apply(bind("checks." + what + ".listen", address));
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -209,7 +209,7 @@
     }
 
     private void readyAgain() {
-        readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().readyUs() * 1000);
+        readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().announceReadyUs() * 1000);
     }
 
     private byte[] agentLine() {
@@ -220,8 +220,8 @@
         if (silent(p)) {
             return AgentLine.silent();
         }
-        Verdict v = p.report().verdict();
-        boolean leaves = v.standing() == Standing.DRAINING || v.standing() == Standing.MAINT;
+        AvailabilityReport v = p.report().verdict();
+        boolean leaves = v.status() == AvailabilityStatus.DRAINING || v.status() == AvailabilityStatus.MAINT;
         if (away && !leaves) {
             // each balancer that polls must hear that the drain was withdrawn, also those that ask seldom
             readyAgain();
@@ -254,24 +254,24 @@
      * HAProxy's {@code http-check disable-on-404} has it, else 503. The Envoy fields are harmless to all others.
      */
     private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport p, boolean verbose) {
-        Report r = p == null ? null : p.report();
-        Standing s = r == null ? Standing.STARTING : r.verdict().standing();
-        boolean leaves = s == Standing.DRAINING || s == Standing.MAINT;
-        int status = silent(p) ? 503 : s.serves() ? 200 : leaves ? operator.http().drainStatus() : 503;
+        StatusReport r = p == null ? null : p.report();
+        AvailabilityStatus s = r == null ? AvailabilityStatus.STARTING : r.verdict().status();
+        boolean leaves = s == AvailabilityStatus.DRAINING || s == AvailabilityStatus.MAINT;
+        int status = silent(p) ? 503 : s.acceptsTraffic() ? 200 : leaves ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
         if (leaves) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (s.serves() && r.verdict().impaired()) {
+        } else if (s.acceptsTraffic() && r.verdict().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
         String text = s.name().toLowerCase(Locale.ROOT) + "\n";
         if (verbose && r != null) {
             text = line("loop", !silent(p), "silent for " + p.ageUs() / 1000 + " ms")
                     + line("phase", r.phase() == Phase.SERVING, r.phase().name())
-                    + line("operator", r.wish() == Wish.READY, r.wish().name())
+                    + line("operator", r.requestedMode() == RequestedMode.READY, r.requestedMode().name())
                     + line("discovery", r.confirmed(), "the list is a saved one")
-                    + line("peers", r.ready() > 0, "none is ready")
-                    + line("load", s != Standing.OVERLOADED, r.verdict().reason())
+                    + line("peers", r.readyWorkers() > 0, "none is ready")
+                    + line("load", s != AvailabilityStatus.OVERLOADED, r.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
@@ -287,10 +287,10 @@
 
     // ---------------------------------------------------------------- control
     private void command(String command, Consumer<byte[]> answer) {
-        Wish wish = switch (command) {
-            case "drain" -> Wish.DRAIN;
-            case "maint" -> Wish.MAINT;
-            case "ready" -> Wish.READY;
+        RequestedMode wish = switch (command) {
+            case "drain" -> RequestedMode.DRAIN;
+            case "maint" -> RequestedMode.MAINT;
+            case "ready" -> RequestedMode.READY;
             default -> null;
         };
         StatusReporter.PublishedReport p = published();
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -62,11 +62,11 @@
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
             new Patch("policy/ColdBudget.java", "        if (!isCold(n, now)) {\n            return true;\n        }",
                     "        if (now >= 0) {\n            return true;\n        }"),
-            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().coldUs() : 1;", "return 1;")},
+            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().slowStartUs() : 1;", "return 1;")},
         {"rejects do not say when to come again", Rule.NO_RETRY_AFTER, BUSY,
             new Patch("wire/HttpMessages.java", "if (rejected.retryAfterUs() > 0) {", "if (rejected.retryAfterUs() < 0) {")},
         {"rejects are kept back until time is nearly over", Rule.DELAYED, BUSY,
-            new Patch("core/Sink.java", "        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));",
+            new Patch("core/ModuleActions.java", "        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));",
                     "        RequestContext c = requests.get(request);\n        core.timers.at(c == null ? core.now : c.moduleDeadline - 50_000,\n"
                             + "                t -> finish(request, new FinalAnswer.Rejected(retryAfterUs, why)));")},
         {"what must not be repeated is", Rule.RESENT, SMALL + CLASSES + "steps = [ { do = break, to = [s0], at = 500ms } ]",
@@ -75,7 +75,7 @@
                 + "classes.guardar { work = 50ms, effect = keyed, window = 500ms, on-time = 750ms, deadline = 8s }\n"
                 + "steps = [ { do = hang, to = [s0], at = 1s }, { do = die, to = [s0], at = 3s } ]",
             new Patch("policy/SendGate.java", "window(job, now) <= 0", "now < 0"),
-            new Patch("policy/Decide.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
+            new Patch("policy/DispatchPolicy.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
         {"keys are not passed on", Rule.RAN_TWICE, SMALL + CLASSES + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
             new Patch("wire/HttpMessages.java", "        head.put(HttpHeader.HOST, address);\n        head.put(ClientRequest",
                     "        head.put(HttpHeader.HOST, address);\n        head.remove(\"Idempotency-Key\");\n        head.put(ClientRequest")},
@@ -93,7 +93,7 @@
             new Patch("net/EventLoop.java", "if (clients.containsKey(e.client())) {", "if (nowUs() > 0) {")},
         {"a watch that falls silent is not opened anew", Rule.DRAIN, "for = 12s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = hush, at = 500ms }, { do = drain, to = [s0], at = 700ms } ]",
-            new Patch("core/Watch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
+            new Patch("core/DiscoveryWatch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
         {"restarts take long", Rule.SLOW_START, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load.rate = 30\n"
                 + "steps = [ { do = kill, to = [n1], at = 500ms, lasts = 100ms } ]",
             new Patch("net/EventLoop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
