--- a/src/main/java/granitefold/CdsTrainingRun.java
+++ b/src/main/java/granitefold/CdsTrainingRun.java
@@ -18,15 +18,16 @@
 import java.util.jar.JarFile;
 
 /**
- * Loads the program's classes, serves one request on loopback, and ends. The build runs this once, so that the JVM can
- * write what that took to the archive that {@code serve} starts from: it is most of a start's time.
+ * The training run for the class data sharing (CDS) archive: loads the program's classes, serves one request on loopback, and exits.
+ * The build runs it once, and the JVM writes the loaded classes to the archive that {@code serve} starts from. Without the archive,
+ * loading them takes most of the start.
  */
 final class CdsTrainingRun {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String REQUEST = "POST /job?sid=1 HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining-Ms: 900\r\n"
             + "X-Estimate: 1000\r\nX-Labels: slots=1\r\nContent-Length: 4\r\nConnection: close\r\n\r\nsoup";
 
-    /** Loaded with an operator's file or for other commands only: in the archive they would cost every start. */
+    /** Classes that are only needed with an operator's file or for other commands: in the archive they would slow every start down. */
     private static final String ELSEWHERE = "granitefold\\.(rollout\\.|cli\\.(rollout|Commands|ControlClient|JsonLines|StateCommand)|operator\\.(OperatorFile|HoconFile"
             + "|ConfigSection)|net\\.checks\\.(CheckEndpoints|HttpCheck|Agent|Control)|state\\.|recovery\\.LearnedStateAging|shaded\\.jackson\\.(databind|annotation|dataformat)).*";
 
@@ -34,11 +35,11 @@
 
     static void run() throws Exception {
         loadClasses();
-        ServerSocket worker = server("{\"id\":\"1\",\"state\":\"started\"}",
+        ServerSocket worker = startServer("{\"id\":\"1\",\"state\":\"started\"}",
                 "{\"id\":\"1\",\"state\":\"done\",\"result\":\"made\"}");
         String list = "{\"index\":0,\"snapshot\":true,\"endpoints\":[{\"name\":\"p\",\"address\":\"127.0.0.1:"
                 + worker.getLocalPort() + "\",\"status\":\"up\"}]}";
-        ServerSocket discovery = server(list);
+        ServerSocket discovery = startServer(list);
         Path file = Files.createTempFile("rehearsal", ".json");
         Files.writeString(file, "{\"listen\":\"127.0.0.1:0\",\"ops\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getLocalPort()
                 + "\",\"known\":" + list + ",\"settings\":{\"limits\":{\"attemptsCap\":1,\"connectTimeoutMs\":900},"
@@ -53,33 +54,33 @@
             client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
             client.getInputStream().readAllBytes();
         }
-        for (String call : new String[] {"check\n", "vars\n"}) {
+        for (String command : new String[] {"check\n", "vars\n"}) {
             try (Socket caller = new Socket()) {
                 caller.connect(ops);
-                caller.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
+                caller.getOutputStream().write(command.getBytes(StandardCharsets.US_ASCII));
                 caller.getInputStream().readAllBytes();
             }
         }
-        // not as a planned end, which leaves no time to write the archive
+        // exits without a graceful shutdown, which would halt the JVM before it writes the archive
         System.exit(0);
     }
 
-    /** A server that gives one client these lines in answer to whatever it says. */
-    private static ServerSocket server(String... lines) throws IOException {
+    /** Starts a server that sends these lines to one client in response to any request. */
+    private static ServerSocket startServer(String... lines) throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        StringBuilder answer = new StringBuilder(CHUNKED);
+        StringBuilder response = new StringBuilder(CHUNKED);
         for (String line : lines) {
-            answer.append(Integer.toHexString(line.length() + 1)).append("\r\n").append(line).append("\n\r\n");
+            response.append(Integer.toHexString(line.length() + 1)).append("\r\n").append(line).append("\n\r\n");
         }
         Thread thread = new Thread(() -> {
             try (Socket client = server.accept(); InputStream in = client.getInputStream()) {
                 if (in.read() >= 0) {
-                    client.getOutputStream().write(answer.append("0\r\n\r\n").toString()
+                    client.getOutputStream().write(response.append("0\r\n\r\n").toString()
                             .getBytes(StandardCharsets.US_ASCII));
                     in.transferTo(OutputStream.nullOutputStream());
                 }
             } catch (IOException e) {
-                // the rehearsal is over
+                // the training run is over
             }
         });
         thread.setDaemon(true);
@@ -98,7 +99,7 @@
                         Class.forName(name.substring(0, name.length() - ".class".length()), true,
                                 Main.class.getClassLoader());
                     } catch (ReflectiveOperationException | LinkageError e) {
-                        // a class for a library that we do not have
+                        // the class needs a library that is not on the class path
                     }
                 }
             }
--- a/src/main/java/granitefold/Main.java
+++ b/src/main/java/granitefold/Main.java
@@ -5,13 +5,13 @@
 import granitefold.cli.Serve;
 
 /**
- * Entry point. The platform's two commands, without flags, are taken here at once: what reads all the others costs a
- * start at half a core more than it may (docs/design/balancer-checks.md).
+ * The entry point. The platform's commands, which take no flags, are handled here: loading the parser of all other commands would
+ * make the start on half a core take longer than it may (docs/design/balancer-checks.md).
  */
 public final class Main {
     private Main() { }
 
-    /** Starts what the arguments name; wrong usage and broken configuration end it with a line each. */
+    /** Runs the command that the arguments name; wrong usage and an invalid configuration end the process with an error message. */
     public static void main(String[] args) throws Exception {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -49,8 +49,8 @@
     private State state = State.READING;
     private boolean readingInput;
     /** Whether the reducer was notified that a request has begun to arrive. */
-    private boolean requestBegun = true;
-    /** Whether a request was received: only then may the connection be shut down while idle, since a new one is about to carry a request. */
+    private boolean requestStarted = true;
+    /** Whether a request was received: an idle connection without one is not half-closed, since its client is about to send its first. */
     private boolean hasReceivedRequest;
     /** Whether input has arrived since the input was last read to its end. */
     private boolean inputArrived;
@@ -133,6 +133,7 @@
         }
     }
 
+    /** Parses buffered input or reads more; returns whether to continue. */
     private boolean readOnce() throws IOException {
         if (proxyHeaderPending && input.hasRemaining() && !readProxyHeader()) {
             return false;
@@ -161,8 +162,8 @@
             closeConnection(CloseReason.CLIENT);
         } else if (count == 0) {
             if (state == State.READING && inputArrived && !reader.isAtStart()) {
-                loop.post(requestBegun ? new Event.RequestContinued(id) : new Event.RequestStarted(id));
-                requestBegun = true;
+                loop.post(requestStarted ? new Event.RequestContinued(id) : new Event.RequestStarted(id));
+                requestStarted = true;
             }
             inputArrived = false;
             awaitReadable();
@@ -332,7 +333,7 @@
             getEndPoint().shutdownOutput();
         } else {
             state = State.READING;
-            requestBegun = false;
+            requestStarted = false;
             reader.startNext();
             shrinkBuffer();
         }
@@ -368,12 +369,12 @@
     }
 
     /**
-     * Shuts the output down if no request is in progress, then discards input until the client closes: closing over unread input
-     * would reset the connection and lose the last response. A partly received request may still be completed, or is rejected
+     * Shuts down the output of an idle connection, then discards input until the client closes: closing over unread input would
+     * reset the connection and lose the last response. A partly received request may still be completed, or is rejected
      * if {@code rejectPartial}. A connection without any request so far stays open: unlike after a response, the client
      * would not retry its first request.
      */
-    void shutDownUnlessBusy(boolean rejectPartial) {
+    void halfCloseUnlessBusy(boolean rejectPartial) {
         readInput();
         if (state == State.READING && reader.isAtStart()) {
             if (!hasReceivedRequest) {
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -205,9 +205,9 @@
     }
 
     /** Sets an operator override; may be called from any thread. {@code then} runs on the loop's thread once the override is in effect. */
-    public void setOperatorOverride(RequestedMode wish, Runnable then) {
+    public void setOperatorOverride(RequestedMode mode, Runnable then) {
         selectorThread.submit(() -> {
-            post(new Event.ModeRequested(wish));
+            post(new Event.ModeRequested(mode));
             then.run();
         });
     }
@@ -321,7 +321,7 @@
             listener.close(emptied -> post(new Event.ListenerClosed(emptied)));
         } else if (effect instanceof Effect.HalfCloseIdleClients || effect instanceof Effect.HalfCloseAllClients) {
             for (ClientConnection client : clients.values().toArray(ClientConnection[]::new)) {
-                client.shutDownUnlessBusy(effect instanceof Effect.HalfCloseAllClients);
+                client.halfCloseUnlessBusy(effect instanceof Effect.HalfCloseAllClients);
             }
         } else if (effect instanceof Effect.SendRequest e) {
             ClientConnection client = clients.get(e.client());
--- a/src/main/java/granitefold/net/SelectorThread.java
+++ b/src/main/java/granitefold/net/SelectorThread.java
@@ -100,12 +100,15 @@
         });
     }
 
-    /** Returns the earliest possible arrival of input that the last select reported for the first time. */
+    /** Returns the earliest possible arrival of input that the last select reported for the first time; called on the selector's thread. */
     long earliestArrivalNs() {
         return lastSelectNs - busyBeforeSelectNs;
     }
 
-    /** Returns the longest time that input which is read now may have been waiting: the busy time since the select before the last. */
+    /**
+     * Returns the longest time that input which is read now may have been waiting: the loop's busy time since the select before the last.
+     * Called on the selector's thread.
+     */
     long maxInputAgeUs() {
         return TimeUnit.NANOSECONDS.toMicros(busyBeforeSelectNs + System.nanoTime() - lastSelectNs);
     }
--- a/src/main/java/granitefold/net/StateHandover.java
+++ b/src/main/java/granitefold/net/StateHandover.java
@@ -24,13 +24,13 @@
     private static final long POLL_INTERVAL_MS = 10;
 
     private final Path requestFile;
-    private final StateIndexMapping places;
+    private final StateIndexMapping indexMapping;
     private String handledToken = "";
 
     /** @param pathPrefix common prefix of the paths of shared files */
-    StateHandover(Path pathPrefix, StateIndexMapping places) {
+    StateHandover(Path pathPrefix, StateIndexMapping indexMapping) {
         requestFile = withSuffix(pathPrefix, ".wish");
-        this.places = places;
+        this.indexMapping = indexMapping;
     }
 
     private static Path withSuffix(Path pathPrefix, String suffix) {
@@ -71,10 +71,10 @@
                 return null;
             }
             StateFile.Content content = StateFile.decode(Files.readAllBytes(responseFile(token)));
-            if (places.mismatchReason(content) != null) {
-                EventLog.log(LogEvent.HAND_OVER_FAILED, places.mismatchReason(content));
+            if (indexMapping.mismatchReason(content) != null) {
+                EventLog.log(LogEvent.HAND_OVER_FAILED, indexMapping.mismatchReason(content));
             }
-            return places.remap(content);
+            return indexMapping.remap(content);
         } catch (IOException | StateFile.UnreadableFileException e) {
             EventLog.log(LogEvent.HAND_OVER_FAILED, e.getMessage());
             return null;
@@ -115,7 +115,7 @@
     void respond(String token, LearnedState learned) {
         Path temporary = responseFile(token + ".new");
         try {
-            Files.write(temporary, StateFile.encode(places.toContent(learned)), StandardOpenOption.CREATE_NEW);
+            Files.write(temporary, StateFile.encode(indexMapping.toContent(learned)), StandardOpenOption.CREATE_NEW);
             Files.move(temporary, responseFile(token), StandardCopyOption.ATOMIC_MOVE);
             EventLog.log(LogEvent.HAND_OVER_SENT, learned.workers().size(), learned.buckets().size());
         } catch (IOException e) {
--- a/src/test/java/granitefold/net/SelectorThreadTest.java
+++ b/src/test/java/granitefold/net/SelectorThreadTest.java
@@ -22,11 +22,12 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
+/** Tests the order of reported input, the arrival times of clients, and the closing of a listener. */
 class SelectorThreadTest {
     private static final long BUSY_MS = 200;
 
-    private static final class Silent extends AbstractConnection {
-        Silent(EndPoint endPoint) {
+    private static final class NoOpConnection extends AbstractConnection {
+        NoOpConnection(EndPoint endPoint) {
             super(endPoint, Runnable::run);
         }
 
@@ -34,7 +35,7 @@
         public void onFillable() { }
     }
 
-    private static final class Idle implements SelectorThread.TimerHandler {
+    private static final class IdleTimerHandler implements SelectorThread.TimerHandler {
         @Override
         public long millisUntilTimer() {
             return 1_000;
@@ -44,236 +45,243 @@
         public void onTimer() { }
     }
 
-    /** A connection that came while the loop was busy is reported before whoever asked to look is told. */
+    /** A connection established while the loop was busy is reported before the task runs: otherwise its worker would count as unreachable. */
     @Test
-    void whatCameWhileTheLoopWasBusyIsReportedBeforeTheLook() throws Exception {
+    void inputThatArrivedWhileTheLoopWasBusyIsReportedBeforeTheTaskRuns() throws Exception {
         List<String> order = new CopyOnWriteArrayList<>();
-        CountDownLatch looked = new CountDownLatch(1);
-        SelectorThread sockets = new SelectorThread("test", new Idle());
-        sockets.start();
+        CountDownLatch taskRan = new CountDownLatch(1);
+        SelectorThread selectorThread = new SelectorThread("test", new IdleTimerHandler());
+        selectorThread.start();
         try (ServerSocketChannel server = ServerSocketChannel.open()) {
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             SocketChannel channel = SocketChannel.open();
             channel.configureBlocking(false);
-            sockets.submit(() -> {
+            selectorThread.submit(() -> {
                 try {
-                    boolean up = channel.connect(server.getLocalAddress());
-                    SelectorThread.ConnectionHandler opening = new SelectorThread.ConnectionHandler() {
+                    boolean connected = channel.connect(server.getLocalAddress());
+                    SelectorThread.ConnectionHandler handler = new SelectorThread.ConnectionHandler() {
                         @Override
                         public Connection opened(EndPoint endPoint) {
                             order.add("opened");
-                            return new Silent(endPoint);
+                            return new NoOpConnection(endPoint);
                         }
 
                         @Override
-                        public void failed(Throwable why) {
-                            order.add("failed " + why);
+                        public void failed(Throwable cause) {
+                            order.add("failed " + cause);
                         }
                     };
-                    if (up) {
-                        sockets.accept(channel, opening);
+                    if (connected) {
+                        selectorThread.accept(channel, handler);
                     } else {
-                        sockets.connect(channel, opening);
+                        selectorThread.connect(channel, handler);
                     }
-                    // the loop stands still until the connection is up
+                    // blocks the loop until the connection is established
                     CompletableFuture.supplyAsync(() -> accept(server)).get(10, TimeUnit.SECONDS);
                 } catch (Exception e) {
-                    order.add("broken " + e);
+                    order.add("error " + e);
                 }
-                sockets.afterPendingInput(() -> {
-                    order.add("looked");
-                    looked.countDown();
+                selectorThread.afterPendingInput(() -> {
+                    order.add("task ran");
+                    taskRan.countDown();
                 });
             });
-            looked.await(10, TimeUnit.SECONDS);
-            assertEquals(List.of("opened", "looked"), order);
+            taskRan.await(10, TimeUnit.SECONDS);
+            assertEquals(List.of("opened", "task ran"), order);
             channel.close();
         } finally {
-            sockets.stop();
+            selectorThread.stop();
         }
     }
 
-    /** Clients' time runs from when they come: whoever came while the loop was busy with others has waited. */
+    /** A client's deadline starts when it connects, so the time that it waited for a busy loop must be counted. */
     @Test
-    void aConnectionThatCameWhileTheLoopWasBusyIsKnownToHaveWaited() throws Exception {
-        SelectorThread sockets = new SelectorThread("test", new Idle());
-        sockets.start();
-        BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
+    void theWaitingTimeOfAClientThatConnectedToABusyLoopIsCounted() throws Exception {
+        SelectorThread selectorThread = new SelectorThread("test", new IdleTimerHandler());
+        selectorThread.start();
+        BlockingQueue<Long> waitingSinceNs = new LinkedBlockingQueue<>();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             listener.configureBlocking(false);
-            sockets.listen(new ClientListener(sockets, listener, (channel, sinceNs) -> {
-                waitsSinceNs.add(sinceNs);
+            selectorThread.listen(new ClientListener(selectorThread, listener, (channel, sinceNs) -> {
+                waitingSinceNs.add(sinceNs);
                 channel.close();
             }), System.nanoTime());
-            BlockingQueue<Long> cameNs = new LinkedBlockingQueue<>();
-            sockets.submit(() -> sockets.submit(() -> {
+            BlockingQueue<Long> connectedNs = new LinkedBlockingQueue<>();
+            selectorThread.submit(() -> selectorThread.submit(() -> {
                 try {
-                    cameNs.add(System.nanoTime());
+                    connectedNs.add(System.nanoTime());
                     SocketChannel.open(listener.getLocalAddress()).close();
                     Thread.sleep(BUSY_MS);
                 } catch (IOException | InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             }));
-            long came = cameNs.poll(10, TimeUnit.SECONDS);
-            long since = waitsSinceNs.poll(10, TimeUnit.SECONDS);
-            assertTrue(since - came < TimeUnit.MILLISECONDS.toNanos(BUSY_MS / 4), "it came " + (since - came) / 1_000_000 + " ms before");
+            long connectedAtNs = connectedNs.poll(10, TimeUnit.SECONDS);
+            long reportedNs = waitingSinceNs.poll(10, TimeUnit.SECONDS);
+            assertTrue(reportedNs - connectedAtNs < TimeUnit.MILLISECONDS.toNanos(BUSY_MS / 4),
+                    "the client connected " + (reportedNs - connectedAtNs) / 1_000_000 + " ms before its reported arrival");
         } finally {
-            sockets.stop();
+            selectorThread.stop();
         }
     }
 
-    /** A process's listener is open some time before its loop runs, and who comes meanwhile waits in the queue. */
+    /** The listener is open before the loop runs, so clients that connect in between wait in its queue. */
     @Test
-    void aConnectionThatCameBeforeTheLoopRanIsKnownToHaveWaited() throws Exception {
-        SelectorThread sockets = new SelectorThread("test", new Idle());
-        BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
+    void theWaitingTimeOfAClientThatConnectedBeforeTheStartIsCounted() throws Exception {
+        SelectorThread selectorThread = new SelectorThread("test", new IdleTimerHandler());
+        BlockingQueue<Long> waitingSinceNs = new LinkedBlockingQueue<>();
         long openedNs = System.nanoTime();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             listener.configureBlocking(false);
-            long cameNs = System.nanoTime();
+            long connectedNs = System.nanoTime();
             SocketChannel.open(listener.getLocalAddress()).close();
             Thread.sleep(BUSY_MS);
-            sockets.start();
-            sockets.listen(new ClientListener(sockets, listener, (channel, sinceNs) -> {
-                waitsSinceNs.add(sinceNs);
+            selectorThread.start();
+            selectorThread.listen(new ClientListener(selectorThread, listener, (channel, sinceNs) -> {
+                waitingSinceNs.add(sinceNs);
                 channel.close();
             }), openedNs);
-            long since = waitsSinceNs.poll(10, TimeUnit.SECONDS);
-            assertTrue(since - cameNs <= 0, "it came " + (since - cameNs) / 1_000_000 + " ms before");
+            long reportedNs = waitingSinceNs.poll(10, TimeUnit.SECONDS);
+            assertTrue(reportedNs - connectedNs <= 0,
+                    "the client connected " + (reportedNs - connectedNs) / 1_000_000 + " ms before its reported arrival");
         } finally {
-            sockets.stop();
+            selectorThread.stop();
         }
     }
 
-    /** So many come at once, and after a quiet time another one: taken to have waited since the others came, its time would be over. */
-    private static void comesAfterAQuietTime(int before) throws Exception {
-        SelectorThread sockets = new SelectorThread("test", new Idle());
-        sockets.start();
-        BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
-        List<SocketChannel> open = new CopyOnWriteArrayList<>();
+    /**
+     * After {@code earlierClients} simultaneous clients and an idle time another client connects. If it counted as waiting since the
+     * others arrived, its deadline would have passed.
+     */
+    private static void clientAfterAnIdleTimeHasNotWaited(int earlierClients) throws Exception {
+        SelectorThread selectorThread = new SelectorThread("test", new IdleTimerHandler());
+        selectorThread.start();
+        BlockingQueue<Long> waitingSinceNs = new LinkedBlockingQueue<>();
+        List<SocketChannel> openChannels = new CopyOnWriteArrayList<>();
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             listener.configureBlocking(false);
             InetSocketAddress address = (InetSocketAddress) listener.getLocalAddress();
-            sockets.listen(new ClientListener(sockets, listener, (channel, sinceNs) -> {
-                waitsSinceNs.add(sinceNs);
+            selectorThread.listen(new ClientListener(selectorThread, listener, (channel, sinceNs) -> {
+                waitingSinceNs.add(sinceNs);
                 channel.close();
             }), System.nanoTime());
-            sockets.submit(() -> {
-                for (int i = 0; i < before; i++) {
+            selectorThread.submit(() -> {
+                for (int i = 0; i < earlierClients; i++) {
                     try {
-                        open.add(SocketChannel.open(address));
+                        openChannels.add(SocketChannel.open(address));
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 }
             });
-            for (int i = 0; i < before; i++) {
-                waitsSinceNs.poll(10, TimeUnit.SECONDS);
+            for (int i = 0; i < earlierClients; i++) {
+                waitingSinceNs.poll(10, TimeUnit.SECONDS);
             }
             Thread.sleep(BUSY_MS);
-            long cameNs = System.nanoTime();
-            open.add(SocketChannel.open(address));
-            long since = waitsSinceNs.poll(10, TimeUnit.SECONDS);
-            assertTrue(cameNs - since < TimeUnit.MILLISECONDS.toNanos(BUSY_MS / 2), "taken to have come " + (cameNs - since) / 1_000_000 + " ms before it did");
+            long connectedNs = System.nanoTime();
+            openChannels.add(SocketChannel.open(address));
+            long reportedNs = waitingSinceNs.poll(10, TimeUnit.SECONDS);
+            assertTrue(connectedNs - reportedNs < TimeUnit.MILLISECONDS.toNanos(BUSY_MS / 2),
+                    "reported to have arrived " + (connectedNs - reportedNs) / 1_000_000 + " ms before it did");
         } finally {
-            for (SocketChannel c : open) {
+            for (SocketChannel c : openChannels) {
                 c.close();
             }
-            sockets.stop();
+            selectorThread.stop();
         }
     }
 
     @Test
-    void theFirstConnectionOfAQuietListenerHasNotWaited() throws Exception {
-        comesAfterAQuietTime(0);
+    void theFirstClientOfAnIdleListenerHasNotWaited() throws Exception {
+        clientAfterAnIdleTimeHasNotWaited(0);
     }
 
     @Test
-    void whoComesAfterARoundThatTookAllHasNotWaited() throws Exception {
-        comesAfterAQuietTime(SelectorThread.MAX_ACCEPTS_PER_ROUND);
+    void aClientAfterARoundThatEmptiedTheQueueHasNotWaited() throws Exception {
+        clientAfterAnIdleTimeHasNotWaited(SelectorThread.MAX_ACCEPTS_PER_ROUND);
     }
 
-    /** What had connected but was not taken yet was reset when the listener closed. */
+    /** Connections that were pending in the queue used to be reset when the listener closed. */
     @Test
-    void aListenerThatClosesTakesWhatIsInItsQueue() throws Exception {
-        int clients = 40;
-        SelectorThread sockets = new SelectorThread("test", new Idle());
-        sockets.start();
-        CountDownLatch taken = new CountDownLatch(clients);
-        List<SocketChannel> open = new CopyOnWriteArrayList<>();
+    void aClosingListenerAcceptsAllPendingConnections() throws Exception {
+        int clientCount = 40;
+        SelectorThread selectorThread = new SelectorThread("test", new IdleTimerHandler());
+        selectorThread.start();
+        CountDownLatch accepted = new CountDownLatch(clientCount);
+        List<SocketChannel> openChannels = new CopyOnWriteArrayList<>();
         ServerSocketChannel listener = ServerSocketChannel.open();
-        listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), clients);
+        listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), clientCount);
         listener.configureBlocking(false);
         try {
-            ClientListener clientListener = new ClientListener(sockets, listener, (channel, sinceNs) -> {
-                open.add(channel);
-                taken.countDown();
+            ClientListener clientListener = new ClientListener(selectorThread, listener, (channel, sinceNs) -> {
+                openChannels.add(channel);
+                accepted.countDown();
             });
-            sockets.listen(clientListener, System.nanoTime());
+            selectorThread.listen(clientListener, System.nanoTime());
             InetSocketAddress address = (InetSocketAddress) listener.getLocalAddress();
-            // the loop stands still while they connect, so that all are in the queue when the listener is to close
-            sockets.submit(() -> {
-                for (int i = 0; i < clients; i++) {
+            // blocks the loop while the clients connect, so that all are in the queue when the listener is closed
+            selectorThread.submit(() -> {
+                for (int i = 0; i < clientCount; i++) {
                     try {
-                        open.add(SocketChannel.open(address));
+                        openChannels.add(SocketChannel.open(address));
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 }
-                clientListener.close(emptied -> { });
+                clientListener.close(queueEmptied -> { });
             });
-            assertTrue(taken.await(10, TimeUnit.SECONDS), taken.getCount() + " were left in the queue");
+            assertTrue(accepted.await(10, TimeUnit.SECONDS), accepted.getCount() + " were left in the queue");
             CountDownLatch closed = new CountDownLatch(1);
-            sockets.submit(() -> sockets.submit(closed::countDown));
+            selectorThread.submit(() -> selectorThread.submit(closed::countDown));
             assertTrue(closed.await(10, TimeUnit.SECONDS));
             assertThrows(ConnectException.class, () -> SocketChannel.open(address));
         } finally {
-            for (SocketChannel c : open) {
+            for (SocketChannel c : openChannels) {
                 c.close();
             }
-            sockets.stop();
+            selectorThread.stop();
         }
     }
 
-    /** Taken to have waited since the one before, its time would be over. */
+    /** If the client counted as waiting since the one before it, its deadline would have passed. */
     @Test
-    void whoIsTakenAsAQuietListenerClosesHasNotWaited() throws Exception {
-        SelectorThread sockets = new SelectorThread("test", new Idle());
-        sockets.start();
-        BlockingQueue<Long> waitsSinceNs = new LinkedBlockingQueue<>();
+    void aClientAcceptedWhileAnIdleListenerClosesHasNotWaited() throws Exception {
+        SelectorThread selectorThread = new SelectorThread("test", new IdleTimerHandler());
+        selectorThread.start();
+        BlockingQueue<Long> waitingSinceNs = new LinkedBlockingQueue<>();
         ServerSocketChannel listener = ServerSocketChannel.open();
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         listener.configureBlocking(false);
         InetSocketAddress address = (InetSocketAddress) listener.getLocalAddress();
-        ClientListener clientListener = new ClientListener(sockets, listener, (channel, sinceNs) -> {
-            waitsSinceNs.add(sinceNs);
+        ClientListener clientListener = new ClientListener(selectorThread, listener, (channel, sinceNs) -> {
+            waitingSinceNs.add(sinceNs);
             channel.close();
         });
         try {
-            sockets.listen(clientListener, System.nanoTime());
+            selectorThread.listen(clientListener, System.nanoTime());
             Thread.sleep(BUSY_MS);
-            BlockingQueue<Long> cameNs = new LinkedBlockingQueue<>();
-            // it comes when the selector watches the listener no more
-            sockets.submit(() -> {
-                clientListener.close(emptied -> { });
-                sockets.submit(() -> {
+            BlockingQueue<Long> connectedNs = new LinkedBlockingQueue<>();
+            // the client connects after the listener was deregistered from the selector
+            selectorThread.submit(() -> {
+                clientListener.close(queueEmptied -> { });
+                selectorThread.submit(() -> {
                     try {
-                        cameNs.add(System.nanoTime());
+                        connectedNs.add(System.nanoTime());
                         SocketChannel.open(address).close();
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 });
             });
-            long came = cameNs.poll(10, TimeUnit.SECONDS);
-            long since = waitsSinceNs.poll(10, TimeUnit.SECONDS);
-            assertTrue(came - since < TimeUnit.MILLISECONDS.toNanos(BUSY_MS / 2), "taken to have come " + (came - since) / 1_000_000 + " ms before it did");
+            long connectedAtNs = connectedNs.poll(10, TimeUnit.SECONDS);
+            long reportedNs = waitingSinceNs.poll(10, TimeUnit.SECONDS);
+            assertTrue(connectedAtNs - reportedNs < TimeUnit.MILLISECONDS.toNanos(BUSY_MS / 2),
+                    "reported to have arrived " + (connectedAtNs - reportedNs) / 1_000_000 + " ms before it did");
         } finally {
-            sockets.stop();
+            selectorThread.stop();
         }
     }
 
--- a/src/test/java/granitefold/net/StateHandoverTest.java
+++ b/src/test/java/granitefold/net/StateHandoverTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What passes from one version to the next, and what must not. */
+/** Tests which state a new version takes over from the serving process, and which files it must not read. */
 class StateHandoverTest {
     private static final LearnedState LEARNED = new LearnedState(5_000_000, 2e5, 4, 1e6, 99, List.of(new LearnedState.Kind(0, 1, 2, 3)),
             List.of(new LearnedState.Worker(7, 0, 0, 0, 1, 2, 5, 0, List.of(11L))),
@@ -24,74 +24,74 @@
 
     @TempDir
     private Path folder;
-    private StateHandover old;
-    private StateHandover next;
-    private final List<String> asked = new ArrayList<>();
+    private StateHandover serving;
+    private StateHandover successor;
+    private final List<String> requestedTokens = new ArrayList<>();
 
     @BeforeEach
-    void both() {
-        StateIndexMapping places = new StateIndexMapping("n0", "s", 0, 1, List.of("acme"), List.of("m"));
-        old = new StateHandover(folder.resolve("granitefold-a"), places);
-        next = new StateHandover(folder.resolve("granitefold-a"), places);
+    void createBoth() {
+        StateIndexMapping indexMapping = new StateIndexMapping("n0", "s", 0, 1, List.of("acme"), List.of("m"));
+        serving = new StateHandover(folder.resolve("granitefold-a"), indexMapping);
+        successor = new StateHandover(folder.resolve("granitefold-a"), indexMapping);
     }
 
-    private List<String> left() throws IOException {
+    private List<String> remainingFiles() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(f -> f.getFileName().toString()).toList();
         }
     }
 
     @Test
-    void whatWasLearnedPassesAndNothingIsLeftBehind() throws Exception {
-        String word = next.request();
-        old.poll(asked::add);
-        assertEquals(List.of(word), asked);
-        old.respond(word, LEARNED);
-        old.poll(asked::add);
-        assertEquals(1, asked.size(), "one wish, one answer");
-        LearnedState inherited = next.await(word, 0);
+    void learnedStateIsTransferredAndNoFilesRemain() throws Exception {
+        String token = successor.request();
+        serving.poll(requestedTokens::add);
+        assertEquals(List.of(token), requestedTokens);
+        serving.respond(token, LEARNED);
+        serving.poll(requestedTokens::add);
+        assertEquals(1, requestedTokens.size(), "one request, one response");
+        LearnedState inherited = successor.await(token, 0);
         assertNotNull(inherited);
         assertEquals(LEARNED.workers(), inherited.workers());
         assertEquals(LEARNED.buckets(), inherited.buckets());
-        assertEquals(List.of(), left());
+        assertEquals(List.of(), remainingFiles());
     }
 
-    /** The old one is stopped, hangs, or is of a version that knows of no wish. */
+    /** The old process is stopped, hangs, or is of a version without hand-over. */
     @Test
-    void withoutAnAnswerItStartsWithout() throws Exception {
-        assertNull(next.await(next.request(), 0));
-        assertEquals(List.of(), left());
-        old.poll(asked::add);
-        assertEquals(List.of(), asked);
+    void withoutAResponseNothingIsInherited() throws Exception {
+        assertNull(successor.await(successor.request(), 0));
+        assertEquals(List.of(), remainingFiles());
+        serving.poll(requestedTokens::add);
+        assertEquals(List.of(), requestedTokens);
     }
 
-    /** The folder is left as it was: by a start that was killed, or an answer that came too late. */
+    /** Files may remain from a start that was killed, or from a response that was too late. */
     @Test
-    void whatAnEarlierStartLeftIsNotRead() throws Exception {
-        String before = next.request();
-        old.respond(before, LEARNED);
-        String word = next.request();
-        assertNull(next.await(word, 0));
+    void filesOfAnEarlierStartAreNotRead() throws Exception {
+        String earlierToken = successor.request();
+        serving.respond(earlierToken, LEARNED);
+        String token = successor.request();
+        assertNull(successor.await(token, 0));
     }
 
     @Test
-    void aDamagedAnswerIsNotTaken() throws Exception {
-        String word = next.request();
-        old.respond(word, LEARNED);
-        Path answer = folder.resolve("granitefold-a.wish." + word);
-        byte[] file = Files.readAllBytes(answer);
+    void aDamagedResponseIsRejected() throws Exception {
+        String token = successor.request();
+        serving.respond(token, LEARNED);
+        Path response = folder.resolve("granitefold-a.wish." + token);
+        byte[] file = Files.readAllBytes(response);
         file[file.length / 2] ^= 1;
-        Files.write(answer, file);
-        assertNull(next.await(word, 0));
+        Files.write(response, file);
+        assertNull(successor.await(token, 0));
     }
 
-    /** A word becomes part of a file's name. */
+    /** The token becomes part of a file name, so an arbitrary one could name any file. */
     @Test
-    void aWishThatIsNoWordOfOursIsNotAnswered() throws Exception {
-        for (String odd : List.of("", "../x", "x".repeat(100_000), "0123456789-0123456789-0123456789-/..")) {
-            Files.writeString(folder.resolve("granitefold-a.wish"), odd);
-            old.poll(asked::add);
+    void aRequestWithAnInvalidTokenIsIgnored() throws Exception {
+        for (String invalid : List.of("", "../x", "x".repeat(100_000), "0123456789-0123456789-0123456789-/..")) {
+            Files.writeString(folder.resolve("granitefold-a.wish"), invalid);
+            serving.poll(requestedTokens::add);
         }
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requestedTokens);
     }
 }
