--- a/src/main/java/granitefold/net/JitWarmup.java
+++ b/src/main/java/granitefold/net/JitWarmup.java
@@ -119,8 +119,8 @@
             for (String state : new String[] {"started", "done\",\"result\":\"made"}) {
                 byte[] line = ("{\"id\":\"" + request.txn() + "\",\"from\":\"w\",\"state\":\"" + state + "\"}")
                         .getBytes(StandardCharsets.UTF_8);
-                AttemptUpdate news = WorkerLine.decode(line, 0, line.length, request.txn());
-                events.add(new Event.AttemptUpdated(e.connection(), news));
+                AttemptUpdate update = WorkerLine.decode(line, 0, line.length, request.txn());
+                events.add(new Event.AttemptUpdated(e.connection(), update));
             }
             events.add(new Event.WorkerAnswerEnded(e.connection(), true));
         } else if (effect instanceof Effect.Answer e) {
--- a/src/main/java/granitefold/net/RequestReader.java
+++ b/src/main/java/granitefold/net/RequestReader.java
@@ -131,7 +131,7 @@
             return true;
         }
         if (!reserveBytes.test(content.remaining())) {
-            error = new BadRequestException(503, "too much in hand");
+            error = new BadRequestException(503, "request bodies exceed the memory limit");
             return true;
         }
         reservedBytes += content.remaining();
--- a/src/main/java/granitefold/net/WorkerHttpConnection.java
+++ b/src/main/java/granitefold/net/WorkerHttpConnection.java
@@ -62,9 +62,9 @@
             return;
         }
         try {
-            AttemptUpdate news = WorkerLine.decode(buffer, from, length, txn);
-            if (news != null) {
-                loop.post(new Event.AttemptUpdated(id, news));
+            AttemptUpdate update = WorkerLine.decode(buffer, from, length, txn);
+            if (update != null) {
+                loop.post(new Event.AttemptUpdated(id, update));
             }
         } catch (InvalidInputException e) {
             fail(e.getMessage());
