--- a/src/main/java/granitefold/cli/rollout/CheckedFile.java
+++ b/src/main/java/granitefold/cli/rollout/ChecksummedFile.java
@@ -12,7 +12,7 @@
  * A small file that is written whole or not at all: JSON behind a line that names its kind, version, length and checksum. A new one is
  * forced under another name and takes the place of the old one by a rename.
  */
-final class CheckedFile<T> {
+final class ChecksummedFile<T> {
     static final ObjectMapper JSON = new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
     private static final int VERSION = 1, LENGTH_MOST = 4 * 1024 * 1024;
 
@@ -20,17 +20,17 @@
     private final String name;
     private final Class<T> type;
 
-    CheckedFile(Storage disk, String name, Class<T> type) {
+    ChecksummedFile(Storage disk, String name, Class<T> type) {
         this.disk = disk;
         this.name = name;
         this.type = type;
     }
 
     /** The file is there and is not what was written. */
-    static final class Damaged extends IOException {
+    static final class DamagedFileException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Damaged(String message) {
+        DamagedFileException(String message) {
             super(message);
         }
     }
@@ -47,14 +47,14 @@
         }
         String[] head = new String(all, 0, line, StandardCharsets.US_ASCII).split(" ");
         if (head.length != 5 || !head[0].equals("granitefold")) {
-            throw new Damaged(name + ": is no file of ours");
+            throw new DamagedFileException(name + ": is no file of ours");
         }
         byte[] body = Arrays.copyOfRange(all, Math.min(all.length, line + 1), all.length);
         if (!head[2].equals(Integer.toString(VERSION))) {
-            throw new Damaged(name + ": version " + head[2] + ", this program knows " + VERSION);
+            throw new DamagedFileException(name + ": version " + head[2] + ", this program knows " + VERSION);
         }
         if (!head[1].equals(name) || !head[3].equals(Integer.toString(body.length)) || !head[4].equals(checksum(body))) {
-            throw new Damaged(name + ": cut or changed");
+            throw new DamagedFileException(name + ": cut or changed");
         }
         return JSON.readValue(body, type);
     }
--- a/src/main/java/granitefold/cli/rollout/Controller.java
+++ b/src/main/java/granitefold/cli/rollout/Controller.java
@@ -2,14 +2,14 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.rollout.KeeperStatus;
+import granitefold.rollout.SupervisorStatus;
 import granitefold.rollout.Order;
 import granitefold.rollout.Progress;
 import granitefold.rollout.Progress.State;
 import granitefold.rollout.Rollout;
 import granitefold.rollout.RolloutAction;
 import granitefold.rollout.RolloutEvent;
-import granitefold.rollout.RolloutEvent.Wish;
+import granitefold.rollout.RolloutEvent.OperatorCommand;
 import granitefold.state.DirectoryStorage;
 import java.io.Closeable;
 import java.io.IOException;
@@ -37,16 +37,16 @@
 
     private final PlanFile file;
     private final DirectoryStorage disk;
-    private final CheckedFile<Progress> kept;
-    private final Map<String, KeeperLink> links = new HashMap<>();
+    private final ChecksummedFile<Progress> kept;
+    private final Map<String, SupervisorClient> links = new HashMap<>();
     private final ExecutorService callers;
     private Rollout rollout;
 
     Controller(PlanFile file) throws IOException {
         this.file = file;
         disk = DirectoryStorage.open(file.folder());
-        kept = new CheckedFile<>(disk, PROGRESS, Progress.class);
-        file.keepers().forEach((name, address) -> links.put(name, new KeeperLink(address)));
+        kept = new ChecksummedFile<>(disk, PROGRESS, Progress.class);
+        file.keepers().forEach((name, address) -> links.put(name, new SupervisorClient(address)));
         AtomicInteger n = new AtomicInteger();
         callers = Executors.newFixedThreadPool(Math.max(1, links.size()), r -> {
             Thread t = new Thread(r, "rollout call " + n.incrementAndGet());
@@ -62,13 +62,13 @@
     /** Plays it, and returns where it ended. */
     Progress run() throws IOException, InterruptedException {
         rollout = begin();
-        take(new RolloutEvent.Begin());
+        take(new RolloutEvent.Startup());
         while (!over()) {
             long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ROUND_MS);
-            statuses().forEach((name, status) -> take(new RolloutEvent.Seen(name, status)));
-            Wish wish = wish();
+            statuses().forEach((name, status) -> take(new RolloutEvent.StatusReceived(name, status)));
+            OperatorCommand wish = wish();
             if (wish != null) {
-                take(new RolloutEvent.Wished(wish));
+                take(new RolloutEvent.OperatorRequested(wish));
             }
             take(new RolloutEvent.Tick());
             report();
@@ -83,7 +83,7 @@
 
     /** It is over, and no operator's word is waiting. */
     private boolean over() {
-        return rollout.progress().state().over() && !Files.exists(file.folder().resolve(WISH));
+        return rollout.progress().state().terminal() && !Files.exists(file.folder().resolve(WISH));
     }
 
     /** A rollout that goes on with what was kept, or a new one whose number is past all that any keeper has seen. */
@@ -91,10 +91,10 @@
         Progress last;
         try {
             last = kept.read();
-        } catch (CheckedFile.Damaged e) {
+        } catch (ChecksummedFile.DamagedFileException e) {
             return unknown(e.getMessage());
         }
-        if (last != null && last.plan().equals(file.plan().name()) && !last.state().over()) {
+        if (last != null && last.plan().equals(file.plan().name()) && !last.state().terminal()) {
             return new Rollout(file.plan(), last);
         }
         boolean wished = Files.exists(file.folder().resolve(WISH));
@@ -103,7 +103,7 @@
             return new Rollout(file.plan(), last);
         }
         long number = last == null ? 1 : last.order().rollout() + 1;
-        for (KeeperStatus s : statuses().values()) {
+        for (SupervisorStatus s : statuses().values()) {
             number = Math.max(number, s.seen().rollout() + 1);
         }
         return new Rollout(file.plan(), number);
@@ -117,9 +117,9 @@
         EventLog.log(LogEvent.ROLLOUT_PROBLEM, why);
         Order last = Order.NONE;
         List<String> fresh = new ArrayList<>(file.plan().dispatchers());
-        for (Map.Entry<String, KeeperStatus> e : statuses().entrySet()) {
+        for (Map.Entry<String, SupervisorStatus> e : statuses().entrySet()) {
             last = e.getValue().seen().compareTo(last) > 0 ? e.getValue().seen() : last;
-            if (e.getValue().label().equals(file.plan().old().label())) {
+            if (e.getValue().label().equals(file.plan().baseline().label())) {
                 fresh.remove(e.getKey());
             }
         }
@@ -130,13 +130,13 @@
     }
 
     // ---------------------------------------------------------------- keepers
-    private Map<String, KeeperStatus> statuses() throws InterruptedException {
-        Map<String, Future<KeeperWords.Answer>> asked = new HashMap<>();
+    private Map<String, SupervisorStatus> statuses() throws InterruptedException {
+        Map<String, Future<SupervisorProtocol.Response>> asked = new HashMap<>();
         links.forEach((name, link) -> asked.put(name, callers.submit(link::status)));
-        Map<String, KeeperStatus> all = new HashMap<>();
-        for (Map.Entry<String, Future<KeeperWords.Answer>> e : asked.entrySet()) {
+        Map<String, SupervisorStatus> all = new HashMap<>();
+        for (Map.Entry<String, Future<SupervisorProtocol.Response>> e : asked.entrySet()) {
             try {
-                KeeperWords.Answer a = e.getValue().get(ANSWERS_MS, TimeUnit.MILLISECONDS);
+                SupervisorProtocol.Response a = e.getValue().get(ANSWERS_MS, TimeUnit.MILLISECONDS);
                 if (a.status() != null && e.getKey().equals(a.name())) {
                     all.put(e.getKey(), a.status());
                 }
@@ -148,8 +148,8 @@
     }
 
     private void take(RolloutEvent event) {
-        for (RolloutAction action : List.copyOf(rollout.on(event, now()))) {
-            if (action instanceof RolloutAction.Keep a) {
+        for (RolloutAction action : List.copyOf(rollout.handle(event, now()))) {
+            if (action instanceof RolloutAction.Persist a) {
                 try {
                     kept.write(a.progress());
                 } catch (IOException e) {
@@ -157,20 +157,20 @@
                     EventLog.log(LogEvent.ROLLOUT_PROBLEM, "cannot keep what it is about to do, and ends: " + e);
                     Runtime.getRuntime().halt(1);
                 }
-            } else if (action instanceof RolloutAction.Say a) {
+            } else if (action instanceof RolloutAction.Log a) {
                 EventLog.log(LogEvent.ROLLOUT, a.what());
-            } else if (action instanceof RolloutAction.Give a) {
+            } else if (action instanceof RolloutAction.SendOrder a) {
                 give(a);
             }
         }
     }
 
-    private void give(RolloutAction.Give give) {
+    private void give(RolloutAction.SendOrder give) {
         try {
-            KeeperWords.Answer a = links.get(give.dispatcher()).order(give.order(), give.version());
+            SupervisorProtocol.Response a = links.get(give.dispatcher()).order(give.order(), give.version());
             if (a.refused() != null && a.status() != null) {
                 EventLog.log(LogEvent.ROLLOUT_PROBLEM, give.dispatcher() + " refused order " + give.order() + ": " + a.refused());
-                take(new RolloutEvent.Refused(give.dispatcher(), a.status().seen()));
+                take(new RolloutEvent.OrderRefused(give.dispatcher(), a.status().seen()));
             }
         } catch (IOException e) {
             // it is given again; in the end the step is not done in time
@@ -179,7 +179,7 @@
     }
 
     // ---------------------------------------------------------------- operators
-    private Wish wish() throws IOException {
+    private OperatorCommand wish() throws IOException {
         Path path = file.folder().resolve(WISH);
         if (!Files.exists(path)) {
             return null;
@@ -187,7 +187,7 @@
         String word = Files.readString(path).strip();
         Files.delete(path);
         try {
-            return Wish.valueOf(word.toUpperCase(Locale.ROOT));
+            return OperatorCommand.valueOf(word.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
             EventLog.log(LogEvent.ROLLOUT_PROBLEM, "no word of ours: " + word);
             return null;
--- a/src/main/java/granitefold/cli/rollout/KeepCommand.java
+++ b/src/main/java/granitefold/cli/rollout/KeepCommand.java
@@ -23,11 +23,11 @@
     @Override
     public Integer call() throws Exception {
         try {
-            new KeeperServer(KeeperFile.read(file)).run();
+            new SupervisorServer(SupervisorFile.read(file)).run();
         } catch (InvalidFileException e) {
             e.problems().forEach(spec.commandLine().getErr()::println);
             return BROKEN;
-        } catch (CheckedFile.Damaged e) {
+        } catch (ChecksummedFile.DamagedFileException e) {
             spec.commandLine().getErr().println("granitefold: " + e.getMessage() + "; what it ran is not known: remove the file to begin with the version in "
                     + file);
             return BROKEN;
--- a/src/main/java/granitefold/cli/rollout/PlanFile.java
+++ b/src/main/java/granitefold/cli/rollout/PlanFile.java
@@ -53,10 +53,10 @@
         int count = Math.max(1, keepers.size());
         List<Integer> stages = stages(all.strings("stages", "a count or a share, as 1 or 10%", t -> t.matches("\\d{1,6}|\\d{1,3}%|all")), count);
         Plan plan = new Plan(all.string("name", "", "a word for people", t -> t.matches("[!-~]{1,64}")), List.copyOf(keepers.keySet()), stages,
-                KeeperFile.version(old), KeeperFile.version(fresh), margins, all.strings("classes", "names of classes", t -> !t.isEmpty()),
+                SupervisorFile.version(old), SupervisorFile.version(fresh), margins, all.strings("classes", "names of classes", t -> !t.isEmpty()),
                 look.durationUs("warm", 5_000_000, 0, HOUR_MS), look.durationUs("least", 20_000_000, 0, HOUR_MS), look.durationUs("most", 180_000_000, 100, 24 * HOUR_MS),
                 all.durationUs("step", 40_000_000, 100, HOUR_MS), all.choice("worse", "back", "back", "stop").equals("back"), all.bool("controls", true));
-        String folder = all.string("folder", "/", "an absolute path", KeeperFile::absolute);
+        String folder = all.string("folder", "/", "an absolute path", SupervisorFile::absolute);
         for (String key : List.of("name", "folder", "dispatchers", "old", "new", "stages")) {
             if (!all.has(key)) {
                 all.reject(key, "is needed");
--- a/src/main/java/granitefold/cli/rollout/RolloutCommand.java
+++ b/src/main/java/granitefold/cli/rollout/RolloutCommand.java
@@ -65,7 +65,7 @@
         }
 
         static Progress progress(PlanFile f) throws IOException {
-            return Files.exists(f.folder()) ? new CheckedFile<>(DirectoryStorage.readOnly(f.folder()), Controller.PROGRESS, Progress.class).read() : null;
+            return Files.exists(f.folder()) ? new ChecksummedFile<>(DirectoryStorage.readOnly(f.folder()), Controller.PROGRESS, Progress.class).read() : null;
         }
     }
 
@@ -102,17 +102,17 @@
             Progress p;
             try {
                 p = progress(read.file());
-            } catch (CheckedFile.Damaged e) {
+            } catch (ChecksummedFile.DamagedFileException e) {
                 err().println("granitefold: " + e.getMessage());
                 return NOT_DONE;
             }
-            ObjectNode o = CheckedFile.JSON.createObjectNode();
+            ObjectNode o = ChecksummedFile.JSON.createObjectNode();
             o.put("plan", read.file().plan().name());
             o.put("state", p == null ? State.PLANNED.name() : p.state().name());
             o.put("stage", p == null ? 0 : p.stage() + 1).put("stages", read.file().plan().stages().size());
             o.put("verdict", p == null ? "" : p.verdict()).put("paused", p != null && p.paused());
             o.put("order", p == null ? "" : p.order().toString());
-            o.set("new", CheckedFile.JSON.valueToTree(p == null ? java.util.List.of() : p.fresh()));
+            o.set("new", ChecksummedFile.JSON.valueToTree(p == null ? java.util.List.of() : p.fresh()));
             if (json) {
                 out().println(o);
             } else {
@@ -142,7 +142,7 @@
         private static boolean progressOrDamaged(PlanFile f) throws IOException {
             try {
                 return progress(f) == null;
-            } catch (CheckedFile.Damaged e) {
+            } catch (ChecksummedFile.DamagedFileException e) {
                 // that it cannot be read is the very reason to have a word
                 return false;
             }
--- a/src/main/java/granitefold/cli/rollout/RolloutReport.java
+++ b/src/main/java/granitefold/cli/rollout/RolloutReport.java
@@ -1,6 +1,6 @@
 package granitefold.cli.rollout;
 
-import granitefold.rollout.Finding;
+import granitefold.rollout.MetricResult;
 import granitefold.rollout.Plan;
 import granitefold.rollout.Progress;
 import granitefold.rollout.Rollout;
@@ -15,15 +15,15 @@
         Progress p = rollout.progress();
         StringBuilder b = new StringBuilder();
         b.append(plan.name()).append(": ").append(p.state()).append(p.verdict().isEmpty() ? "" : ", " + p.verdict()).append('\n');
-        b.append(String.format(Locale.ROOT, "%s to %s, stage %d of %d, order %s%s%n", plan.old().label(), plan.fresh().label(), p.stage() + 1,
+        b.append(String.format(Locale.ROOT, "%s to %s, stage %d of %d, order %s%s%n", plan.baseline().label(), plan.candidate().label(), p.stage() + 1,
                 plan.stages().size(), p.order(), p.paused() ? ", paused" : ""));
         b.append("new: ").append(p.fresh().isEmpty() ? "none" : String.join(" ", p.fresh())).append("\ncompared with: ")
                 .append(p.controls().isEmpty() ? "all that are old" : String.join(" ", p.controls())).append("\n\n");
-        List<Finding> findings = rollout.findings();
+        List<MetricResult> findings = rollout.metricResults();
         if (!findings.isEmpty()) {
             b.append(String.format("%-24s %9s %19s %8s %7s%n", "worse by", "estimate", "interval", "borne", "values"));
-            for (Finding f : findings) {
-                b.append(String.format(Locale.ROOT, "%-24s %9.4f %9.4f %9.4f %8.4f %7d%n", f.figure(), f.harm(), f.lower(), f.upper(), f.margin(), f.blocks()));
+            for (MetricResult f : findings) {
+                b.append(String.format(Locale.ROOT, "%-24s %9.4f %9.4f %9.4f %8.4f %7d%n", f.metric(), f.degradation(), f.lower(), f.upper(), f.margin(), f.blocks()));
             }
             b.append("shares as they are; time and memory as the logarithm of a ratio\n\n");
         }
--- a/src/main/java/granitefold/cli/rollout/KeptProcess.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisedProcess.java
@@ -21,13 +21,13 @@
 import java.util.regex.Pattern;
 
 /** One process of a keeper's dispatcher, started by it or found again after the keeper's own restart. */
-final class KeptProcess {
+final class SupervisedProcess {
     private static final String MARK = "-Dgranitefold.life=";
     private static final Pattern OPS = Pattern.compile("checks: ops on (\\S+):(\\d+)");
     private static final Pattern RSS = Pattern.compile("VmRSS:\\s+(\\d+) kB");
     private static final int ASK_MS = 1000, LONGEST_LOG = 1 << 20;
 
-    final long life;
+    final long incarnation;
     final ProcessHandle handle;
     private final Path log;
     private volatile InetSocketAddress ops;
@@ -35,47 +35,47 @@
     private volatile double watchedS;
     private long watchedAt;
 
-    private KeptProcess(long life, ProcessHandle handle, Path log) {
-        this.life = life;
+    private SupervisedProcess(long incarnation, ProcessHandle handle, Path log) {
+        this.incarnation = incarnation;
         this.handle = handle;
         this.log = log;
     }
 
-    private static Path log(KeeperFile f, long life) {
-        return f.folder().resolve("log-" + life);
+    private static Path log(SupervisorFile f, long incarnation) {
+        return f.folder().resolve("log-" + incarnation);
     }
 
     /** Starts one. Its configuration is the keeper's, or the version's own, with a second address of its own. */
-    static KeptProcess start(KeeperFile f, long life, Version v) throws IOException {
+    static SupervisedProcess start(SupervisorFile f, long incarnation, Version v) throws IOException {
         Path base = v.config().isEmpty() ? f.config() : Path.of(v.config());
-        ObjectNode config = (ObjectNode) CheckedFile.JSON.readTree(Files.readAllBytes(base));
+        ObjectNode config = (ObjectNode) ChecksummedFile.JSON.readTree(Files.readAllBytes(base));
         String listen = config.path("listen").asText();
         config.put("ops", listen.substring(0, listen.lastIndexOf(':')) + ":0");
-        Path file = f.folder().resolve("config-" + life + ".json");
-        Files.write(file, CheckedFile.JSON.writeValueAsBytes(config));
+        Path file = f.folder().resolve("config-" + incarnation + ".json");
+        Files.write(file, ChecksummedFile.JSON.writeValueAsBytes(config));
         List<String> line = new ArrayList<>(f.java());
-        line.add(MARK + f.folder() + "#" + life);
+        line.add(MARK + f.folder() + "#" + incarnation);
         line.addAll(List.of("-jar", v.jar(), "serve", "--config", file.toString()));
         if (!v.operator().isEmpty()) {
             line.addAll(List.of("--operator", v.operator()));
         }
-        Path log = log(f, life);
+        Path log = log(f, incarnation);
         ProcessBuilder b = new ProcessBuilder(line).redirectErrorStream(true).redirectOutput(log.toFile());
         b.environment().put("TMPDIR", f.folder().toString());
         b.environment().remove("LB_OPS");
-        return new KeptProcess(life, b.start().toHandle(), log);
+        return new SupervisedProcess(incarnation, b.start().toHandle(), log);
     }
 
     /** Those of a keeper's folder that live, whoever started them: the mark is in their arguments. */
-    static List<KeptProcess> find(KeeperFile f) {
+    static List<SupervisedProcess> find(SupervisorFile f) {
         String mark = MARK + f.folder() + "#";
-        List<KeptProcess> found = new ArrayList<>();
+        List<SupervisedProcess> found = new ArrayList<>();
         ProcessHandle.allProcesses().forEach(p -> {
             Optional<String[]> arguments = p.info().arguments();
             for (String a : arguments.orElse(new String[0])) {
                 if (a.startsWith(mark)) {
-                    long life = Long.parseLong(a.substring(mark.length()));
-                    found.add(new KeptProcess(life, p, log(f, life)));
+                    long incarnation = Long.parseLong(a.substring(mark.length()));
+                    found.add(new SupervisedProcess(incarnation, p, log(f, incarnation)));
                 }
             }
         });
@@ -93,11 +93,11 @@
     /** Its figures now, or null where it tells none. */
     Sample sample() {
         try {
-            JsonNode vars = CheckedFile.JSON.readTree(ask("vars"));
+            JsonNode vars = ChecksummedFile.JSON.readTree(ask("vars"));
             Map<String, Sample.Counts> classes = new LinkedHashMap<>();
             vars.path("replies").fields().forEachRemaining(e -> classes.put(e.getKey(), new Sample.Counts(e.getValue().path("success").asLong(),
                     e.getValue().path("overload").asLong(), e.getValue().path("error").asLong())));
-            return new Sample(life, classes, vars.path("dispatches").asLong(), heldS, watchedS, rssKb());
+            return new Sample(incarnation, classes, vars.path("dispatches").asLong(), heldS, watchedS, rssKb());
         } catch (IOException e) {
             return null;
         }
@@ -106,7 +106,7 @@
     /** Adds up what it holds: one look tells little where it is a few requests. From one thread. */
     void watch() {
         try {
-            int now = CheckedFile.JSON.readTree(ask("vars")).path("concurrent").asInt();
+            int now = ChecksummedFile.JSON.readTree(ask("vars")).path("concurrent").asInt();
             long at = System.nanoTime();
             if (watchedAt != 0) {
                 double s = (at - watchedAt) / 1e9;
--- a/src/main/java/granitefold/cli/rollout/KeeperServer.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisorServer.java
@@ -2,10 +2,10 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.rollout.Keeper;
-import granitefold.rollout.KeeperAction;
-import granitefold.rollout.KeeperEvent;
-import granitefold.rollout.KeeperRecord;
+import granitefold.rollout.Supervisor;
+import granitefold.rollout.SupervisorAction;
+import granitefold.rollout.SupervisorEvent;
+import granitefold.rollout.SupervisorRecord;
 import granitefold.state.DirectoryStorage;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -22,31 +22,31 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Runs a {@link Keeper}: one thread has the machine, others wait for processes, sockets and answers and tell it. */
-final class KeeperServer {
+/** Runs a {@link Supervisor}: one thread has the machine, others wait for processes, sockets and answers and tell it. */
+final class SupervisorServer {
     private static final int BACKLOG = 32, CALLERS = 8, READ_MS = 2000;
     private static final long TICK_MS = 100, LEFT_OVER_S = 10;
 
-    private final KeeperFile file;
+    private final SupervisorFile file;
     private final DirectoryStorage disk;
-    private final CheckedFile<KeeperRecord> kept;
-    private final Keeper keeper;
+    private final ChecksummedFile<SupervisorRecord> kept;
+    private final Supervisor keeper;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-    private final Map<Long, KeptProcess> processes = new HashMap<>();
+    private final Map<Long, SupervisedProcess> processes = new HashMap<>();
     private final ExecutorService callers = Executors.newFixedThreadPool(CALLERS, r -> {
         Thread t = new Thread(r, "keeper call");
         t.setDaemon(true);
         return t;
     });
-    private volatile KeptProcess serving;
-    private volatile KeptProcess coming;
+    private volatile SupervisedProcess serving;
+    private volatile SupervisedProcess coming;
 
-    KeeperServer(KeeperFile file) throws IOException {
+    SupervisorServer(SupervisorFile file) throws IOException {
         this.file = file;
         disk = DirectoryStorage.open(file.folder());
-        kept = new CheckedFile<>(disk, "keeper", KeeperRecord.class);
-        KeeperRecord record = kept.read();
-        keeper = new Keeper(new Keeper.Ways(file.beside(), file.readyUs()), record == null ? KeeperRecord.first(file.first()) : record);
+        kept = new ChecksummedFile<>(disk, "keeper", SupervisorRecord.class);
+        SupervisorRecord record = kept.read();
+        keeper = new Supervisor(new Supervisor.Options(file.overlap(), file.readyTimeoutUs()), record == null ? SupervisorRecord.initial(file.first()) : record);
     }
 
     private static long now() {
@@ -65,7 +65,7 @@
             if (next != null) {
                 next.run();
             }
-            take(new KeeperEvent.Tick());
+            take(new SupervisorEvent.Tick());
         }
     }
 
@@ -77,15 +77,15 @@
 
     /** What a keeper before this one left running: one may serve on, any other one would be a version that nobody knows of. */
     private void begin() throws InterruptedException {
-        long serves = keeper.servedBefore();
+        long serves = keeper.previousServing();
         boolean alive = false;
-        for (KeptProcess p : KeptProcess.find(file)) {
-            if (p.life == serves && !alive) {
+        for (SupervisedProcess p : SupervisedProcess.find(file)) {
+            if (p.incarnation == serves && !alive) {
                 alive = true;
-                processes.put(p.life, p);
+                processes.put(p.incarnation, p);
                 waitFor(p);
             } else {
-                EventLog.log(LogEvent.KEEPER, "ends a process that is left of life " + p.life);
+                EventLog.log(LogEvent.KEEPER, "ends a process that is left of life " + p.incarnation);
                 p.handle.destroy();
                 try {
                     p.handle.onExit().get(LEFT_OVER_S, TimeUnit.SECONDS);
@@ -94,18 +94,18 @@
                 }
             }
         }
-        take(new KeeperEvent.Begin(alive));
+        take(new SupervisorEvent.Startup(alive));
     }
 
-    private void take(KeeperEvent event) {
-        List<KeeperAction> actions = List.copyOf(keeper.on(event, now()));
+    private void take(SupervisorEvent event) {
+        List<SupervisorAction> actions = List.copyOf(keeper.handle(event, now()));
         actions.forEach(this::perform);
-        serving = processes.get(keeper.servingLife());
-        coming = processes.get(keeper.comingLife());
+        serving = processes.get(keeper.servingIncarnation());
+        coming = processes.get(keeper.startingIncarnation());
     }
 
-    private void perform(KeeperAction action) {
-        if (action instanceof KeeperAction.Keep a) {
+    private void perform(SupervisorAction action) {
+        if (action instanceof SupervisorAction.Persist a) {
             try {
                 kept.write(a.record());
             } catch (IOException e) {
@@ -113,31 +113,31 @@
                 EventLog.log(LogEvent.KEEPER_PROBLEM, "cannot keep what it is about to do, and ends: " + e);
                 Runtime.getRuntime().halt(1);
             }
-        } else if (action instanceof KeeperAction.Start a) {
+        } else if (action instanceof SupervisorAction.Start a) {
             try {
-                KeptProcess p = KeptProcess.start(file, a.life(), a.version());
-                processes.put(a.life(), p);
-                EventLog.log(LogEvent.KEEPER, "life " + a.life() + " is " + a.version().label() + ", pid " + p.handle.pid());
+                SupervisedProcess p = SupervisedProcess.start(file, a.incarnation(), a.version());
+                processes.put(a.incarnation(), p);
+                EventLog.log(LogEvent.KEEPER, "life " + a.incarnation() + " is " + a.version().label() + ", pid " + p.handle.pid());
                 waitFor(p);
             } catch (IOException | RuntimeException e) {
-                queue.add(() -> take(new KeeperEvent.Exited(a.life(), "cannot be started: " + e.getMessage())));
+                queue.add(() -> take(new SupervisorEvent.Exited(a.incarnation(), "cannot be started: " + e.getMessage())));
             }
-        } else if (action instanceof KeeperAction.End a) {
-            processes.get(a.life()).handle.destroy();
-        } else if (action instanceof KeeperAction.Kill a) {
-            KeptProcess p = processes.get(a.life());
+        } else if (action instanceof SupervisorAction.Terminate a) {
+            processes.get(a.incarnation()).handle.destroy();
+        } else if (action instanceof SupervisorAction.Kill a) {
+            SupervisedProcess p = processes.get(a.incarnation());
             if (p != null) {
                 p.handle.destroyForcibly();
             }
-        } else if (action instanceof KeeperAction.Say a) {
+        } else if (action instanceof SupervisorAction.Log a) {
             EventLog.log(LogEvent.KEEPER, a.what());
         }
     }
 
-    private void waitFor(KeptProcess p) {
+    private void waitFor(SupervisedProcess p) {
         p.handle.onExit().thenAccept(h -> queue.add(() -> {
-            processes.remove(p.life);
-            take(new KeeperEvent.Exited(p.life, p.lastLine()));
+            processes.remove(p.incarnation);
+            take(new SupervisorEvent.Exited(p.incarnation, p.lastLine()));
         }));
     }
 
@@ -145,11 +145,11 @@
     private void watch() {
         try {
             while (true) {
-                KeptProcess p = coming;
+                SupervisedProcess p = coming;
                 if (p != null && p.serves()) {
-                    queue.add(() -> take(new KeeperEvent.Serves(p.life)));
+                    queue.add(() -> take(new SupervisorEvent.Ready(p.incarnation)));
                 }
-                KeptProcess q = serving;
+                SupervisedProcess q = serving;
                 if (q != null) {
                     q.watch();
                 }
@@ -176,7 +176,7 @@
         try (socket) {
             socket.setSoTimeout(READ_MS);
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-            char[] line = new char[KeeperWords.LINE_MOST];
+            char[] line = new char[SupervisorProtocol.MAX_LINE_CHARS];
             int n = 0;
             for (int c = in.read(); c >= 0 && c != '\n' && n < line.length; c = in.read()) {
                 line[n++] = (char) c;
@@ -189,17 +189,17 @@
     }
 
     private String answer(String line) throws IOException {
-        KeeperWords.Call call;
+        SupervisorProtocol.Request call;
         try {
-            call = CheckedFile.JSON.readValue(line, KeeperWords.Call.class);
+            call = ChecksummedFile.JSON.readValue(line, SupervisorProtocol.Request.class);
         } catch (IOException e) {
             call = null;
         }
         // asked of the process on this thread: a slow answer must not hold up the machine
-        KeptProcess p = serving;
+        SupervisedProcess p = serving;
         var sample = p == null ? null : p.sample();
-        KeeperWords.Call asked = call;
-        java.util.concurrent.CompletableFuture<KeeperWords.Answer> answer = new java.util.concurrent.CompletableFuture<>();
+        SupervisorProtocol.Request asked = call;
+        java.util.concurrent.CompletableFuture<SupervisorProtocol.Response> answer = new java.util.concurrent.CompletableFuture<>();
         queue.add(() -> {
             String refused = null;
             if (asked == null || asked.call() == null) {
@@ -209,23 +209,23 @@
             } else if (!asked.call().equals("status")) {
                 refused = "known are status and order";
             }
-            answer.complete(new KeeperWords.Answer(KeeperWords.VERSION, file.name(), refused, keeper.status(sample)));
+            answer.complete(new SupervisorProtocol.Response(SupervisorProtocol.PROTOCOL_VERSION, file.name(), refused, keeper.status(sample)));
         });
         try {
-            return CheckedFile.JSON.writeValueAsString(answer.get(READ_MS, TimeUnit.MILLISECONDS));
+            return ChecksummedFile.JSON.writeValueAsString(answer.get(READ_MS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException | java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
             throw new IOException("no answer in time", e);
         }
     }
 
-    private String order(KeeperWords.Call call) {
+    private String order(SupervisorProtocol.Request call) {
         if (call.order() == null || call.version() == null || call.order().rollout() < 1) {
             return "an order has a number and a version";
         }
-        if (keeper.stale(call.order())) {
+        if (keeper.isStale(call.order())) {
             return "stale: order " + keeper.record().seen() + " was seen";
         }
-        take(new KeeperEvent.Ordered(call.order(), call.version()));
+        take(new SupervisorEvent.OrderReceived(call.order(), call.version()));
         return null;
     }
 }
--- a/src/main/java/granitefold/rollout/Evidence.java
+++ b/src/main/java/granitefold/rollout/Comparison.java
@@ -12,7 +12,7 @@
  * between the two groups over one stretch of time, so that a trouble that hits both cancels out. A stretch with too few answers on one
  * side goes on with the next.
  */
-public final class Evidence {
+public final class Comparison {
     /** Answers of a class on either side without which a stretch of it says little. */
     static final int ANSWERS = 20;
     /** Stretches at which the intervals are to be tightest. */
@@ -59,7 +59,7 @@
     private double seconds;
 
     /** {@code classes}: those that are compared each by itself. */
-    public Evidence(Margins margins, Collection<String> classes) {
+    public Comparison(Margins margins, Collection<String> classes) {
         this.margins = margins;
         this.classes = List.copyOf(classes);
         // served, time, memory; refused and errors of each class: together they err no more often than one may
@@ -161,8 +161,8 @@
         return all == 0 ? 0 : served / all;
     }
 
-    private void add(String figure, double harm, double varianceAtLeast) {
-        figures.computeIfAbsent(figure, f -> new ConfidenceSequence(alphaEach, TIGHTEST)).add(harm, varianceAtLeast);
+    private void add(String figure, double harm, double minVariance) {
+        figures.computeIfAbsent(figure, f -> new ConfidenceSequence(alphaEach, TIGHTEST)).add(harm, minVariance);
     }
 
     private double margin(String figure) {
@@ -176,26 +176,26 @@
     }
 
     /** All that was found, the worst first. */
-    public List<Finding> findings() {
-        List<Finding> all = new ArrayList<>();
-        figures.forEach((name, s) -> all.add(new Finding(name, s.mean(), s.lower(), s.upper(), margin(name), s.count())));
-        all.sort((a, b) -> Double.compare(b.harm() / b.margin(), a.harm() / a.margin()));
+    public List<MetricResult> metricResults() {
+        List<MetricResult> all = new ArrayList<>();
+        figures.forEach((name, s) -> all.add(new MetricResult(name, s.mean(), s.lower(), s.upper(), margin(name), s.count())));
+        all.sort((a, b) -> Double.compare(b.degradation() / b.margin(), a.degradation() / a.margin()));
         return all;
     }
 
     /** What it comes to. */
     public Verdict verdict() {
-        List<Finding> all = findings();
-        for (Finding f : all) {
+        List<MetricResult> all = metricResults();
+        for (MetricResult f : all) {
             if (f.worse()) {
                 return new Verdict(Verdict.Kind.WORSE, f.toString());
             }
         }
-        List<Finding> open = all.stream().filter(f -> !f.good()).toList();
-        if (all.isEmpty() || !all.stream().anyMatch(f -> f.figure().equals("served"))) {
-            return new Verdict(Verdict.Kind.NOT_TOLD_APART, "too few answers");
+        List<MetricResult> open = all.stream().filter(f -> !f.good()).toList();
+        if (all.isEmpty() || !all.stream().anyMatch(f -> f.metric().equals("served"))) {
+            return new Verdict(Verdict.Kind.INCONCLUSIVE, "too few answers");
         }
         return open.isEmpty() ? new Verdict(Verdict.Kind.GOOD, all.get(0).toString())
-                : new Verdict(Verdict.Kind.NOT_TOLD_APART, open.get(0).toString());
+                : new Verdict(Verdict.Kind.INCONCLUSIVE, open.get(0).toString());
     }
 }
--- a/src/main/java/granitefold/rollout/ConfidenceSequence.java
+++ b/src/main/java/granitefold/rollout/ConfidenceSequence.java
@@ -9,7 +9,7 @@
  */
 public final class ConfidenceSequence {
     /** Values without which the variance so far says nothing. */
-    public static final int LEAST = 10;
+    public static final int MIN_VALUES = 10;
 
     private final double alpha;
     /** Scale of the mixture: the interval is tightest about the number of values that it was made for. */
@@ -29,13 +29,13 @@
         rho2 = (l + Math.log(l) + 1) / tightestAt;
     }
 
-    /** Another value; {@code varianceAtLeast}: what chance alone gives it, since a stream that never varied yet may do so next. */
-    public void add(double value, double varianceAtLeast) {
+    /** Another value; {@code minVariance}: what chance alone gives it, since a stream that never varied yet may do so next. */
+    public void add(double value, double minVariance) {
         n++;
         double d = value - mean;
         mean += d / n;
         squares += d * (value - mean);
-        floors += varianceAtLeast;
+        floors += minVariance;
     }
 
     public int count() {
@@ -48,7 +48,7 @@
 
     /** How far to either side of the mean it reaches; infinite while there are too few values. */
     public double halfWidth() {
-        if (n < LEAST) {
+        if (n < MIN_VALUES) {
             return Double.POSITIVE_INFINITY;
         }
         // a few values understate their variance about as often as not, and the theorem holds for many
--- a/src/main/java/granitefold/rollout/Sights.java
+++ b/src/main/java/granitefold/rollout/Observations.java
@@ -6,21 +6,21 @@
 import java.util.TreeMap;
 
 /** What a rollout has seen of the keepers: their last words, and ends by themselves since the stage was entered. */
-final class Sights {
+final class Observations {
     /** What was seen of a keeper counts for so long. */
     static final long LATELY_US = 3_000_000;
     /** An end by itself is judged so long after it was seen: what hit all shows at all by then. */
     static final long SETTLE_US = 3_000_000;
 
-    private record Sight(KeeperStatus status, long atUs) { }
+    private record Observation(SupervisorStatus status, long atUs) { }
 
     /** The process that tells a dispatcher's figures, and when it was first seen in place of another. */
-    private record Life(long number, long sinceUs) { }
+    private record Incarnation(long number, long sinceUs) { }
 
     private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
-    private final Map<String, Sight> sights = new TreeMap<>();
-    private final Map<String, Life> lives = new TreeMap<>();
+    private final Map<String, Observation> sights = new TreeMap<>();
+    private final Map<String, Incarnation> lives = new TreeMap<>();
     /** Ends that each had when the stage was entered, or when it was first seen after that. */
     private final Map<String, Integer> before = new TreeMap<>();
     private long endSeenAt = Long.MAX_VALUE;
@@ -32,12 +32,12 @@
     }
 
     /** A keeper has answered; {@code counts}: ends by themselves are of interest now. */
-    void saw(String dispatcher, KeeperStatus s, boolean counts, long now) {
-        sights.put(dispatcher, new Sight(s, now));
+    void saw(String dispatcher, SupervisorStatus s, boolean counts, long now) {
+        sights.put(dispatcher, new Observation(s, now));
         if (s.sample() != null) {
-            Life life = lives.get(dispatcher);
+            Incarnation life = lives.get(dispatcher);
             if (life == null || life.number != s.sample().life()) {
-                lives.put(dispatcher, new Life(s.sample().life(), life == null ? LONG_AGO : now));
+                lives.put(dispatcher, new Incarnation(s.sample().life(), life == null ? LONG_AGO : now));
             }
         }
         if (counts && s.crashes() > before.computeIfAbsent(dispatcher, d -> s.crashes()) && endSeenAt == Long.MAX_VALUE) {
@@ -46,8 +46,8 @@
     }
 
     /** A keeper's last words, or null where they are too old. */
-    KeeperStatus lately(String dispatcher, long now) {
-        Sight s = sights.get(dispatcher);
+    SupervisorStatus lately(String dispatcher, long now) {
+        Observation s = sights.get(dispatcher);
         return s != null && now - s.atUs < LATELY_US ? s.status : null;
     }
 
@@ -75,7 +75,7 @@
     Map<String, Sample> samples(Collection<String> some, long now, long warmUs) {
         Map<String, Sample> all = new LinkedHashMap<>();
         for (String d : some) {
-            KeeperStatus s = lately(d, now);
+            SupervisorStatus s = lately(d, now);
             if (s != null && s.sample() != null && now - lives.get(d).sinceUs >= warmUs) {
                 all.put(d, s.sample());
             }
--- a/src/main/java/granitefold/rollout/Plan.java
+++ b/src/main/java/granitefold/rollout/Plan.java
@@ -9,15 +9,15 @@
  * @param name how people call it
  * @param dispatchers all that take part, in the order in which they change
  * @param stages how many of them run the new version at the end of each stage; the last one is all of them
- * @param warmUs so long after a stage's last step nothing is compared: a fresh process is slow
- * @param leastUs the least that a stage is looked at
- * @param mostUs how long it is looked at where new and old are not told apart; then it holds
- * @param stepUs how long one dispatcher's change may take
- * @param back what happens when a stage does worse: all go back to the old version, else it stops where it is
- * @param controls old ones are started anew with each stage's new ones, so that both are of one age
+ * @param warmUpUs so long after a stage's last step nothing is compared: a fresh process is slow
+ * @param minComparisonUs the least that a stage is looked at
+ * @param maxComparisonUs how long it is looked at where new and old are not told apart; then it holds
+ * @param stepTimeoutUs how long one dispatcher's change may take
+ * @param rollBack what happens when a stage does worse: all go back to the old version, else it stops where it is
+ * @param restartControls old ones are started anew with each stage's new ones, so that both are of one age
  */
-public record Plan(String name, List<String> dispatchers, List<Integer> stages, Version old, Version fresh, Margins margins,
-        List<String> classes, long warmUs, long leastUs, long mostUs, long stepUs, boolean back, boolean controls) {
+public record Plan(String name, List<String> dispatchers, List<Integer> stages, Version baseline, Version candidate, Margins margins,
+        List<String> classes, long warmUpUs, long minComparisonUs, long maxComparisonUs, long stepTimeoutUs, boolean rollBack, boolean restartControls) {
 
     /** What is wrong with it, in sentences; empty where it can be played. */
     public List<String> problems() {
@@ -35,10 +35,10 @@
         if (stages.isEmpty() || before != dispatchers.size()) {
             all.add("stages: the last one has to be all dispatchers");
         }
-        if (old.equals(fresh)) {
+        if (baseline.equals(candidate)) {
             all.add("old and new are the same");
         }
-        if (leastUs > mostUs) {
+        if (minComparisonUs > maxComparisonUs) {
             all.add("look: the least is more than the most");
         }
         return all;
--- a/src/main/java/granitefold/rollout/Progress.java
+++ b/src/main/java/granitefold/rollout/Progress.java
@@ -39,7 +39,7 @@
         OVERTAKEN;
 
         /** Nothing follows. */
-        public boolean over() {
+        public boolean terminal() {
             return compareTo(DONE) >= 0;
         }
     }
--- a/src/main/java/granitefold/rollout/Rollout.java
+++ b/src/main/java/granitefold/rollout/Rollout.java
@@ -2,7 +2,7 @@
 
 import granitefold.rollout.Progress.State;
 import granitefold.rollout.Progress.Step;
-import granitefold.rollout.RolloutEvent.Wish;
+import granitefold.rollout.RolloutEvent.OperatorCommand;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -32,8 +32,8 @@
     private final List<String> log = new ArrayList<>();
 
     // what a controller that comes back learns anew
-    private final Sights sights = new Sights();
-    private Evidence evidence;
+    private final Observations sights = new Observations();
+    private Comparison evidence;
     private long stepSince;
     private long givenAt;
     private long lookFrom;
@@ -70,21 +70,21 @@
     }
 
     /** What the stage in hand has shown. */
-    public List<Finding> findings() {
-        return evidence == null ? List.of() : evidence.findings();
+    public List<MetricResult> metricResults() {
+        return evidence == null ? List.of() : evidence.metricResults();
     }
 
     /** Takes one event in; returns what it asks for, in order, in a list that stands until the next call. */
-    public List<RolloutAction> on(RolloutEvent event, long now) {
+    public List<RolloutAction> handle(RolloutEvent event, long now) {
         actions.clear();
-        if (event instanceof RolloutEvent.Begin) {
+        if (event instanceof RolloutEvent.Startup) {
             begin(now);
-        } else if (event instanceof RolloutEvent.Seen e) {
+        } else if (event instanceof RolloutEvent.StatusReceived e) {
             seen(e.dispatcher(), e.status(), now);
-        } else if (event instanceof RolloutEvent.Refused e) {
+        } else if (event instanceof RolloutEvent.OrderRefused e) {
             refused(e.dispatcher(), e.seen());
-        } else if (event instanceof RolloutEvent.Wished e) {
-            wished(e.wish(), now);
+        } else if (event instanceof RolloutEvent.OperatorRequested e) {
+            wished(e.command(), now);
         } else if (event instanceof RolloutEvent.Tick) {
             tick(now);
         }
@@ -96,7 +96,7 @@
         state = next;
         verdict = why;
         say(next + (next == State.CHANGING || next == State.LOOKING ? " stage " + (stage + 1) : "") + (why.isEmpty() ? "" : ": " + why));
-        actions.add(new RolloutAction.Keep(progress()));
+        actions.add(new RolloutAction.Persist(progress()));
     }
 
     private void say(String what) {
@@ -104,14 +104,14 @@
         if (log.size() > LOG_MOST) {
             log.remove(1);
         }
-        actions.add(new RolloutAction.Say(what));
+        actions.add(new RolloutAction.Log(what));
     }
 
     private void begin(long now) {
         lastLook = now;
         if (state == State.PLANNED) {
             enterStage(0, now);
-        } else if (!state.over()) {
+        } else if (!state.terminal()) {
             say("goes on in " + state + " at order " + order);
             if (state == State.LOOKING) {
                 look(now);
@@ -131,7 +131,7 @@
         steps.clear();
         for (int i = 0; i < change.size(); i++) {
             steps.add(new Step(change.get(i), true));
-            if (plan.controls() && i < stay.size()) {
+            if (plan.restartControls() && i < stay.size()) {
                 controls.add(stay.get(i));
                 steps.add(new Step(stay.get(i), false));
             }
@@ -155,7 +155,7 @@
         Step s = steps.peek();
         stepSince = now;
         givenAt = now;
-        actions.add(new RolloutAction.Give(s.dispatcher(), order, s.fresh() ? plan.fresh() : plan.old()));
+        actions.add(new RolloutAction.SendOrder(s.dispatcher(), order, s.fresh() ? plan.candidate() : plan.baseline()));
     }
 
     private void stepDone(long now) {
@@ -175,7 +175,7 @@
         }
         order = new Order(order.rollout(), order.step() + 1);
         promise();
-        actions.add(new RolloutAction.Keep(progress()));
+        actions.add(new RolloutAction.Persist(progress()));
         if (!paused) {
             give(now);
         }
@@ -190,7 +190,7 @@
                 say(what + "; it is tried again after the others");
                 steps.add(steps.remove());
                 order = new Order(order.rollout(), order.step() + 1);
-                actions.add(new RolloutAction.Keep(progress()));
+                actions.add(new RolloutAction.Persist(progress()));
                 give(now);
             } else {
                 enter(State.HELD, "not all are back: " + what);
@@ -203,7 +203,7 @@
     }
 
     private void worse(String why, long now) {
-        if (plan.back()) {
+        if (plan.rollBack()) {
             back(why, now);
         } else {
             enter(State.STOPPED, why);
@@ -227,7 +227,7 @@
     }
 
     // ---------------------------------------------------------------- events
-    private void seen(String dispatcher, KeeperStatus s, long now) {
+    private void seen(String dispatcher, SupervisorStatus s, long now) {
         sights.saw(dispatcher, s, state == State.CHANGING || state == State.LOOKING, now);
         if (s.seen().rollout() > order.rollout()) {
             refused(dispatcher, s.seen());
@@ -251,27 +251,27 @@
     }
 
     private void refused(String dispatcher, Order seen) {
-        if (seen.rollout() > order.rollout() && !state.over()) {
+        if (seen.rollout() > order.rollout() && !state.terminal()) {
             enter(State.OVERTAKEN, dispatcher + " has seen order " + seen + ", ours is " + order);
         }
     }
 
-    private void wished(Wish wish, long now) {
+    private void wished(OperatorCommand wish, long now) {
         if (state == State.OVERTAKEN || state == State.RETURNED) {
             return;
         }
         switch (wish) {
             case BACK -> back("an operator's word", now);
             case STOP -> {
-                if (!state.over()) {
+                if (!state.terminal()) {
                     enter(State.STOPPED, "an operator's word");
                 }
             }
             case PAUSE -> {
-                if (!state.over()) {
+                if (!state.terminal()) {
                     paused = true;
                     say("paused");
-                    actions.add(new RolloutAction.Keep(progress()));
+                    actions.add(new RolloutAction.Persist(progress()));
                 }
             }
             case RESUME -> resume(now);
@@ -285,7 +285,7 @@
     }
 
     private void resume(long now) {
-        if (state.over()) {
+        if (state.terminal()) {
             return;
         }
         paused = false;
@@ -294,7 +294,7 @@
             enter(steps.isEmpty() ? State.LOOKING : returning() ? State.RETURNING : State.CHANGING, "an operator's word");
         } else {
             say("resumed");
-            actions.add(new RolloutAction.Keep(progress()));
+            actions.add(new RolloutAction.Persist(progress()));
         }
         if (state == State.LOOKING) {
             look(now);
@@ -310,26 +310,26 @@
 
     private void look(long now) {
         if (evidence == null) {
-            evidence = new Evidence(plan.margins(), plan.classes());
+            evidence = new Comparison(plan.margins(), plan.classes());
         }
-        lookFrom = now + plan.warmUs();
-        lookUntil = lookFrom + plan.mostUs();
+        lookFrom = now + plan.warmUpUs();
+        lookUntil = lookFrom + plan.maxComparisonUs();
         lastLook = now;
     }
 
     private void tick(long now) {
-        if (paused || state.over() || state == State.PLANNED || state == State.HELD) {
+        if (paused || state.terminal() || state == State.PLANNED || state == State.HELD) {
             lastLook = now;
             return;
         }
         if (state == State.CHANGING || state == State.RETURNING) {
             Step s = steps.peek();
-            if (now - stepSince > plan.stepUs()) {
-                KeeperStatus status = sights.lately(s.dispatcher(), now);
+            if (now - stepSince > plan.stepTimeoutUs()) {
+                SupervisorStatus status = sights.lately(s.dispatcher(), now);
                 stepFailed(status != null ? "not done in time" : "its keeper does not answer", status != null && status.seen().equals(order), now);
             } else if (now - givenAt > AGAIN_US) {
                 givenAt = now;
-                actions.add(new RolloutAction.Give(s.dispatcher(), order, s.fresh() ? plan.fresh() : plan.old()));
+                actions.add(new RolloutAction.SendOrder(s.dispatcher(), order, s.fresh() ? plan.candidate() : plan.baseline()));
             }
         }
         if ((state == State.CHANGING || state == State.LOOKING) && sights.toJudge(now)) {
@@ -360,12 +360,12 @@
         List<String> old = controls.isEmpty() ? plan.dispatchers().stream().filter(d -> !fresh.contains(d)).toList() : List.copyOf(controls);
         boolean alone = fresh.size() == plan.dispatchers().size();
         if (!alone) {
-            evidence.look(sights.samples(fresh, now, plan.warmUs()), sights.samples(old, now, plan.warmUs()), seconds);
+            evidence.look(sights.samples(fresh, now, plan.warmUpUs()), sights.samples(old, now, plan.warmUpUs()), seconds);
         }
         Verdict v = alone ? new Verdict(Verdict.Kind.GOOD, "no old ones are left to compare with") : evidence.verdict();
         if (v.kind() == Verdict.Kind.WORSE) {
             worse(v.why(), now);
-        } else if (v.kind() == Verdict.Kind.GOOD && now - lookFrom >= plan.leastUs() && sights.quiet()) {
+        } else if (v.kind() == Verdict.Kind.GOOD && now - lookFrom >= plan.minComparisonUs() && sights.quiet()) {
             say("stage " + (stage + 1) + " is good: " + v.why());
             passed(now);
         } else if (now >= lookUntil) {
--- a/src/main/java/granitefold/rollout/RolloutEvent.java
+++ b/src/main/java/granitefold/rollout/RolloutEvent.java
@@ -4,22 +4,22 @@
 public sealed interface RolloutEvent {
 
     /** It is to begin, or to go on with what was kept. */
-    record Begin() implements RolloutEvent { }
+    record Startup() implements RolloutEvent { }
 
     /** A keeper has answered. */
-    record Seen(String dispatcher, KeeperStatus status) implements RolloutEvent { }
+    record StatusReceived(String dispatcher, SupervisorStatus status) implements RolloutEvent { }
 
     /** A keeper has refused an order since it has seen a later one. */
-    record Refused(String dispatcher, Order seen) implements RolloutEvent { }
+    record OrderRefused(String dispatcher, Order seen) implements RolloutEvent { }
 
     /** All that could be asked was asked: time to look. */
     record Tick() implements RolloutEvent { }
 
     /** An operator's word. */
-    record Wished(Wish wish) implements RolloutEvent { }
+    record OperatorRequested(OperatorCommand command) implements RolloutEvent { }
 
     /** What operators may say. */
-    enum Wish {
+    enum OperatorCommand {
         /** Give no further orders and judge nothing until told to go on. */
         PAUSE,
         /** Go on: after a pause, or look again, or try a step again. */
--- a/src/main/java/granitefold/rollout/KeeperRecord.java
+++ b/src/main/java/granitefold/rollout/SupervisorRecord.java
@@ -13,10 +13,10 @@
  * @param lives processes that were ever started
  * @param serving number of the one that serves, 0 for none; any other one that is found has no business any more
  */
-public record KeeperRecord(Order seen, Order done, Order failed, String why, Version settled, Version wanted, int crashes, long lives,
+public record SupervisorRecord(Order seen, Order done, Order failed, String why, Version settled, Version wanted, int crashes, long lives,
         long serving) {
     /** Of a keeper that has just been set up. */
-    public static KeeperRecord first(Version version) {
-        return new KeeperRecord(Order.NONE, Order.NONE, Order.NONE, "", version, version, 0, 0, 0);
+    public static SupervisorRecord initial(Version version) {
+        return new SupervisorRecord(Order.NONE, Order.NONE, Order.NONE, "", version, version, 0, 0, 0);
     }
 }
--- a/src/main/java/granitefold/rollout/KeeperStatus.java
+++ b/src/main/java/granitefold/rollout/SupervisorStatus.java
@@ -11,5 +11,5 @@
  * @param crashes how often a process that served ended by itself, since the keeper's folder was made
  * @param sample figures of the process that serves, or null
  */
-public record KeeperStatus(Order seen, Order done, Order failed, String why, String label, boolean serving, int crashes, Sample sample) {
+public record SupervisorStatus(Order seen, Order done, Order failed, String why, String label, boolean serving, int crashes, Sample sample) {
 }
--- a/src/main/java/granitefold/rollout/Verdict.java
+++ b/src/main/java/granitefold/rollout/Verdict.java
@@ -10,6 +10,6 @@
         /** Worse, for sure. */
         WORSE,
         /** Neither, so far. */
-        NOT_TOLD_APART
+        INCONCLUSIVE
     }
 }
--- a/src/test/java/granitefold/rollout/EvidenceTest.java
+++ b/src/test/java/granitefold/rollout/ComparisonTest.java
@@ -15,7 +15,7 @@
  * The comparison on streams with the noise that a fleet has: requests by chance, a trouble that comes and goes for all, dispatchers
  * that each have a luck of their own for a while.
  */
-class EvidenceTest {
+class ComparisonTest {
     private static final int RUNS = 200, LEAST_S = 20, MOST_S = 120;
     private static final Margins MARGINS = new Margins(0.05, 0.02, 0.03, 0.02, 1.25, 1.4, 0, Map.of("escalar", 3.0));
 
@@ -64,7 +64,7 @@
     /** Seconds until a verdict, negative where there was none in time; the verdict's kind goes into {@code ends}. */
     private static int stage(long seed, double perS, int each, Harm harm, Map<Verdict.Kind, Integer> ends) {
         Stream s = new Stream(seed, perS);
-        Evidence e = new Evidence(MARGINS, List.of("ficha", "escalar"));
+        Comparison e = new Comparison(MARGINS, List.of("ficha", "escalar"));
         for (int t = 0; t <= MOST_S; t++) {
             s.second();
             Map<String, Sample> fresh = new HashMap<>();
@@ -80,7 +80,7 @@
                 return t;
             }
         }
-        ends.merge(Verdict.Kind.NOT_TOLD_APART, 1, Integer::sum);
+        ends.merge(Verdict.Kind.INCONCLUSIVE, 1, Integer::sum);
         return -1;
     }
 
@@ -125,9 +125,9 @@
         Map<Verdict.Kind, Integer> ends = stages(100, 1, (s, n, t) -> new Sample(1, Map.of(), 0, 5.0 * t * t, t, 70_000), "serves nothing");
         assertEquals(RUNS, ends.getOrDefault(Verdict.Kind.WORSE, 0));
         Map<Verdict.Kind, Integer> lonely = stages(100, 1, (s, n, t) -> new Sample(1, Map.of(), 0, 0, t, 70_000), "no client came");
-        assertEquals(RUNS, lonely.getOrDefault(Verdict.Kind.NOT_TOLD_APART, 0), "that clients stay elsewhere is no fault");
+        assertEquals(RUNS, lonely.getOrDefault(Verdict.Kind.INCONCLUSIVE, 0), "that clients stay elsewhere is no fault");
         Map<Verdict.Kind, Integer> few = stages(0.3, 1, (s, n, t) -> s.of(n, 0.05, 1, 70_000), "hardly asked");
-        assertEquals(RUNS, few.getOrDefault(Verdict.Kind.NOT_TOLD_APART, 0), "never good by default");
+        assertEquals(RUNS, few.getOrDefault(Verdict.Kind.INCONCLUSIVE, 0), "never good by default");
     }
 
     /** The interval of shares of twenty answers leaves the mean out no more often than it says, at any time. */
--- a/src/test/java/granitefold/rollout/SightsTest.java
+++ b/src/test/java/granitefold/rollout/ObservationsTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Which figures of a fleet are compared. */
-class SightsTest {
+class ObservationsTest {
     private static final long S = 1_000_000, WARM = 2 * S;
-    private final Sights sights = new Sights();
+    private final Observations sights = new Observations();
 
     private void saw(String dispatcher, long life, long now) {
         Sample sample = life == 0 ? null : new Sample(life, Map.of(), 0, 0, 0, 0);
-        sights.saw(dispatcher, new KeeperStatus(Order.NONE, Order.NONE, Order.NONE, "", "old", life > 0, 0, sample), true, now);
+        sights.saw(dispatcher, new SupervisorStatus(Order.NONE, Order.NONE, Order.NONE, "", "old", life > 0, 0, sample), true, now);
     }
 
     private Set<String> compared(long now) {
--- a/src/test/java/granitefold/rollout/RolloutSearchTest.java
+++ b/src/test/java/granitefold/rollout/RolloutSearchTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import granitefold.rollout.KeeperEvent.Exited;
-import granitefold.rollout.KeeperEvent.Ordered;
-import granitefold.rollout.KeeperEvent.Serves;
+import granitefold.rollout.SupervisorEvent.Exited;
+import granitefold.rollout.SupervisorEvent.OrderReceived;
+import granitefold.rollout.SupervisorEvent.Ready;
 import granitefold.rollout.Progress.State;
-import granitefold.rollout.RolloutEvent.Wish;
+import granitefold.rollout.RolloutEvent.OperatorCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -33,11 +33,11 @@
     private static final class World {
         Rollout controller = new Rollout(PLAN, 1);
         Progress kept;
-        final Map<String, Keeper> keepers = new TreeMap<>();
-        final Map<String, KeeperRecord> records = new TreeMap<>();
-        /** Processes that live, by dispatcher and life. */
+        final Map<String, Supervisor> keepers = new TreeMap<>();
+        final Map<String, SupervisorRecord> records = new TreeMap<>();
+        /** Processes that live, by dispatcher and incarnation. */
         final Map<String, Map<Long, Version>> processes = new TreeMap<>();
-        final List<RolloutAction.Give> late = new ArrayList<>();
+        final List<RolloutAction.SendOrder> late = new ArrayList<>();
         boolean linkUp = true;
         boolean starts = true;
         long now = 1_000_000;
@@ -45,20 +45,20 @@
 
         World() {
             for (String d : PLAN.dispatchers()) {
-                records.put(d, KeeperRecord.first(OLD));
+                records.put(d, SupervisorRecord.initial(OLD));
                 processes.put(d, new TreeMap<>());
-                keepers.put(d, new Keeper(new Keeper.Ways(true, 3_000_000), records.get(d)));
-                keeper(d, new KeeperEvent.Begin(false));
+                keepers.put(d, new Supervisor(new Supervisor.Options(true, 3_000_000), records.get(d)));
+                keeper(d, new SupervisorEvent.Startup(false));
             }
             settle();
-            take(new RolloutEvent.Begin());
+            take(new RolloutEvent.Startup());
         }
 
         void take(RolloutEvent e) {
-            for (RolloutAction a : List.copyOf(controller.on(e, now))) {
-                if (a instanceof RolloutAction.Keep k) {
+            for (RolloutAction a : List.copyOf(controller.handle(e, now))) {
+                if (a instanceof RolloutAction.Persist k) {
                     kept = k.progress();
-                } else if (a instanceof RolloutAction.Give g) {
+                } else if (a instanceof RolloutAction.SendOrder g) {
                     assertTrue(kept != null && kept.order().equals(g.order()), "an order that was not kept before it was given");
                     assertTrue(g.version().equals(OLD) || kept.fresh().contains(g.dispatcher()), "a new version that nothing kept tells of");
                     if (linkUp) {
@@ -70,38 +70,38 @@
             }
         }
 
-        void deliver(RolloutAction.Give g) {
-            Keeper k = keepers.get(g.dispatcher());
-            if (k.stale(g.order())) {
-                take(new RolloutEvent.Refused(g.dispatcher(), k.record().seen()));
+        void deliver(RolloutAction.SendOrder g) {
+            Supervisor k = keepers.get(g.dispatcher());
+            if (k.isStale(g.order())) {
+                take(new RolloutEvent.OrderRefused(g.dispatcher(), k.record().seen()));
             } else {
                 boolean known = g.order().equals(k.record().seen());
                 long lives = k.record().lives();
-                keeper(g.dispatcher(), new Ordered(g.order(), g.version()));
+                keeper(g.dispatcher(), new OrderReceived(g.order(), g.version()));
                 assertTrue(!known || k.record().lives() == lives, "an order was carried out twice");
             }
         }
 
-        void keeper(String d, KeeperEvent e) {
-            for (KeeperAction a : List.copyOf(keepers.get(d).on(e, now))) {
-                if (a instanceof KeeperAction.Keep k) {
+        void keeper(String d, SupervisorEvent e) {
+            for (SupervisorAction a : List.copyOf(keepers.get(d).handle(e, now))) {
+                if (a instanceof SupervisorAction.Persist k) {
                     records.put(d, k.record());
-                } else if (a instanceof KeeperAction.Start s) {
-                    assertTrue(processes.get(d).put(s.life(), s.version()) == null, "two processes of one number");
-                } else if (a instanceof KeeperAction.End s) {
-                    ends(d, s.life());
-                } else if (a instanceof KeeperAction.Kill s) {
-                    ends(d, s.life());
+                } else if (a instanceof SupervisorAction.Start s) {
+                    assertTrue(processes.get(d).put(s.incarnation(), s.version()) == null, "two processes of one number");
+                } else if (a instanceof SupervisorAction.Terminate s) {
+                    ends(d, s.incarnation());
+                } else if (a instanceof SupervisorAction.Kill s) {
+                    ends(d, s.incarnation());
                 }
             }
         }
 
         private final List<Runnable> ending = new ArrayList<>();
 
-        private void ends(String d, long life) {
+        private void ends(String d, long incarnation) {
             ending.add(() -> {
-                if (processes.get(d).remove(life) != null) {
-                    keeper(d, new Exited(life, "ended"));
+                if (processes.get(d).remove(incarnation) != null) {
+                    keeper(d, new Exited(incarnation, "ended"));
                 }
             });
         }
@@ -113,14 +113,14 @@
                 ending.clear();
                 now.forEach(Runnable::run);
                 for (String d : keepers.keySet()) {
-                    long life = keepers.get(d).comingLife();
-                    if (life > 0 && processes.get(d).containsKey(life)) {
-                        if (starts || processes.get(d).get(life).equals(OLD)) {
+                    long incarnation = keepers.get(d).startingIncarnation();
+                    if (incarnation > 0 && processes.get(d).containsKey(incarnation)) {
+                        if (starts || processes.get(d).get(incarnation).equals(OLD)) {
                             serves++;
-                            keeper(d, new Serves(life));
+                            keeper(d, new Ready(incarnation));
                         } else {
-                            processes.get(d).remove(life);
-                            keeper(d, new Exited(life, "does not start"));
+                            processes.get(d).remove(incarnation);
+                            keeper(d, new Exited(incarnation, "does not start"));
                         }
                     }
                 }
@@ -130,11 +130,11 @@
         /** A second passes: the controller asks everybody it reaches and looks. */
         void second() {
             now += 1_000_000;
-            keepers.keySet().forEach(d -> keeper(d, new KeeperEvent.Tick()));
+            keepers.keySet().forEach(d -> keeper(d, new SupervisorEvent.Tick()));
             settle();
             for (String d : PLAN.dispatchers()) {
                 if (linkUp) {
-                    take(new RolloutEvent.Seen(d, keepers.get(d).status(new Sample(1, Map.of("c", new Sample.Counts(now / 1000, 0, 0)), 0, now / 1e6, now / 1e6, 1))));
+                    take(new RolloutEvent.StatusReceived(d, keepers.get(d).status(new Sample(1, Map.of("c", new Sample.Counts(now / 1000, 0, 0)), 0, now / 1e6, now / 1e6, 1))));
                     settle();
                 }
             }
@@ -144,22 +144,22 @@
 
         void killController() {
             controller = kept == null ? new Rollout(PLAN, 1) : new Rollout(PLAN, kept);
-            take(new RolloutEvent.Begin());
+            take(new RolloutEvent.Startup());
         }
 
         void killKeeper(String d) {
-            KeeperRecord r = records.get(d);
+            SupervisorRecord r = records.get(d);
             // whoever comes back ends what is left but for the one that it kept as serving
-            processes.get(d).keySet().removeIf(life -> life != r.serving());
+            processes.get(d).keySet().removeIf(incarnation -> incarnation != r.serving());
             ending.clear();
-            keepers.put(d, new Keeper(new Keeper.Ways(true, 3_000_000), r));
-            keeper(d, new KeeperEvent.Begin(processes.get(d).containsKey(r.serving()) && r.serving() != 0));
+            keepers.put(d, new Supervisor(new Supervisor.Options(true, 3_000_000), r));
+            keeper(d, new SupervisorEvent.Startup(processes.get(d).containsKey(r.serving()) && r.serving() != 0));
         }
 
         void crash(String d) {
-            long life = keepers.get(d).servingLife();
-            if (life > 0 && processes.get(d).remove(life) != null) {
-                keeper(d, new Exited(life, "by itself"));
+            long incarnation = keepers.get(d).servingIncarnation();
+            if (incarnation > 0 && processes.get(d).remove(incarnation) != null) {
+                keeper(d, new Exited(incarnation, "by itself"));
             }
         }
 
@@ -170,7 +170,7 @@
                 boolean overtaken = controller.progress().state() == State.OVERTAKEN;
                 assertTrue(!runsNew || overtaken || kept.fresh().contains(d) || kept.state() == State.RETURNED && keepers.get(d).record().wanted().equals(OLD),
                         () -> d + " runs the new version and nothing kept tells of it: " + path);
-                KeeperRecord r = keepers.get(d).record();
+                SupervisorRecord r = keepers.get(d).record();
                 assertTrue(r.done().compareTo(r.seen()) <= 0 && r.failed().compareTo(r.seen()) <= 0, () -> "done what was not seen: " + path);
             }
         }
@@ -178,29 +178,29 @@
         /** With everything in reach and working again, and operators' words where it waits for them, it comes to an end. */
         void end(List<String> path) {
             linkUp = true;
-            for (RolloutAction.Give g : List.copyOf(late)) {
+            for (RolloutAction.SendOrder g : List.copyOf(late)) {
                 // what comes late, comes: it must do no harm
                 deliver(g);
             }
             late.clear();
-            for (int i = 0; i < 200 && !controller.progress().state().over(); i++) {
+            for (int i = 0; i < 200 && !controller.progress().state().terminal(); i++) {
                 State s = controller.progress().state();
                 if (controller.progress().paused() || s == State.HELD && i % 20 == 10) {
-                    take(new RolloutEvent.Wished(s == State.HELD && i > 100 ? Wish.BACK : Wish.RESUME));
+                    take(new RolloutEvent.OperatorRequested(s == State.HELD && i > 100 ? OperatorCommand.BACK : OperatorCommand.RESUME));
                 }
                 if (s == State.HELD && i % 20 == 15) {
-                    take(new RolloutEvent.Wished(Wish.PASS));
+                    take(new RolloutEvent.OperatorRequested(OperatorCommand.PASS));
                 }
                 second();
                 check(path);
             }
             Progress p = controller.progress();
-            assertTrue(p.state().over(), () -> "no end: " + p + " after " + path);
+            assertTrue(p.state().terminal(), () -> "no end: " + p + " after " + path);
             // a version that did serve and does not start again is tried again for as long as it takes
             starts = true;
             for (int i = 0; i < 30; i++) {
                 now += 1_000_000;
-                keepers.keySet().forEach(d -> keeper(d, new KeeperEvent.Tick()));
+                keepers.keySet().forEach(d -> keeper(d, new SupervisorEvent.Tick()));
                 settle();
             }
             for (String d : PLAN.dispatchers()) {
@@ -224,14 +224,14 @@
             "crash b", w -> w.crash("b"),
             "link", w -> w.linkUp = !w.linkUp,
             "new ones start or not", w -> w.starts = !w.starts,
-            "back", w -> w.take(new RolloutEvent.Wished(Wish.BACK)),
-            "pause or resume", w -> w.take(new RolloutEvent.Wished(w.controller.progress().paused() ? Wish.RESUME : Wish.PAUSE)),
-            "another rollout", w -> w.keeper("b", new Ordered(new Order(2, 1), OLD))));
+            "back", w -> w.take(new RolloutEvent.OperatorRequested(OperatorCommand.BACK)),
+            "pause or resume", w -> w.take(new RolloutEvent.OperatorRequested(w.controller.progress().paused() ? OperatorCommand.RESUME : OperatorCommand.PAUSE)),
+            "another rollout", w -> w.keeper("b", new OrderReceived(new Order(2, 1), OLD))));
 
     /** What tells two worlds apart, as far as what follows goes. */
     private static String look(World w) {
         StringBuilder b = new StringBuilder(w.controller.progress().toString());
-        w.keepers.forEach((d, k) -> b.append(d).append(k.record()).append(k.servingLife()).append(k.comingLife()).append(w.processes.get(d)));
+        w.keepers.forEach((d, k) -> b.append(d).append(k.record()).append(k.servingIncarnation()).append(k.startingIncarnation()).append(w.processes.get(d)));
         return b.append(w.linkUp).append(w.starts).append(w.late).append(w.now).toString();
     }
 
