--- a/src/main/java/granitefold/cli/rollout/ChecksummedFile.java
+++ b/src/main/java/granitefold/cli/rollout/ChecksummedFile.java
@@ -9,12 +9,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * A small file that is written whole or not at all: JSON behind a line that names its kind, version, length and checksum. A new one is
- * forced under another name and takes the place of the old one by a rename.
+ * Small JSON file that is replaced atomically. A header line names its kind, format version, length and checksum. New content is written
+ * and synced under a temporary name and then renamed over the old file.
  */
 final class ChecksummedFile<T> {
     static final ObjectMapper JSON = new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
-    private static final int VERSION = 1, LENGTH_MOST = 4 * 1024 * 1024;
+    private static final int VERSION = 1, MAX_LENGTH_BYTES = 4 * 1024 * 1024;
 
     private final Storage disk;
     private final String name;
@@ -26,7 +26,7 @@
         this.type = type;
     }
 
-    /** The file is there and is not what was written. */
+    /** The file exists but its content is not valid. */
     static final class DamagedFileException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -35,44 +35,44 @@
         }
     }
 
-    /** What was written last, or null where nothing ever was. */
+    /** Returns the value written last, or null if the file does not exist. */
     T read() throws IOException {
-        byte[] all = disk.read(name, LENGTH_MOST);
-        if (all == null) {
+        byte[] content = disk.read(name, MAX_LENGTH_BYTES);
+        if (content == null) {
             return null;
         }
-        int line = 0;
-        while (line < all.length && all[line] != '\n') {
-            line++;
+        int headerEnd = 0;
+        while (headerEnd < content.length && content[headerEnd] != '\n') {
+            headerEnd++;
         }
-        String[] head = new String(all, 0, line, StandardCharsets.US_ASCII).split(" ");
-        if (head.length != 5 || !head[0].equals("granitefold")) {
-            throw new DamagedFileException(name + ": is no file of ours");
+        String[] header = new String(content, 0, headerEnd, StandardCharsets.US_ASCII).split(" ");
+        if (header.length != 5 || !header[0].equals("granitefold")) {
+            throw new DamagedFileException(name + ": not a granitefold file");
         }
-        byte[] body = Arrays.copyOfRange(all, Math.min(all.length, line + 1), all.length);
-        if (!head[2].equals(Integer.toString(VERSION))) {
-            throw new DamagedFileException(name + ": version " + head[2] + ", this program knows " + VERSION);
+        byte[] body = Arrays.copyOfRange(content, Math.min(content.length, headerEnd + 1), content.length);
+        if (!header[2].equals(Integer.toString(VERSION))) {
+            throw new DamagedFileException(name + ": version " + header[2] + "; this program supports version " + VERSION);
         }
-        if (!head[1].equals(name) || !head[3].equals(Integer.toString(body.length)) || !head[4].equals(checksum(body))) {
-            throw new DamagedFileException(name + ": cut or changed");
+        if (!header[1].equals(name) || !header[3].equals(Integer.toString(body.length)) || !header[4].equals(checksum(body))) {
+            throw new DamagedFileException(name + ": truncated or modified");
         }
         return JSON.readValue(body, type);
     }
 
     void write(T value) throws IOException {
         byte[] body = JSON.writeValueAsBytes(value);
-        byte[] head = ("granitefold " + name + " " + VERSION + " " + body.length + " " + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII);
-        byte[] all = Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        disk.write(name + ".new", all);
+        byte[] header = ("granitefold " + name + " " + VERSION + " " + body.length + " " + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] content = Arrays.copyOf(header, header.length + body.length);
+        System.arraycopy(body, 0, content, header.length, body.length);
+        disk.write(name + ".new", content);
         disk.force(name + ".new");
         disk.rename(name + ".new", name);
         disk.forceDirectory();
     }
 
     private static String checksum(byte[] body) {
-        CRC32C c = new CRC32C();
-        c.update(body);
-        return Long.toHexString(c.getValue());
+        CRC32C crc = new CRC32C();
+        crc.update(body);
+        return Long.toHexString(crc.getValue());
     }
 }
--- a/src/main/java/granitefold/cli/rollout/Controller.java
+++ b/src/main/java/granitefold/cli/rollout/Controller.java
@@ -28,30 +28,30 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Plays a rollout to its end. It holds the plan's folder, so that there is no second one on this machine; one elsewhere is told apart by
- * the number of its orders. It may be killed at any moment: the next one goes on with what was kept.
+ * Runs a rollout to its end. It locks the plan's folder, so that no second controller runs on this machine; a controller on another
+ * machine is fenced by the numbers of its orders. It may be killed at any time: the next one continues from the saved progress.
  */
 final class Controller implements Closeable {
-    static final String PROGRESS = "progress", WISH = "wish", REPORT = "report.txt";
-    private static final long ROUND_MS = 1000, ANSWERS_MS = 4000;
+    static final String PROGRESS = "progress", COMMAND_FILE = "wish", REPORT = "report.txt";
+    private static final long POLL_INTERVAL_MS = 1000, STATUS_TIMEOUT_MS = 4000;
 
     private final PlanFile file;
     private final DirectoryStorage disk;
-    private final ChecksummedFile<Progress> kept;
-    private final Map<String, SupervisorClient> links = new HashMap<>();
-    private final ExecutorService callers;
+    private final ChecksummedFile<Progress> savedProgress;
+    private final Map<String, SupervisorClient> supervisors = new HashMap<>();
+    private final ExecutorService executor;
     private Rollout rollout;
 
     Controller(PlanFile file) throws IOException {
         this.file = file;
         disk = DirectoryStorage.open(file.folder());
-        kept = new ChecksummedFile<>(disk, PROGRESS, Progress.class);
-        file.keepers().forEach((name, address) -> links.put(name, new SupervisorClient(address)));
-        AtomicInteger n = new AtomicInteger();
-        callers = Executors.newFixedThreadPool(Math.max(1, links.size()), r -> {
-            Thread t = new Thread(r, "rollout call " + n.incrementAndGet());
-            t.setDaemon(true);
-            return t;
+        savedProgress = new ChecksummedFile<>(disk, PROGRESS, Progress.class);
+        file.keepers().forEach((name, address) -> supervisors.put(name, new SupervisorClient(address)));
+        AtomicInteger threadNumber = new AtomicInteger();
+        executor = Executors.newFixedThreadPool(Math.max(1, supervisors.size()), r -> {
+            Thread thread = new Thread(r, "rollout call " + threadNumber.incrementAndGet());
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
@@ -59,21 +59,21 @@
         return System.nanoTime() / 1000;
     }
 
-    /** Plays it, and returns where it ended. */
+    /** Runs the rollout and returns its final progress. */
     Progress run() throws IOException, InterruptedException {
-        rollout = begin();
-        take(new RolloutEvent.Startup());
-        while (!over()) {
-            long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ROUND_MS);
-            statuses().forEach((name, status) -> take(new RolloutEvent.StatusReceived(name, status)));
-            OperatorCommand wish = wish();
-            if (wish != null) {
-                take(new RolloutEvent.OperatorRequested(wish));
+        rollout = loadOrCreate();
+        handleEvent(new RolloutEvent.Startup());
+        while (!finished()) {
+            long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(POLL_INTERVAL_MS);
+            statuses().forEach((name, status) -> handleEvent(new RolloutEvent.StatusReceived(name, status)));
+            OperatorCommand command = operatorCommand();
+            if (command != null) {
+                handleEvent(new RolloutEvent.OperatorRequested(command));
             }
-            take(new RolloutEvent.Tick());
+            handleEvent(new RolloutEvent.Tick());
             report();
             long wait = next - System.nanoTime();
-            if (wait > 0 && !over()) {
+            if (wait > 0 && !finished()) {
                 TimeUnit.NANOSECONDS.sleep(wait);
             }
         }
@@ -81,25 +81,25 @@
         return rollout.progress();
     }
 
-    /** It is over, and no operator's word is waiting. */
-    private boolean over() {
-        return rollout.progress().state().terminal() && !Files.exists(file.folder().resolve(WISH));
+    /** Returns whether the rollout has ended and no operator command is pending. */
+    private boolean finished() {
+        return rollout.progress().state().terminal() && !Files.exists(file.folder().resolve(COMMAND_FILE));
     }
 
-    /** A rollout that goes on with what was kept, or a new one whose number is past all that any keeper has seen. */
-    private Rollout begin() throws IOException, InterruptedException {
+    /** Returns a rollout that continues from saved progress, or a new one with a number above all that any supervisor has seen. */
+    private Rollout loadOrCreate() throws IOException, InterruptedException {
         Progress last;
         try {
-            last = kept.read();
+            last = savedProgress.read();
         } catch (ChecksummedFile.DamagedFileException e) {
-            return unknown(e.getMessage());
+            return held(e.getMessage());
         }
         if (last != null && last.plan().equals(file.plan().name()) && !last.state().terminal()) {
             return new Rollout(file.plan(), last);
         }
-        boolean wished = Files.exists(file.folder().resolve(WISH));
-        if (last != null && last.plan().equals(file.plan().name()) && wished) {
-            // its end is not the last word: an operator has one more
+        boolean commandPending = Files.exists(file.folder().resolve(COMMAND_FILE));
+        if (last != null && last.plan().equals(file.plan().name()) && commandPending) {
+            // an operator command can reopen a rollout that has ended
             return new Rollout(file.plan(), last);
         }
         long number = last == null ? 1 : last.order().rollout() + 1;
@@ -110,86 +110,87 @@
     }
 
     /**
-     * What was kept cannot be read. Nothing is changed before an operator says so; whoever is not known to run the old version counts as
-     * one of the new, so that no version stays unnoticed.
+     * Returns a held rollout for saved progress that cannot be read. Nothing changes until an operator decides. Every dispatcher that does not
+     * report the old version is assumed to run the new one, so that a rollback includes it.
      */
-    private Rollout unknown(String why) throws IOException, InterruptedException {
+    private Rollout held(String why) throws IOException, InterruptedException {
         EventLog.log(LogEvent.ROLLOUT_PROBLEM, why);
         Order last = Order.NONE;
-        List<String> fresh = new ArrayList<>(file.plan().dispatchers());
+        List<String> candidates = new ArrayList<>(file.plan().dispatchers());
         for (Map.Entry<String, SupervisorStatus> e : statuses().entrySet()) {
             last = e.getValue().seen().compareTo(last) > 0 ? e.getValue().seen() : last;
             if (e.getValue().label().equals(file.plan().baseline().label())) {
-                fresh.remove(e.getKey());
+                candidates.remove(e.getKey());
             }
         }
-        Progress p = new Progress(file.plan().name(), State.HELD, new Order(Math.max(1, last.rollout()), last.step() + 1), 0, List.of(), fresh, List.of(),
-                why + "; by what the keepers say " + fresh + " may run the new version", false, List.of("what was kept could not be read: " + why));
-        kept.write(p);
+        Progress p = new Progress(file.plan().name(), State.HELD, new Order(Math.max(1, last.rollout()), last.step() + 1), 0, List.of(), candidates,
+                List.of(), why + "; according to the keepers, " + candidates + " may run the new version", false,
+                List.of("the saved progress cannot be read: " + why));
+        savedProgress.write(p);
         return new Rollout(file.plan(), p);
     }
 
-    // ---------------------------------------------------------------- keepers
+    // ---------------------------------------------------------------- supervisors
     private Map<String, SupervisorStatus> statuses() throws InterruptedException {
-        Map<String, Future<SupervisorProtocol.Response>> asked = new HashMap<>();
-        links.forEach((name, link) -> asked.put(name, callers.submit(link::status)));
+        Map<String, Future<SupervisorProtocol.Response>> pending = new HashMap<>();
+        supervisors.forEach((name, supervisor) -> pending.put(name, executor.submit(supervisor::status)));
         Map<String, SupervisorStatus> all = new HashMap<>();
-        for (Map.Entry<String, Future<SupervisorProtocol.Response>> e : asked.entrySet()) {
+        for (Map.Entry<String, Future<SupervisorProtocol.Response>> e : pending.entrySet()) {
             try {
-                SupervisorProtocol.Response a = e.getValue().get(ANSWERS_MS, TimeUnit.MILLISECONDS);
+                SupervisorProtocol.Response a = e.getValue().get(STATUS_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 if (a.status() != null && e.getKey().equals(a.name())) {
                     all.put(e.getKey(), a.status());
                 }
-            } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException silent) {
-                // who does not answer is told by what it does not do
+            } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException unreachable) {
+                // an unreachable supervisor shows up as a missing status
             }
         }
         return all;
     }
 
-    private void take(RolloutEvent event) {
+    private void handleEvent(RolloutEvent event) {
         for (RolloutAction action : List.copyOf(rollout.handle(event, now()))) {
             if (action instanceof RolloutAction.Persist a) {
                 try {
-                    kept.write(a.progress());
+                    savedProgress.write(a.progress());
                 } catch (IOException e) {
-                    // what is not kept must not be done: whoever comes back would not know of it
-                    EventLog.log(LogEvent.ROLLOUT_PROBLEM, "cannot keep what it is about to do, and ends: " + e);
+                    // an action without saved progress must not be performed: it would be unknown after a restart
+                    EventLog.log(LogEvent.ROLLOUT_PROBLEM, "cannot save the progress, exiting: " + e);
                     Runtime.getRuntime().halt(1);
                 }
             } else if (action instanceof RolloutAction.Log a) {
-                EventLog.log(LogEvent.ROLLOUT, a.what());
+                EventLog.log(LogEvent.ROLLOUT, a.message());
             } else if (action instanceof RolloutAction.SendOrder a) {
-                give(a);
+                sendOrder(a);
             }
         }
     }
 
-    private void give(RolloutAction.SendOrder give) {
+    private void sendOrder(RolloutAction.SendOrder action) {
         try {
-            SupervisorProtocol.Response a = links.get(give.dispatcher()).order(give.order(), give.version());
+            SupervisorProtocol.Response a = supervisors.get(action.dispatcher()).order(action.order(), action.version());
             if (a.refused() != null && a.status() != null) {
-                EventLog.log(LogEvent.ROLLOUT_PROBLEM, give.dispatcher() + " refused order " + give.order() + ": " + a.refused());
-                take(new RolloutEvent.OrderRefused(give.dispatcher(), a.status().seen()));
+                EventLog.log(LogEvent.ROLLOUT_PROBLEM, action.dispatcher() + " refused order " + action.order() + ": " + a.refused());
+                handleEvent(new RolloutEvent.OrderRefused(action.dispatcher(), a.status().seen()));
             }
         } catch (IOException e) {
-            // it is given again; in the end the step is not done in time
-            EventLog.log(LogEvent.ROLLOUT_PROBLEM, give.dispatcher() + " did not answer order " + give.order() + ": " + e.getMessage());
+            // the order is sent again until the step times out
+            EventLog.log(LogEvent.ROLLOUT_PROBLEM, action.dispatcher() + " did not answer order " + action.order() + ": " + e.getMessage());
         }
     }
 
     // ---------------------------------------------------------------- operators
-    private OperatorCommand wish() throws IOException {
-        Path path = file.folder().resolve(WISH);
+    private OperatorCommand operatorCommand() throws IOException {
+        Path path = file.folder().resolve(COMMAND_FILE);
         if (!Files.exists(path)) {
             return null;
         }
-        String word = Files.readString(path).strip();
+        String text = Files.readString(path).strip();
         Files.delete(path);
         try {
-            return OperatorCommand.valueOf(word.toUpperCase(Locale.ROOT));
+            return OperatorCommand.valueOf(text.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            EventLog.log(LogEvent.ROLLOUT_PROBLEM, "no word of ours: " + word);
+            EventLog.log(LogEvent.ROLLOUT_PROBLEM, "unknown operator command: " + text);
             return null;
         }
     }
@@ -202,7 +203,7 @@
 
     @Override
     public void close() throws IOException {
-        callers.shutdownNow();
+        executor.shutdownNow();
         disk.close();
     }
 }
--- a/src/main/java/granitefold/cli/rollout/KeepCommand.java
+++ b/src/main/java/granitefold/cli/rollout/KeepCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** A keeper as a process. */
+/** The command {@code keep}: runs the supervisor of one dispatcher. */
 @Command(name = "keep", mixinStandardHelpOptions = true,
-        description = "Keep one dispatcher serving, in the version that rollouts order; goes on until it is ended.")
+        description = "Supervise one dispatcher: keep it serving, in the version that rollouts order. Runs until terminated.")
 public final class KeepCommand implements Callable<Integer> {
-    private static final int BROKEN = 2;
+    private static final int BAD_CONFIGURATION = 2;
 
     @Parameters(paramLabel = "FILE", description = "The keeper's settings.")
     private Path file;
@@ -26,11 +26,11 @@
             new SupervisorServer(SupervisorFile.read(file)).run();
         } catch (InvalidFileException e) {
             e.problems().forEach(spec.commandLine().getErr()::println);
-            return BROKEN;
+            return BAD_CONFIGURATION;
         } catch (ChecksummedFile.DamagedFileException e) {
-            spec.commandLine().getErr().println("granitefold: " + e.getMessage() + "; what it ran is not known: remove the file to begin with the version in "
-                    + file);
-            return BROKEN;
+            spec.commandLine().getErr().println("granitefold: " + e.getMessage()
+                    + "; the version it ran is unknown. Remove the file to start with the version in " + file);
+            return BAD_CONFIGURATION;
         }
         return 0;
     }
--- a/src/main/java/granitefold/cli/rollout/RolloutCommand.java
+++ b/src/main/java/granitefold/cli/rollout/RolloutCommand.java
@@ -19,12 +19,12 @@
 import picocli.CommandLine.ParentCommand;
 import picocli.CommandLine.Spec;
 
-/** A rolling change of program or settings. Exit status: 0 done, 1 stopped or gone back, 2 for a broken plan. */
+/** The command {@code rollout}: staged change of program or settings. Exit status: 0 done, 1 stopped or rolled back, 2 for an invalid plan. */
 @Command(name = "rollout", mixinStandardHelpOptions = true, description = "Change program or settings in stages; stop when a stage does worse.",
         subcommands = {RolloutCommand.Show.class, RolloutCommand.Start.class, RolloutCommand.Status.class, RolloutCommand.Pause.class,
             RolloutCommand.Resume.class, RolloutCommand.Pass.class, RolloutCommand.Stop.class, RolloutCommand.Back.class})
 public final class RolloutCommand implements Callable<Integer> {
-    private static final int NOT_DONE = 1, BROKEN = 2, USAGE = 64;
+    private static final int NOT_DONE = 1, BAD_PLAN = 2, USAGE = 64;
 
     @Spec
     private CommandSpec spec;
@@ -35,8 +35,8 @@
         return USAGE;
     }
 
-    /** Whatever is about one plan. */
-    abstract static class OfPlan implements Callable<Integer> {
+    /** Base of the sub-commands, each of which takes one plan. */
+    abstract static class PlanCommand implements Callable<Integer> {
         @Parameters(paramLabel = "PLAN", description = "The plan's file.")
         private Path plan;
         @ParentCommand
@@ -60,17 +60,18 @@
                 return run(PlanFile.read(plan));
             } catch (InvalidFileException e) {
                 e.problems().forEach(err()::println);
-                return BROKEN;
+                return BAD_PLAN;
             }
         }
 
-        static Progress progress(PlanFile f) throws IOException {
-            return Files.exists(f.folder()) ? new ChecksummedFile<>(DirectoryStorage.readOnly(f.folder()), Controller.PROGRESS, Progress.class).read() : null;
+        static Progress progress(PlanFile planFile) throws IOException {
+            return Files.exists(planFile.folder())
+                    ? new ChecksummedFile<>(DirectoryStorage.readOnly(planFile.folder()), Controller.PROGRESS, Progress.class).read() : null;
         }
     }
 
-    @Command(name = "plan", mixinStandardHelpOptions = true, description = "Check a plan and print what it comes to.")
-    static final class Show extends OfPlan {
+    @Command(name = "plan", mixinStandardHelpOptions = true, description = "Check a plan and print its effective settings.")
+    static final class Show extends PlanCommand {
         @Override
         Integer run(PlanFile.Read read) {
             read.effective().forEach((key, value) -> out().println(key + " = " + value));
@@ -80,8 +81,8 @@
     }
 
     @Command(name = "start", mixinStandardHelpOptions = true,
-            description = "Play a plan to its end, or go on with it where a controller before this one left off.")
-    static final class Start extends OfPlan {
+            description = "Run a plan to its end, or continue it where a previous controller stopped.")
+    static final class Start extends PlanCommand {
         @Override
         Integer run(PlanFile.Read read) throws IOException, InterruptedException {
             try (Controller c = new Controller(read.file())) {
@@ -92,8 +93,8 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "How a rollout stands, by what its controller kept.")
-    static final class Status extends OfPlan {
+    @Command(name = "status", mixinStandardHelpOptions = true, description = "Print the status of a rollout from its saved progress.")
+    static final class Status extends PlanCommand {
         @Option(names = "--json", description = "As a JSON object.")
         private boolean json;
 
@@ -123,8 +124,8 @@
         }
     }
 
-    /** A word for whoever plays the plan, now or later. */
-    abstract static class Word extends OfPlan {
+    /** Base of the sub-commands that leave an operator command for the controller, running or to be started. */
+    abstract static class OperatorCommand extends PlanCommand {
         @Override
         Integer run(PlanFile.Read read) throws IOException {
             Path folder = read.file().folder();
@@ -132,35 +133,36 @@
                 err().println("granitefold: " + read.file().plan().name() + " has not begun");
                 return NOT_DONE;
             }
-            Path next = folder.resolve(Controller.WISH + ".new");
+            Path next = folder.resolve(Controller.COMMAND_FILE + ".new");
             Files.writeString(next, getClass().getAnnotation(Command.class).name() + "\n");
-            Files.move(next, folder.resolve(Controller.WISH), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            out().println("left for the controller; where none runs, `rollout start` takes it up");
+            Files.move(next, folder.resolve(Controller.COMMAND_FILE), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            out().println("left for the controller; if none is running, `rollout start` will take it up");
             return 0;
         }
 
-        private static boolean progressOrDamaged(PlanFile f) throws IOException {
+        private static boolean progressOrDamaged(PlanFile planFile) throws IOException {
             try {
-                return progress(f) == null;
+                return progress(planFile) == null;
             } catch (ChecksummedFile.DamagedFileException e) {
-                // that it cannot be read is the very reason to have a word
+                // damaged progress holds the rollout until an operator command arrives
                 return false;
             }
         }
     }
 
-    @Command(name = "pause", mixinStandardHelpOptions = true, description = "Give no further orders and judge nothing, until resumed.")
-    static final class Pause extends Word { }
+    @Command(name = "pause", mixinStandardHelpOptions = true, description = "Send no further orders and evaluate nothing until resumed.")
+    static final class Pause extends OperatorCommand { }
 
-    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Go on after a pause; look again, or try again, where it holds.")
-    static final class Resume extends Word { }
+    @Command(name = "resume", mixinStandardHelpOptions = true,
+            description = "Continue after a pause; if the rollout is held, compare again or retry the failed step.")
+    static final class Resume extends OperatorCommand { }
 
-    @Command(name = "pass", mixinStandardHelpOptions = true, description = "Go on to the next stage though new and old were not told apart.")
-    static final class Pass extends Word { }
+    @Command(name = "pass", mixinStandardHelpOptions = true, description = "Proceed to the next stage although the comparison was inconclusive.")
+    static final class Pass extends OperatorCommand { }
 
-    @Command(name = "stop", mixinStandardHelpOptions = true, description = "Stay as it is, for good.")
-    static final class Stop extends Word { }
+    @Command(name = "stop", mixinStandardHelpOptions = true, description = "End the rollout and leave every dispatcher on its present version.")
+    static final class Stop extends OperatorCommand { }
 
-    @Command(name = "back", mixinStandardHelpOptions = true, description = "All back to the old version.")
-    static final class Back extends Word { }
+    @Command(name = "back", mixinStandardHelpOptions = true, description = "Roll all dispatchers back to the old version.")
+    static final class Back extends OperatorCommand { }
 }
--- a/src/main/java/granitefold/cli/rollout/SupervisedProcess.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisedProcess.java
@@ -20,12 +20,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One process of a keeper's dispatcher, started by it or found again after the keeper's own restart. */
+/** One process of the supervised dispatcher, started by the supervisor or found again after the supervisor's restart. */
 final class SupervisedProcess {
-    private static final String MARK = "-Dgranitefold.life=";
+    private static final String MARKER = "-Dgranitefold.life=";
     private static final Pattern OPS = Pattern.compile("checks: ops on (\\S+):(\\d+)");
-    private static final Pattern RSS = Pattern.compile("VmRSS:\\s+(\\d+) kB");
-    private static final int ASK_MS = 1000, LONGEST_LOG = 1 << 20;
+    private static final Pattern RESIDENT_KB = Pattern.compile("VmRSS:\\s+(\\d+) kB");
+    private static final int REQUEST_TIMEOUT_MS = 1000, MAX_LOG_HEAD_BYTES = 1 << 20;
 
     final long incarnation;
     final ProcessHandle handle;
@@ -33,7 +33,7 @@
     private volatile InetSocketAddress ops;
     private volatile double heldS;
     private volatile double watchedS;
-    private long watchedAt;
+    private long lastReadingNs;
 
     private SupervisedProcess(long incarnation, ProcessHandle handle, Path log) {
         this.incarnation = incarnation;
@@ -41,59 +41,59 @@
         this.log = log;
     }
 
-    private static Path log(SupervisorFile f, long incarnation) {
-        return f.folder().resolve("log-" + incarnation);
+    private static Path log(SupervisorFile settings, long incarnation) {
+        return settings.folder().resolve("log-" + incarnation);
     }
 
-    /** Starts one. Its configuration is the keeper's, or the version's own, with a second address of its own. */
-    static SupervisedProcess start(SupervisorFile f, long incarnation, Version v) throws IOException {
-        Path base = v.config().isEmpty() ? f.config() : Path.of(v.config());
+    /** Starts a process with the version's configuration, or else the supervisor's; its ops address gets a free port. */
+    static SupervisedProcess start(SupervisorFile settings, long incarnation, Version version) throws IOException {
+        Path base = version.config().isEmpty() ? settings.config() : Path.of(version.config());
         ObjectNode config = (ObjectNode) ChecksummedFile.JSON.readTree(Files.readAllBytes(base));
         String listen = config.path("listen").asText();
         config.put("ops", listen.substring(0, listen.lastIndexOf(':')) + ":0");
-        Path file = f.folder().resolve("config-" + incarnation + ".json");
+        Path file = settings.folder().resolve("config-" + incarnation + ".json");
         Files.write(file, ChecksummedFile.JSON.writeValueAsBytes(config));
-        List<String> line = new ArrayList<>(f.java());
-        line.add(MARK + f.folder() + "#" + incarnation);
-        line.addAll(List.of("-jar", v.jar(), "serve", "--config", file.toString()));
-        if (!v.operator().isEmpty()) {
-            line.addAll(List.of("--operator", v.operator()));
+        List<String> command = new ArrayList<>(settings.java());
+        command.add(MARKER + settings.folder() + "#" + incarnation);
+        command.addAll(List.of("-jar", version.jar(), "serve", "--config", file.toString()));
+        if (!version.operator().isEmpty()) {
+            command.addAll(List.of("--operator", version.operator()));
         }
-        Path log = log(f, incarnation);
-        ProcessBuilder b = new ProcessBuilder(line).redirectErrorStream(true).redirectOutput(log.toFile());
-        b.environment().put("TMPDIR", f.folder().toString());
-        b.environment().remove("LB_OPS");
-        return new SupervisedProcess(incarnation, b.start().toHandle(), log);
+        Path log = log(settings, incarnation);
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
+        builder.environment().put("TMPDIR", settings.folder().toString());
+        builder.environment().remove("LB_OPS");
+        return new SupervisedProcess(incarnation, builder.start().toHandle(), log);
     }
 
-    /** Those of a keeper's folder that live, whoever started them: the mark is in their arguments. */
-    static List<SupervisedProcess> find(SupervisorFile f) {
-        String mark = MARK + f.folder() + "#";
-        List<SupervisedProcess> found = new ArrayList<>();
+    /** Returns the running processes of a supervisor's folder, identified by the marker in their arguments. */
+    static List<SupervisedProcess> find(SupervisorFile settings) {
+        String marker = MARKER + settings.folder() + "#";
+        List<SupervisedProcess> running = new ArrayList<>();
         ProcessHandle.allProcesses().forEach(p -> {
             Optional<String[]> arguments = p.info().arguments();
             for (String a : arguments.orElse(new String[0])) {
-                if (a.startsWith(mark)) {
-                    long incarnation = Long.parseLong(a.substring(mark.length()));
-                    found.add(new SupervisedProcess(incarnation, p, log(f, incarnation)));
+                if (a.startsWith(marker)) {
+                    long incarnation = Long.parseLong(a.substring(marker.length()));
+                    running.add(new SupervisedProcess(incarnation, p, log(settings, incarnation)));
                 }
             }
         });
-        return found;
+        return running;
     }
 
-    boolean serves() {
+    boolean isReady() {
         try {
-            return ask("check").startsWith("ACK");
+            return request("check").startsWith("ACK");
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Its figures now, or null where it tells none. */
+    /** Returns the present metrics of the process, or null if it does not respond. */
     Sample sample() {
         try {
-            JsonNode vars = ChecksummedFile.JSON.readTree(ask("vars"));
+            JsonNode vars = ChecksummedFile.JSON.readTree(request("vars"));
             Map<String, Sample.Counts> classes = new LinkedHashMap<>();
             vars.path("replies").fields().forEachRemaining(e -> classes.put(e.getKey(), new Sample.Counts(e.getValue().path("success").asLong(),
                     e.getValue().path("overload").asLong(), e.getValue().path("error").asLong())));
@@ -103,62 +103,62 @@
         }
     }
 
-    /** Adds up what it holds: one look tells little where it is a few requests. From one thread. */
-    void watch() {
+    /** Integrates the number of held requests over time, since a single reading of a small number says little. Called from one thread. */
+    void integrateHeld() {
         try {
-            int now = ChecksummedFile.JSON.readTree(ask("vars")).path("concurrent").asInt();
-            long at = System.nanoTime();
-            if (watchedAt != 0) {
-                double s = (at - watchedAt) / 1e9;
-                heldS = heldS + now * s;
+            int held = ChecksummedFile.JSON.readTree(request("vars")).path("concurrent").asInt();
+            long nowNs = System.nanoTime();
+            if (lastReadingNs != 0) {
+                double s = (nowNs - lastReadingNs) / 1e9;
+                heldS = heldS + held * s;
                 watchedS = watchedS + s;
             }
-            watchedAt = at;
+            lastReadingNs = nowNs;
         } catch (IOException e) {
-            // it tells nothing now: the time until it does is not counted
-            watchedAt = 0;
+            // no response: the time until the next one is not counted
+            lastReadingNs = 0;
         }
     }
 
     private long rssKb() {
         try {
-            Matcher m = RSS.matcher(Files.readString(Path.of("/proc/" + handle.pid() + "/status")));
+            Matcher m = RESIDENT_KB.matcher(Files.readString(Path.of("/proc/" + handle.pid() + "/status")));
             return m.find() ? Long.parseLong(m.group(1)) : 0;
         } catch (IOException e) {
-            // not on this system, or it has just ended
+            // there is no /proc on this system, or the process has just exited
             return 0;
         }
     }
 
-    private String ask(String call) throws IOException {
+    private String request(String verb) throws IOException {
         if (ops == null) {
             byte[] head;
             try (var in = Files.newInputStream(log)) {
-                head = in.readNBytes(LONGEST_LOG);
+                head = in.readNBytes(MAX_LOG_HEAD_BYTES);
             }
             Matcher m = OPS.matcher(new String(head, StandardCharsets.UTF_8));
             if (!m.find()) {
-                throw new IOException("no second address yet");
+                throw new IOException("no ops address in the log yet");
             }
             ops = new InetSocketAddress(m.group(1), Integer.parseInt(m.group(2)));
         }
         try (Socket s = new Socket()) {
-            s.connect(ops, ASK_MS);
-            s.setSoTimeout(ASK_MS);
-            s.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
-            String line = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8)).readLine();
-            if (line == null) {
-                throw new IOException("no answer");
+            s.connect(ops, REQUEST_TIMEOUT_MS);
+            s.setSoTimeout(REQUEST_TIMEOUT_MS);
+            s.getOutputStream().write((verb + "\n").getBytes(StandardCharsets.US_ASCII));
+            String response = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8)).readLine();
+            if (response == null) {
+                throw new IOException("no response");
             }
-            return line;
+            return response;
         }
     }
 
-    /** The last line that it wrote, for whoever asks why it ended. */
+    /** Returns the last line of the log, as the reason of the process's exit. */
     String lastLine() {
         try {
             List<String> all = Files.readAllLines(log);
-            return all.isEmpty() ? "it wrote nothing" : all.get(all.size() - 1);
+            return all.isEmpty() ? "empty log" : all.get(all.size() - 1);
         } catch (IOException e) {
             return e.toString();
         }
--- a/src/main/java/granitefold/cli/rollout/SupervisorClient.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisorClient.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A controller's way to one keeper. */
+/** Client of one supervisor. */
 final class SupervisorClient {
     private static final int CONNECT_MS = 1000, ANSWER_MS = 2500;
 
@@ -28,14 +28,14 @@
     }
 
     private SupervisorProtocol.Response call(SupervisorProtocol.Request call) throws IOException {
-        try (Socket s = new Socket()) {
-            s.connect(address, CONNECT_MS);
-            s.setSoTimeout(ANSWER_MS);
-            s.getOutputStream().write((ChecksummedFile.JSON.writeValueAsString(call) + "\n").getBytes(StandardCharsets.UTF_8));
-            BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
+        try (Socket socket = new Socket()) {
+            socket.connect(address, CONNECT_MS);
+            socket.setSoTimeout(ANSWER_MS);
+            socket.getOutputStream().write((ChecksummedFile.JSON.writeValueAsString(call) + "\n").getBytes(StandardCharsets.UTF_8));
+            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             String line = in.readLine();
             if (line == null || line.length() > SupervisorProtocol.MAX_LINE_CHARS) {
-                throw new IOException("no answer");
+                throw new IOException("no response");
             }
             return ChecksummedFile.JSON.readValue(line, SupervisorProtocol.Response.class);
         }
--- a/src/main/java/granitefold/cli/rollout/SupervisorServer.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisorServer.java
@@ -22,42 +22,43 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Runs a {@link Supervisor}: one thread has the machine, others wait for processes, sockets and answers and tell it. */
+/** Runs a {@link Supervisor}: one thread owns the state machine; other threads wait for processes and connections and queue events for it. */
 final class SupervisorServer {
-    private static final int BACKLOG = 32, CALLERS = 8, READ_MS = 2000;
-    private static final long TICK_MS = 100, LEFT_OVER_S = 10;
+    private static final int BACKLOG = 32, HANDLER_THREADS = 8, READ_TIMEOUT_MS = 2000;
+    private static final long TICK_MS = 100, LEFTOVER_TIMEOUT_S = 10;
 
     private final SupervisorFile file;
     private final DirectoryStorage disk;
-    private final ChecksummedFile<SupervisorRecord> kept;
-    private final Supervisor keeper;
+    private final ChecksummedFile<SupervisorRecord> savedRecord;
+    private final Supervisor supervisor;
     private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final Map<Long, SupervisedProcess> processes = new HashMap<>();
-    private final ExecutorService callers = Executors.newFixedThreadPool(CALLERS, r -> {
-        Thread t = new Thread(r, "keeper call");
-        t.setDaemon(true);
-        return t;
+    private final ExecutorService executor = Executors.newFixedThreadPool(HANDLER_THREADS, r -> {
+        Thread thread = new Thread(r, "keeper call");
+        thread.setDaemon(true);
+        return thread;
     });
     private volatile SupervisedProcess serving;
-    private volatile SupervisedProcess coming;
+    private volatile SupervisedProcess starting;
 
     SupervisorServer(SupervisorFile file) throws IOException {
         this.file = file;
         disk = DirectoryStorage.open(file.folder());
-        kept = new ChecksummedFile<>(disk, "keeper", SupervisorRecord.class);
-        SupervisorRecord record = kept.read();
-        keeper = new Supervisor(new Supervisor.Options(file.overlap(), file.readyTimeoutUs()), record == null ? SupervisorRecord.initial(file.first()) : record);
+        savedRecord = new ChecksummedFile<>(disk, "keeper", SupervisorRecord.class);
+        SupervisorRecord record = savedRecord.read();
+        supervisor = new Supervisor(new Supervisor.Options(file.overlap(), file.readyTimeoutUs()),
+                record == null ? SupervisorRecord.initial(file.initialVersion()) : record);
     }
 
     private static long now() {
         return System.nanoTime() / 1000;
     }
 
-    /** Runs until the process is ended; the dispatcher goes on without its keeper, and is found again. */
+    /** Runs until this process is terminated. The dispatcher keeps running without its supervisor and is found again after a restart. */
     void run() throws IOException, InterruptedException {
         ServerSocket listener = new ServerSocket(file.listen().getPort(), BACKLOG, file.listen().getAddress());
         EventLog.log(LogEvent.KEEPER, "listening on " + file.listen().getAddress().getHostAddress() + ":" + listener.getLocalPort());
-        begin();
+        adoptProcesses();
         daemon(() -> accept(listener), "keeper accept");
         daemon(this::watch, "keeper watch");
         while (true) {
@@ -65,93 +66,93 @@
             if (next != null) {
                 next.run();
             }
-            take(new SupervisorEvent.Tick());
+            handleEvent(new SupervisorEvent.Tick());
         }
     }
 
-    private static void daemon(Runnable what, String name) {
-        Thread t = new Thread(what, name);
-        t.setDaemon(true);
-        t.start();
+    private static void daemon(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    /** What a keeper before this one left running: one may serve on, any other one would be a version that nobody knows of. */
-    private void begin() throws InterruptedException {
-        long serves = keeper.previousServing();
+    /** Finds the processes left by a previous supervisor: adopts the recorded serving process and terminates all others. */
+    private void adoptProcesses() throws InterruptedException {
+        long previous = supervisor.previousServing();
         boolean alive = false;
-        for (SupervisedProcess p : SupervisedProcess.find(file)) {
-            if (p.incarnation == serves && !alive) {
+        for (SupervisedProcess process : SupervisedProcess.find(file)) {
+            if (process.incarnation == previous && !alive) {
                 alive = true;
-                processes.put(p.incarnation, p);
-                waitFor(p);
+                processes.put(process.incarnation, process);
+                waitFor(process);
             } else {
-                EventLog.log(LogEvent.KEEPER, "ends a process that is left of life " + p.incarnation);
-                p.handle.destroy();
+                EventLog.log(LogEvent.KEEPER, "terminates leftover process " + process.incarnation);
+                process.handle.destroy();
                 try {
-                    p.handle.onExit().get(LEFT_OVER_S, TimeUnit.SECONDS);
+                    process.handle.onExit().get(LEFTOVER_TIMEOUT_S, TimeUnit.SECONDS);
                 } catch (java.util.concurrent.TimeoutException | java.util.concurrent.ExecutionException e) {
-                    p.handle.destroyForcibly();
+                    process.handle.destroyForcibly();
                 }
             }
         }
-        take(new SupervisorEvent.Startup(alive));
+        handleEvent(new SupervisorEvent.Startup(alive));
     }
 
-    private void take(SupervisorEvent event) {
-        List<SupervisorAction> actions = List.copyOf(keeper.handle(event, now()));
+    private void handleEvent(SupervisorEvent event) {
+        List<SupervisorAction> actions = List.copyOf(supervisor.handle(event, now()));
         actions.forEach(this::perform);
-        serving = processes.get(keeper.servingIncarnation());
-        coming = processes.get(keeper.startingIncarnation());
+        serving = processes.get(supervisor.servingIncarnation());
+        starting = processes.get(supervisor.startingIncarnation());
     }
 
     private void perform(SupervisorAction action) {
         if (action instanceof SupervisorAction.Persist a) {
             try {
-                kept.write(a.record());
+                savedRecord.write(a.record());
             } catch (IOException e) {
-                // what is not kept must not be done: whoever comes back would not know of it
-                EventLog.log(LogEvent.KEEPER_PROBLEM, "cannot keep what it is about to do, and ends: " + e);
+                // an action without a saved record must not be performed: it would be unknown after a restart
+                EventLog.log(LogEvent.KEEPER_PROBLEM, "cannot save the state, exiting: " + e);
                 Runtime.getRuntime().halt(1);
             }
         } else if (action instanceof SupervisorAction.Start a) {
             try {
-                SupervisedProcess p = SupervisedProcess.start(file, a.incarnation(), a.version());
-                processes.put(a.incarnation(), p);
-                EventLog.log(LogEvent.KEEPER, "life " + a.incarnation() + " is " + a.version().label() + ", pid " + p.handle.pid());
-                waitFor(p);
+                SupervisedProcess process = SupervisedProcess.start(file, a.incarnation(), a.version());
+                processes.put(a.incarnation(), process);
+                EventLog.log(LogEvent.KEEPER, "process " + a.incarnation() + " runs " + a.version().label() + ", pid " + process.handle.pid());
+                waitFor(process);
             } catch (IOException | RuntimeException e) {
-                queue.add(() -> take(new SupervisorEvent.Exited(a.incarnation(), "cannot be started: " + e.getMessage())));
+                queue.add(() -> handleEvent(new SupervisorEvent.Exited(a.incarnation(), "cannot be started: " + e.getMessage())));
             }
         } else if (action instanceof SupervisorAction.Terminate a) {
             processes.get(a.incarnation()).handle.destroy();
         } else if (action instanceof SupervisorAction.Kill a) {
-            SupervisedProcess p = processes.get(a.incarnation());
-            if (p != null) {
-                p.handle.destroyForcibly();
+            SupervisedProcess process = processes.get(a.incarnation());
+            if (process != null) {
+                process.handle.destroyForcibly();
             }
         } else if (action instanceof SupervisorAction.Log a) {
-            EventLog.log(LogEvent.KEEPER, a.what());
+            EventLog.log(LogEvent.KEEPER, a.message());
         }
     }
 
-    private void waitFor(SupervisedProcess p) {
-        p.handle.onExit().thenAccept(h -> queue.add(() -> {
-            processes.remove(p.incarnation);
-            take(new SupervisorEvent.Exited(p.incarnation, p.lastLine()));
+    private void waitFor(SupervisedProcess process) {
+        process.handle.onExit().thenAccept(exited -> queue.add(() -> {
+            processes.remove(process.incarnation);
+            handleEvent(new SupervisorEvent.Exited(process.incarnation, process.lastLine()));
         }));
     }
 
-    /** Asks a process that is coming up whether it serves, and looks what the one that serves holds. */
+    /** Polls the starting process for readiness and the serving process for the number of requests it holds. */
     private void watch() {
         try {
             while (true) {
-                SupervisedProcess p = coming;
-                if (p != null && p.serves()) {
-                    queue.add(() -> take(new SupervisorEvent.Ready(p.incarnation)));
+                SupervisedProcess process = starting;
+                if (process != null && process.isReady()) {
+                    queue.add(() -> handleEvent(new SupervisorEvent.Ready(process.incarnation)));
                 }
-                SupervisedProcess q = serving;
-                if (q != null) {
-                    q.watch();
+                SupervisedProcess current = serving;
+                if (current != null) {
+                    current.integrateHeld();
                 }
                 Thread.sleep(TICK_MS / 2);
             }
@@ -165,7 +166,7 @@
         while (true) {
             try {
                 Socket s = listener.accept();
-                callers.execute(() -> answer(s));
+                executor.execute(() -> answer(s));
             } catch (IOException e) {
                 EventLog.log(LogEvent.KEEPER_PROBLEM, e.toString());
             }
@@ -174,7 +175,7 @@
 
     private void answer(Socket socket) {
         try (socket) {
-            socket.setSoTimeout(READ_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             char[] line = new char[SupervisorProtocol.MAX_LINE_CHARS];
             int n = 0;
@@ -184,7 +185,7 @@
             String text = answer(new String(line, 0, n));
             socket.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            // who does not wait for an answer gets none
+            // the client has disconnected
         }
     }
 
@@ -195,9 +196,9 @@
         } catch (IOException e) {
             call = null;
         }
-        // asked of the process on this thread: a slow answer must not hold up the machine
-        SupervisedProcess p = serving;
-        var sample = p == null ? null : p.sample();
+        // queried on this thread, so that a slow response of the process does not delay the state machine
+        SupervisedProcess process = serving;
+        var sample = process == null ? null : process.sample();
         SupervisorProtocol.Request asked = call;
         java.util.concurrent.CompletableFuture<SupervisorProtocol.Response> answer = new java.util.concurrent.CompletableFuture<>();
         queue.add(() -> {
@@ -209,12 +210,12 @@
             } else if (!asked.call().equals("status")) {
                 refused = "known are status and order";
             }
-            answer.complete(new SupervisorProtocol.Response(SupervisorProtocol.PROTOCOL_VERSION, file.name(), refused, keeper.status(sample)));
+            answer.complete(new SupervisorProtocol.Response(SupervisorProtocol.PROTOCOL_VERSION, file.name(), refused, supervisor.status(sample)));
         });
         try {
-            return ChecksummedFile.JSON.writeValueAsString(answer.get(READ_MS, TimeUnit.MILLISECONDS));
+            return ChecksummedFile.JSON.writeValueAsString(answer.get(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException | java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            throw new IOException("no answer in time", e);
+            throw new IOException("no response in time", e);
         }
     }
 
@@ -222,10 +223,10 @@
         if (call.order() == null || call.version() == null || call.order().rollout() < 1) {
             return "an order has a number and a version";
         }
-        if (keeper.isStale(call.order())) {
-            return "stale: order " + keeper.record().seen() + " was seen";
+        if (supervisor.isStale(call.order())) {
+            return "stale: order " + supervisor.record().seen() + " was seen";
         }
-        take(new SupervisorEvent.OrderReceived(call.order(), call.version()));
+        handleEvent(new SupervisorEvent.OrderReceived(call.order(), call.version()));
         return null;
     }
 }
--- a/src/main/java/granitefold/cli/rollout/package-info.java
+++ b/src/main/java/granitefold/cli/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The fronts of {@code granitefold.rollout}: the controller and its commands, the keeper of one dispatcher, the files that both keep, and
- * the words between them. It starts processes, reads and writes files and sockets; what follows from what is decided there.
+ * Drivers of the state machines in {@code granitefold.rollout}: the controller and its commands, the supervisor of one dispatcher, their
+ * files, and the protocol between them. This package does the I/O: processes, files and sockets.
  */
 package granitefold.cli.rollout;
--- a/src/main/java/granitefold/rollout/Comparison.java
+++ b/src/main/java/granitefold/rollout/Comparison.java
@@ -8,25 +8,26 @@
 import java.util.TreeMap;
 
 /**
- * What one stage has shown so far. New and old ones are compared at the same time on the same traffic: each value is the difference
- * between the two groups over one stretch of time, so that a trouble that hits both cancels out. A stretch with too few answers on one
- * side goes on with the next.
+ * Statistical comparison of the new version (candidate) with the old one (baseline) in one stage. Both groups are measured at the same
+ * time on the same traffic: each value is the difference between them over one block of time, so that a fault that affects both
+ * cancels out. A block with too few answers in one group is extended.
  */
 public final class Comparison {
-    /** Answers of a class on either side without which a stretch of it says little. */
-    static final int ANSWERS = 20;
-    /** Stretches at which the intervals are to be tightest. */
-    private static final int TIGHTEST = 30;
-    /** So many answers on one side end a stretch, however few the other gave. */
-    private static final int SILENT = 200;
-    /** A dispatcher that holds so many requests and answers none is at fault. */
-    private static final int HOLDS = 5;
-    /** Lest a moment without any request make a logarithm of nothing. */
-    private static final double LEAST_HELD = 0.1;
-    private static final double LN_NOISE = 0.0025;
-
-    /** What has been counted and not yet compared. */
-    private static final class Side {
+    /** Answers that each group must have before a block is closed. */
+    static final int MIN_ANSWERS = 20;
+    /** Number of blocks at which the confidence intervals are tightest. */
+    private static final int TIGHTEST_AT_BLOCKS = 30;
+    /** Answers of one group that close a block even if the other group has fewer than the minimum. */
+    private static final int MAX_ANSWERS = 200;
+    /** Mean number of held requests from which a group's time is compared although it has few answers. */
+    private static final int MIN_HELD = 5;
+    /** Added to the mean number of held requests, so that the logarithm of an idle group's time is finite. */
+    private static final double HELD_OFFSET = 0.1;
+    /** Minimum variance of the logarithm of a ratio. */
+    private static final double MIN_LOG_RATIO_VARIANCE = 0.0025;
+
+    /** Sums of one group in the current block. */
+    private static final class Group {
         final Map<String, Sample.Counts> classes = new TreeMap<>();
         double held;
         double watched;
@@ -34,14 +35,14 @@
         int samples;
         int dispatchers;
 
-        /** Whether it has answers enough for a mean, or holds requests that get none. Who is hardly asked tells nothing. */
-        boolean tellsTime() {
-            return answers() >= ANSWERS || watched > 0 && held / watched >= HOLDS;
+        /** Returns whether the group has enough answers for a mean, or holds requests without answering. A nearly idle group has neither. */
+        boolean hasTime() {
+            return answers() >= MIN_ANSWERS || watched > 0 && held / watched >= MIN_HELD;
         }
 
-        /** Little's law: the mean time in the dispatcher is what it holds over what it answers a second. */
+        /** Returns the mean time in the dispatcher by Little's law: mean number held divided by answers per second. */
         double time(double seconds) {
-            return (held / watched + LEAST_HELD) / ((answers() + 0.5) / seconds / dispatchers);
+            return (held / watched + HELD_OFFSET) / ((answers() + 0.5) / seconds / dispatchers);
         }
 
         long answers() {
@@ -50,43 +51,43 @@
     }
 
     private final Margins margins;
-    private final Map<String, Sample> last = new HashMap<>();
-    private final Map<String, ConfidenceSequence> figures = new TreeMap<>();
+    private final Map<String, Sample> lastSamples = new HashMap<>();
+    private final Map<String, ConfidenceSequence> metrics = new TreeMap<>();
     private final double alphaEach;
     private final List<String> classes;
-    private Side fresh = new Side();
-    private Side old = new Side();
+    private Group candidate = new Group();
+    private Group baseline = new Group();
     private double seconds;
 
-    /** {@code classes}: those that are compared each by itself. */
+    /** {@code classes}: job classes that are also compared individually. */
     public Comparison(Margins margins, Collection<String> classes) {
         this.margins = margins;
         this.classes = List.copyOf(classes);
-        // served, time, memory; refused and errors of each class: together they err no more often than one may
+        // Bonferroni correction: three metrics over all classes (served, time, memory), two for each class (refused, errors)
         alphaEach = margins.alpha() / (3 + 2 * this.classes.size());
     }
 
     /**
-     * One look at both groups, at the same time.
+     * Adds samples of both groups taken at the same time.
      *
-     * @param seconds since the look before
+     * @param seconds time since the previous samples
      */
-    public void look(Map<String, Sample> fresh, Map<String, Sample> old, double seconds) {
-        boolean first = last.isEmpty();
-        take(this.fresh, fresh);
-        take(this.old, old);
-        last.keySet().retainAll(union(fresh, old));
-        last.putAll(fresh);
-        last.putAll(old);
+    public void addSamples(Map<String, Sample> candidate, Map<String, Sample> baseline, double seconds) {
+        boolean first = lastSamples.isEmpty();
+        accumulate(this.candidate, candidate);
+        accumulate(this.baseline, baseline);
+        lastSamples.keySet().retainAll(union(candidate, baseline));
+        lastSamples.putAll(candidate);
+        lastSamples.putAll(baseline);
         if (first) {
             return;
         }
         this.seconds += seconds;
-        if (Math.min(this.fresh.answers(), this.old.answers()) >= ANSWERS
-                || Math.max(this.fresh.answers(), this.old.answers()) >= SILENT) {
-            compare();
-            this.fresh = new Side();
-            this.old = new Side();
+        if (Math.min(this.candidate.answers(), this.baseline.answers()) >= MIN_ANSWERS
+                || Math.max(this.candidate.answers(), this.baseline.answers()) >= MAX_ANSWERS) {
+            closeBlock();
+            this.candidate = new Group();
+            this.baseline = new Group();
             this.seconds = 0;
         }
     }
@@ -97,61 +98,62 @@
         return all;
     }
 
-    private void take(Side side, Map<String, Sample> now) {
-        side.dispatchers = now.size();
-        now.forEach((name, s) -> {
-            Sample before = last.get(name);
+    private void accumulate(Group group, Map<String, Sample> current) {
+        group.dispatchers = current.size();
+        current.forEach((name, s) -> {
+            Sample before = lastSamples.get(name);
             if (before == null || before.life() != s.life()) {
                 return;
             }
-            s.classes().forEach((c, counts) -> side.classes.merge(c, counts.minus(before.classes().getOrDefault(c, Sample.Counts.NONE)),
+            s.classes().forEach((c, counts) -> group.classes.merge(c, counts.minus(before.classes().getOrDefault(c, Sample.Counts.NONE)),
                     Sample.Counts::plus));
-            side.held += s.heldS() - before.heldS();
-            side.watched += s.watchedS() - before.watchedS();
-            side.rss += s.rssKb();
-            side.samples++;
+            group.held += s.heldS() - before.heldS();
+            group.watched += s.watchedS() - before.watchedS();
+            group.rss += s.rssKb();
+            group.samples++;
         });
     }
 
-    private void compare() {
-        if (fresh.samples == 0 || old.samples == 0) {
+    private void closeBlock() {
+        if (candidate.samples == 0 || baseline.samples == 0) {
             return;
         }
-        double freshShare = served(fresh);
-        double oldShare = served(old);
-        if (fresh.answers() > 0 && old.answers() > 0) {
-            add("served", oldShare - freshShare, chance(freshShare, oldShare, fresh.answers(), old.answers()));
+        double candidateShare = served(candidate);
+        double baselineShare = served(baseline);
+        if (candidate.answers() > 0 && baseline.answers() > 0) {
+            add("served", baselineShare - candidateShare, samplingVariance(candidateShare, baselineShare, candidate.answers(), baseline.answers()));
         }
-        if (fresh.watched > 0 && old.watched > 0 && fresh.tellsTime() && old.tellsTime()) {
-            add("time", Math.log(fresh.time(seconds) / old.time(seconds)), 1 / (fresh.answers() + 1.0) + 1 / (old.answers() + 1.0) + LN_NOISE);
+        if (candidate.watched > 0 && baseline.watched > 0 && candidate.hasTime() && baseline.hasTime()) {
+            add("time", Math.log(candidate.time(seconds) / baseline.time(seconds)),
+                    1 / (candidate.answers() + 1.0) + 1 / (baseline.answers() + 1.0) + MIN_LOG_RATIO_VARIANCE);
         }
-        if (fresh.rss > 0 && old.rss > 0) {
-            add("memory", Math.log(fresh.rss / fresh.samples * old.samples / old.rss), LN_NOISE);
+        if (candidate.rss > 0 && baseline.rss > 0) {
+            add("memory", Math.log(candidate.rss / candidate.samples * baseline.samples / baseline.rss), MIN_LOG_RATIO_VARIANCE);
         }
         for (String c : classes) {
-            Sample.Counts f = fresh.classes.getOrDefault(c, Sample.Counts.NONE);
-            Sample.Counts o = old.classes.getOrDefault(c, Sample.Counts.NONE);
+            Sample.Counts f = candidate.classes.getOrDefault(c, Sample.Counts.NONE);
+            Sample.Counts o = baseline.classes.getOrDefault(c, Sample.Counts.NONE);
             if (f.all() > 0 && o.all() > 0) {
-                share("refused " + c, f.overload(), f.all(), o.overload(), o.all());
-                share("errors " + c, f.error(), f.all(), o.error(), o.all());
+                addShare("refused " + c, f.overload(), f.all(), o.overload(), o.all());
+                addShare("errors " + c, f.error(), f.all(), o.error(), o.all());
             }
         }
     }
 
-    private void share(String figure, long fresh, long freshAll, long old, long oldAll) {
-        double a = (double) fresh / freshAll;
-        double b = (double) old / oldAll;
-        add(figure, a - b, chance(a, b, freshAll, oldAll));
+    private void addShare(String metric, long candidate, long candidateAll, long baseline, long baselineAll) {
+        double a = (double) candidate / candidateAll;
+        double b = (double) baseline / baselineAll;
+        add(metric, a - b, samplingVariance(a, b, candidateAll, baselineAll));
     }
 
-    /** The variance that chance alone gives a difference of two shares. */
-    private static double chance(double a, double b, long n, long m) {
-        // Laplace's rule: a share that was never seen is not impossible
+    /** Returns the sampling variance of the difference of two shares. */
+    private static double samplingVariance(double a, double b, long n, long m) {
+        // Laplace's rule of succession, so that the variance of an outcome not seen yet is not 0
         double p = ((a * n + b * m) + 1) / (n + m + 2);
         return p * (1 - p) * (1.0 / n + 1.0 / m);
     }
 
-    private double served(Side s) {
+    private double served(Group s) {
         double all = 0;
         double served = 0;
         for (Map.Entry<String, Sample.Counts> e : s.classes.entrySet()) {
@@ -161,12 +163,12 @@
         return all == 0 ? 0 : served / all;
     }
 
-    private void add(String figure, double harm, double minVariance) {
-        figures.computeIfAbsent(figure, f -> new ConfidenceSequence(alphaEach, TIGHTEST)).add(harm, minVariance);
+    private void add(String metric, double degradation, double minVariance) {
+        metrics.computeIfAbsent(metric, f -> new ConfidenceSequence(alphaEach, TIGHTEST_AT_BLOCKS)).add(degradation, minVariance);
     }
 
-    private double margin(String figure) {
-        return switch (figure.split(" ")[0]) {
+    private double margin(String metric) {
+        return switch (metric.split(" ")[0]) {
             case "served" -> margins.served();
             case "refused" -> margins.refused();
             case "errors" -> margins.errors();
@@ -175,15 +177,15 @@
         };
     }
 
-    /** All that was found, the worst first. */
+    /** Returns the results of all metrics, the worst first. */
     public List<MetricResult> metricResults() {
         List<MetricResult> all = new ArrayList<>();
-        figures.forEach((name, s) -> all.add(new MetricResult(name, s.mean(), s.lower(), s.upper(), margin(name), s.count())));
+        metrics.forEach((name, s) -> all.add(new MetricResult(name, s.mean(), s.lower(), s.upper(), margin(name), s.count())));
         all.sort((a, b) -> Double.compare(b.degradation() / b.margin(), a.degradation() / a.margin()));
         return all;
     }
 
-    /** What it comes to. */
+    /** Returns the outcome so far. */
     public Verdict verdict() {
         List<MetricResult> all = metricResults();
         for (MetricResult f : all) {
@@ -191,11 +193,11 @@
                 return new Verdict(Verdict.Kind.WORSE, f.toString());
             }
         }
-        List<MetricResult> open = all.stream().filter(f -> !f.good()).toList();
+        List<MetricResult> undecided = all.stream().filter(f -> !f.good()).toList();
         if (all.isEmpty() || !all.stream().anyMatch(f -> f.metric().equals("served"))) {
             return new Verdict(Verdict.Kind.INCONCLUSIVE, "too few answers");
         }
-        return open.isEmpty() ? new Verdict(Verdict.Kind.GOOD, all.get(0).toString())
-                : new Verdict(Verdict.Kind.INCONCLUSIVE, open.get(0).toString());
+        return undecided.isEmpty() ? new Verdict(Verdict.Kind.GOOD, all.get(0).toString())
+                : new Verdict(Verdict.Kind.INCONCLUSIVE, undecided.get(0).toString());
     }
 }
--- a/src/main/java/granitefold/rollout/ConfidenceSequence.java
+++ b/src/main/java/granitefold/rollout/ConfidenceSequence.java
@@ -1,27 +1,27 @@
 package granitefold.rollout;
 
 /**
- * An interval for the mean of a stream that holds at all times together with a given probability, so that it may be looked at after
- * every value and acted on at any time. Robbins' normal mixture with the variance so far in place of the true one: the asymptotic
+ * Confidence interval for the mean of a stream that covers the mean at all times simultaneously with a given probability, so that it may
+ * be evaluated after every value and acted on at any time. Robbins' normal mixture with the sample variance: the asymptotic
  * confidence sequence of Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas, "Time-uniform central limit theory and asymptotic
- * confidence sequences" (2021), theorem 2.2. The values must not be far from independent, and each be a
- * mean of some answers: single ones of a rare kind have no variance yet when the first interval is made.
+ * confidence sequences" (2021), theorem 2.2. The values must be nearly independent, and each must be a
+ * mean over several answers: single answers of a rare outcome have no sample variance yet when the first interval is computed.
  */
 public final class ConfidenceSequence {
-    /** Values without which the variance so far says nothing. */
+    /** Number of values below which the sample variance is not meaningful. */
     public static final int MIN_VALUES = 10;
 
     private final double alpha;
-    /** Scale of the mixture: the interval is tightest about the number of values that it was made for. */
+    /** Squared scale of the mixture, chosen so that the interval is tightest at {@code tightestAt} values. */
     private final double rho2;
     private int n;
     private double mean;
-    private double squares;
-    private double floors;
+    private double squaredDeviations;
+    private double minVarianceSum;
 
     /**
-     * @param alpha probability that the interval ever leaves the mean out
-     * @param tightestAt number of values at which it is to be tightest
+     * @param alpha probability that the interval ever excludes the mean
+     * @param tightestAt number of values at which the interval is tightest
      */
     public ConfidenceSequence(double alpha, int tightestAt) {
         this.alpha = alpha;
@@ -29,13 +29,13 @@
         rho2 = (l + Math.log(l) + 1) / tightestAt;
     }
 
-    /** Another value; {@code minVariance}: what chance alone gives it, since a stream that never varied yet may do so next. */
+    /** Adds a value; {@code minVariance}: its sampling variance, a lower bound because a stream without variation so far may still vary. */
     public void add(double value, double minVariance) {
         n++;
         double d = value - mean;
         mean += d / n;
-        squares += d * (value - mean);
-        floors += minVariance;
+        squaredDeviations += d * (value - mean);
+        minVarianceSum += minVariance;
     }
 
     public int count() {
@@ -46,13 +46,13 @@
         return mean;
     }
 
-    /** How far to either side of the mean it reaches; infinite while there are too few values. */
+    /** Returns the half-width of the interval; infinite below {@link #MIN_VALUES} values. */
     public double halfWidth() {
         if (n < MIN_VALUES) {
             return Double.POSITIVE_INFINITY;
         }
-        // a few values understate their variance about as often as not, and the theorem holds for many
-        double variance = Math.max(squares / (n - 1) * (1 + 2.0 / n), floors / n);
+        // corrects the sample variance for few values: it is often too low, and the theorem is asymptotic
+        double variance = Math.max(squaredDeviations / (n - 1) * (1 + 2.0 / n), minVarianceSum / n);
         double t = n * rho2 + 1;
         return Math.sqrt(variance * t / ((double) n * n * rho2) * Math.log(t / (alpha * alpha)));
     }
--- a/src/main/java/granitefold/rollout/Margins.java
+++ b/src/main/java/granitefold/rollout/Margins.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * What counts as worse.
+ * Margins by which the new version may be worse than the old one.
  *
- * @param alpha probability that a version that is no worse is ever called so in one stage
- * @param served share of the worth served that may be lost
- * @param refused share of a class's answers that may be refused more
- * @param errors share of a class's answers that may fail more
- * @param time ratio of the mean time in the dispatcher that is borne: 1.2 is a fifth longer
- * @param memory ratio of memory that is borne
- * @param crashes ends by themselves of new ones beyond those of old ones
- * @param worth worth of a request by class; one of none counts 1
+ * @param alpha probability that a version that is no worse is judged worse at any time in one stage
+ * @param served allowed loss of the share of requests served, weighted by worth
+ * @param refused allowed increase of the share of a class's requests that are refused
+ * @param errors allowed increase of the share of a class's requests that fail
+ * @param time allowed ratio of the mean time in the dispatcher: 1.2 is a fifth longer
+ * @param memory allowed ratio of resident memory
+ * @param crashes allowed number of crashes of the new version beyond those of the old one
+ * @param worth worth of a request by job class; 1 for other classes
  */
 public record Margins(double alpha, double served, double refused, double errors, double time, double memory, int crashes,
         Map<String, Double> worth) {
--- a/src/main/java/granitefold/rollout/Order.java
+++ b/src/main/java/granitefold/rollout/Order.java
@@ -3,19 +3,19 @@
 import java.util.Comparator;
 
 /**
- * The place of an order among all that were ever given: the rollout's number, which only grows, and the step in it. Whoever has seen
- * one refuses every earlier one, so that a controller that was stopped and goes on later cannot undo what came after it.
+ * Sequence number of an order: the rollout's number, which only grows, and the step within it. A supervisor refuses every order older
+ * than the latest one it has seen, so that a controller that was suspended cannot undo later changes (a fencing token). Written as JSON.
  *
- * @param rollout number of the rollout; 0 before the first
- * @param step number of the step in it
+ * @param rollout number of the rollout; 0 before the first one
+ * @param step number of the step within the rollout
  */
 public record Order(long rollout, long step) implements Comparable<Order> {
-    private static final Comparator<Order> BY_AGE = Comparator.comparingLong(Order::rollout).thenComparingLong(Order::step);
+    private static final Comparator<Order> BY_NUMBER = Comparator.comparingLong(Order::rollout).thenComparingLong(Order::step);
     public static final Order NONE = new Order(0, 0);
 
     @Override
     public int compareTo(Order other) {
-        return BY_AGE.compare(this, other);
+        return BY_NUMBER.compare(this, other);
     }
 
     @Override
--- a/src/main/java/granitefold/rollout/Plan.java
+++ b/src/main/java/granitefold/rollout/Plan.java
@@ -4,43 +4,44 @@
 import java.util.List;
 
 /**
- * What is to change, in which stages, and what is done when a stage does worse.
+ * Plan of a rollout: the versions, the stages, the margins of the comparison and the reaction to a worse stage.
  *
- * @param name how people call it
- * @param dispatchers all that take part, in the order in which they change
- * @param stages how many of them run the new version at the end of each stage; the last one is all of them
- * @param warmUpUs so long after a stage's last step nothing is compared: a fresh process is slow
- * @param minComparisonUs the least that a stage is looked at
- * @param maxComparisonUs how long it is looked at where new and old are not told apart; then it holds
- * @param stepTimeoutUs how long one dispatcher's change may take
- * @param rollBack what happens when a stage does worse: all go back to the old version, else it stops where it is
- * @param restartControls old ones are started anew with each stage's new ones, so that both are of one age
+ * @param name name shown to operators
+ * @param dispatchers the dispatchers in the order in which they are changed
+ * @param stages number of dispatchers on the new version at the end of each stage; the last one includes all
+ * @param warmUpUs time after a stage's last step, or a process's start, before its metrics are compared: a new process is slow
+ * @param minComparisonUs shortest comparison before a stage passes
+ * @param maxComparisonUs time limit of an inconclusive comparison, after which the rollout waits for an operator
+ * @param stepTimeoutUs time limit of one dispatcher's change
+ * @param rollBack whether a worse stage rolls all dispatchers back to the old version; otherwise the rollout stops
+ * @param restartControls whether each changed dispatcher is paired with a restarted one on the old version, so that both have the same uptime
  */
 public record Plan(String name, List<String> dispatchers, List<Integer> stages, Version baseline, Version candidate, Margins margins,
-        List<String> classes, long warmUpUs, long minComparisonUs, long maxComparisonUs, long stepTimeoutUs, boolean rollBack, boolean restartControls) {
+        List<String> classes, long warmUpUs, long minComparisonUs, long maxComparisonUs, long stepTimeoutUs,
+        boolean rollBack, boolean restartControls) {
 
-    /** What is wrong with it, in sentences; empty where it can be played. */
+    /** Returns the errors of the plan as sentences, empty if it is valid. */
     public List<String> problems() {
-        List<String> all = new ArrayList<>();
+        List<String> found = new ArrayList<>();
         if (dispatchers.isEmpty() || dispatchers.stream().distinct().count() != dispatchers.size()) {
-            all.add("dispatchers: there are none, or one is named twice");
+            found.add("dispatchers: the list is empty or has duplicates");
         }
-        int before = 0;
-        for (int s : stages) {
-            if (s <= before) {
-                all.add("stages: each has to change more dispatchers than the one before");
+        int previous = 0;
+        for (int stage : stages) {
+            if (stage <= previous) {
+                found.add("stages: each stage must change more dispatchers than the previous one");
             }
-            before = s;
+            previous = stage;
         }
-        if (stages.isEmpty() || before != dispatchers.size()) {
-            all.add("stages: the last one has to be all dispatchers");
+        if (stages.isEmpty() || previous != dispatchers.size()) {
+            found.add("stages: the last stage must include all dispatchers");
         }
         if (baseline.equals(candidate)) {
-            all.add("old and new are the same");
+            found.add("old and new are the same version");
         }
         if (minComparisonUs > maxComparisonUs) {
-            all.add("look: the least is more than the most");
+            found.add("look: least is greater than most");
         }
-        return all;
+        return found;
     }
 }
--- a/src/main/java/granitefold/rollout/Progress.java
+++ b/src/main/java/granitefold/rollout/Progress.java
@@ -4,50 +4,51 @@
 import java.util.Map;
 
 /**
- * How far a rollout has come: all that a controller has to know to go on with it. It is kept before anything is done about it.
+ * Persistent state of a rollout: all that a controller needs to continue it. Saved before the actions that follow from it, as JSON under
+ * the names of the components.
  *
- * @param order the last order that was given, or is about to be
- * @param stage the stage that is in hand, from 0
- * @param steps steps of it that are still to be done; the first one may be on its way
- * @param fresh dispatchers that were told to run the new version, whether or not they do already
- * @param controls old ones that were started anew for this stage
- * @param verdict what was last found
- * @param paused an operator holds it
- * @param log what was decided and why, the oldest first
+ * @param order the order that was sent last or is about to be sent
+ * @param stage index of the present stage, from 0
+ * @param steps remaining steps of the stage; the order of the first one may have been sent
+ * @param fresh dispatchers that were ordered to run the new version, whether or not they do yet
+ * @param controls dispatchers on the old version that are restarted in this stage as a control group
+ * @param verdict reason of the latest state change, empty for none
+ * @param paused whether an operator has paused the rollout
+ * @param log decisions and their reasons, oldest first
  */
 public record Progress(String plan, State state, Order order, int stage, List<Step> steps, List<String> fresh, List<String> controls,
         String verdict, boolean paused, List<String> log) {
 
-    /** Where a rollout stands. */
+    /** Phase of a rollout. */
     public enum State {
         PLANNED,
-        /** A stage's dispatchers are changed, one after the other. */
+        /** The stage's dispatchers are being changed, one after the other. */
         CHANGING,
-        /** New and old are compared. */
+        /** The new and the old version are being compared. */
         LOOKING,
-        /** It was looked at for as long as it may be, or a step could not be done: an operator has to say what next. */
+        /** The comparison was inconclusive within its time limit, or a step failed: an operator has to decide. */
         HELD,
-        /** All new ones go back to the old version. */
+        /** All dispatchers on the new version are being rolled back. */
         RETURNING,
-        /** All run the new version. */
+        /** All dispatchers run the new version. */
         DONE,
-        /** A stage did worse, or an operator said so: it stays where it is. */
+        /** Ended after a worse stage or by an operator; dispatchers keep their present versions. */
         STOPPED,
-        /** All run the old version again. */
+        /** All dispatchers run the old version again. */
         RETURNED,
-        /** A later rollout has been seen: this one gives no orders any more. */
+        /** A supervisor has seen an order of a later rollout; this one sends no more orders. */
         OVERTAKEN;
 
-        /** Nothing follows. */
+        /** Returns whether the rollout has ended. */
         public boolean terminal() {
             return compareTo(DONE) >= 0;
         }
     }
 
-    /** A dispatcher's change; {@code fresh}: to the new version, else to the old one. */
+    /** Change of one dispatcher; {@code fresh}: to the new version, otherwise to the old one. */
     public record Step(String dispatcher, boolean fresh) { }
 
-    /** Which version a dispatcher is to run. */
+    /** Returns for each dispatcher whether it is to run the new version. */
     public Map<String, Boolean> wanted(List<String> dispatchers) {
         Map<String, Boolean> all = new java.util.LinkedHashMap<>();
         dispatchers.forEach(d -> all.put(d, fresh.contains(d)));
--- a/src/main/java/granitefold/rollout/Rollout.java
+++ b/src/main/java/granitefold/rollout/Rollout.java
@@ -12,79 +12,79 @@
 import java.util.Set;
 
 /**
- * One rollout: (state, event, now) to actions. An order is kept before it is given and may be given twice, keepers see to it that it is
- * carried out once; so whoever goes on with a kept {@link Progress} neither leaves a step out nor does one twice.
+ * State machine of one rollout: (state, event, now) to actions. An order is saved before it is sent and may be sent repeatedly;
+ * supervisors execute it once. A controller that continues from a saved {@link Progress} therefore neither skips nor repeats a step.
  */
 public final class Rollout {
-    /** An order that may have got lost is given again after so long. */
-    static final long AGAIN_US = 2_000_000;
-    private static final int LOG_MOST = 500;
+    /** Interval at which an order is sent again until the supervisor reports a result. */
+    static final long ORDER_RESEND_US = 2_000_000;
+    private static final int MAX_LOG_LINES = 500;
 
     private final Plan plan;
     private State state;
     private Order order;
     private int stage;
     private final Deque<Step> steps = new ArrayDeque<>();
-    private final Set<String> fresh = new LinkedHashSet<>();
+    private final Set<String> candidates = new LinkedHashSet<>();
     private final Set<String> controls = new LinkedHashSet<>();
     private String verdict = "";
     private boolean paused;
     private final List<String> log = new ArrayList<>();
 
-    // what a controller that comes back learns anew
-    private final Observations sights = new Observations();
-    private Comparison evidence;
-    private long stepSince;
-    private long givenAt;
-    private long lookFrom;
-    private long lookUntil;
-    private long lastLook;
-    /** Steps of a return that could not be done yet; each is tried once more at the end. */
+    // not saved: rebuilt after a restart of the controller
+    private final Observations observations = new Observations();
+    private Comparison comparison;
+    private long stepStartedAt;
+    private long orderSentAt;
+    private long compareFrom;
+    private long compareUntil;
+    private long lastComparedAt;
+    /** Number of consecutive rollback steps that failed and were put at the end of the queue. */
     private int deferred;
     private final List<RolloutAction> actions = new ArrayList<>();
 
-    /** A rollout of this number that has not begun. */
+    /** Creates a rollout with this number that has not begun. */
     public Rollout(Plan plan, long number) {
         this.plan = plan;
         state = State.PLANNED;
         order = new Order(number, 0);
     }
 
-    /** One that goes on with what was kept. */
-    public Rollout(Plan plan, Progress kept) {
+    /** Creates a rollout that continues from saved progress. */
+    public Rollout(Plan plan, Progress saved) {
         this.plan = plan;
-        state = kept.state();
-        order = kept.order();
-        stage = kept.stage();
-        steps.addAll(kept.steps());
-        fresh.addAll(kept.fresh());
-        controls.addAll(kept.controls());
-        verdict = kept.verdict();
-        paused = kept.paused();
-        log.addAll(kept.log());
+        state = saved.state();
+        order = saved.order();
+        stage = saved.stage();
+        steps.addAll(saved.steps());
+        candidates.addAll(saved.fresh());
+        controls.addAll(saved.controls());
+        verdict = saved.verdict();
+        paused = saved.paused();
+        log.addAll(saved.log());
     }
 
     public Progress progress() {
-        return new Progress(plan.name(), state, order, stage, List.copyOf(steps), List.copyOf(fresh), List.copyOf(controls), verdict, paused,
+        return new Progress(plan.name(), state, order, stage, List.copyOf(steps), List.copyOf(candidates), List.copyOf(controls), verdict, paused,
                 List.copyOf(log));
     }
 
-    /** What the stage in hand has shown. */
+    /** Returns the results of the present stage's comparison. */
     public List<MetricResult> metricResults() {
-        return evidence == null ? List.of() : evidence.metricResults();
+        return comparison == null ? List.of() : comparison.metricResults();
     }
 
-    /** Takes one event in; returns what it asks for, in order, in a list that stands until the next call. */
+    /** Handles one event. Returns the actions in the order to perform them, in a list that is valid until the next call. */
     public List<RolloutAction> handle(RolloutEvent event, long now) {
         actions.clear();
         if (event instanceof RolloutEvent.Startup) {
-            begin(now);
+            startup(now);
         } else if (event instanceof RolloutEvent.StatusReceived e) {
-            seen(e.dispatcher(), e.status(), now);
+            statusReceived(e.dispatcher(), e.status(), now);
         } else if (event instanceof RolloutEvent.OrderRefused e) {
-            refused(e.dispatcher(), e.seen());
+            orderRefused(e.dispatcher(), e.seen());
         } else if (event instanceof RolloutEvent.OperatorRequested e) {
-            wished(e.command(), now);
+            operatorRequested(e.command(), now);
         } else if (event instanceof RolloutEvent.Tick) {
             tick(now);
         }
@@ -95,28 +95,28 @@
     private void enter(State next, String why) {
         state = next;
         verdict = why;
-        say(next + (next == State.CHANGING || next == State.LOOKING ? " stage " + (stage + 1) : "") + (why.isEmpty() ? "" : ": " + why));
+        addLog(next + (next == State.CHANGING || next == State.LOOKING ? " stage " + (stage + 1) : "") + (why.isEmpty() ? "" : ": " + why));
         actions.add(new RolloutAction.Persist(progress()));
     }
 
-    private void say(String what) {
-        log.add(what);
-        if (log.size() > LOG_MOST) {
+    private void addLog(String message) {
+        log.add(message);
+        if (log.size() > MAX_LOG_LINES) {
             log.remove(1);
         }
-        actions.add(new RolloutAction.Log(what));
+        actions.add(new RolloutAction.Log(message));
     }
 
-    private void begin(long now) {
-        lastLook = now;
+    private void startup(long now) {
+        lastComparedAt = now;
         if (state == State.PLANNED) {
             enterStage(0, now);
         } else if (!state.terminal()) {
-            say("goes on in " + state + " at order " + order);
+            addLog("continues in " + state + " at order " + order);
             if (state == State.LOOKING) {
-                look(now);
+                startComparison(now);
             } else if (!steps.isEmpty() && (state == State.CHANGING || state == State.RETURNING)) {
-                give(now);
+                sendOrder(now);
             }
         }
     }
@@ -124,37 +124,37 @@
     private void enterStage(int next, long now) {
         stage = next;
         int target = plan.stages().get(next);
-        List<String> change = plan.dispatchers().stream().filter(d -> !fresh.contains(d)).limit(target - fresh.size()).toList();
-        List<String> stay = new ArrayList<>(plan.dispatchers().stream().filter(d -> !fresh.contains(d) && !change.contains(d)).toList());
-        Collections.reverse(stay);
+        List<String> changing = plan.dispatchers().stream().filter(d -> !candidates.contains(d)).limit(target - candidates.size()).toList();
+        List<String> unchanged = new ArrayList<>(plan.dispatchers().stream().filter(d -> !candidates.contains(d) && !changing.contains(d)).toList());
+        Collections.reverse(unchanged);
         controls.clear();
         steps.clear();
-        for (int i = 0; i < change.size(); i++) {
-            steps.add(new Step(change.get(i), true));
-            if (plan.restartControls() && i < stay.size()) {
-                controls.add(stay.get(i));
-                steps.add(new Step(stay.get(i), false));
+        for (int i = 0; i < changing.size(); i++) {
+            steps.add(new Step(changing.get(i), true));
+            if (plan.restartControls() && i < unchanged.size()) {
+                controls.add(unchanged.get(i));
+                steps.add(new Step(unchanged.get(i), false));
             }
         }
-        sights.stage();
+        observations.startStage();
         order = new Order(order.rollout(), order.step() + 1);
-        promise();
+        markCandidate();
         enter(State.CHANGING, "");
-        give(now);
+        sendOrder(now);
     }
 
-    /** From now on the first step's dispatcher counts as one of its version, whether or not the order reaches it. */
-    private void promise() {
+    /** Counts the first step's dispatcher as a candidate before its order is sent, whether or not the order arrives. */
+    private void markCandidate() {
         Step s = steps.peek();
         if (s != null && s.fresh()) {
-            fresh.add(s.dispatcher());
+            candidates.add(s.dispatcher());
         }
     }
 
-    private void give(long now) {
+    private void sendOrder(long now) {
         Step s = steps.peek();
-        stepSince = now;
-        givenAt = now;
+        stepStartedAt = now;
+        orderSentAt = now;
         actions.add(new RolloutAction.SendOrder(s.dispatcher(), order, s.fresh() ? plan.candidate() : plan.baseline()));
     }
 
@@ -162,57 +162,57 @@
         Step s = steps.remove();
         deferred = 0;
         if (state == State.RETURNING) {
-            fresh.remove(s.dispatcher());
+            candidates.remove(s.dispatcher());
         }
         if (steps.isEmpty()) {
             if (state == State.RETURNING) {
                 enter(State.RETURNED, verdict);
             } else {
                 enter(State.LOOKING, "");
-                look(now);
+                startComparison(now);
             }
             return;
         }
         order = new Order(order.rollout(), order.step() + 1);
-        promise();
+        markCandidate();
         actions.add(new RolloutAction.Persist(progress()));
         if (!paused) {
-            give(now);
+            sendOrder(now);
         }
     }
 
     private void stepFailed(String why, boolean answered, long now) {
         Step s = steps.peek();
-        String what = s.dispatcher() + " to the " + (s.fresh() ? "new" : "old") + " version: " + why;
+        String message = s.dispatcher() + " to the " + (s.fresh() ? "new" : "old") + " version: " + why;
         if (state == State.RETURNING) {
             if (++deferred <= steps.size()) {
-                // the others do not wait for it
-                say(what + "; it is tried again after the others");
+                // the other dispatchers are rolled back first
+                addLog(message + "; retried after the other dispatchers");
                 steps.add(steps.remove());
                 order = new Order(order.rollout(), order.step() + 1);
                 actions.add(new RolloutAction.Persist(progress()));
-                give(now);
+                sendOrder(now);
             } else {
-                enter(State.HELD, "not all are back: " + what);
+                enter(State.HELD, "not all dispatchers are rolled back: " + message);
             }
         } else if (s.fresh() && answered) {
-            worse(what, now);
+            failStage(message, now);
         } else {
-            enter(State.HELD, what);
+            enter(State.HELD, message);
         }
     }
 
-    private void worse(String why, long now) {
+    private void failStage(String why, long now) {
         if (plan.rollBack()) {
-            back(why, now);
+            rollBack(why, now);
         } else {
             enter(State.STOPPED, why);
         }
     }
 
-    private void back(String why, long now) {
+    private void rollBack(String why, long now) {
         steps.clear();
-        List<String> all = new ArrayList<>(fresh);
+        List<String> all = new ArrayList<>(candidates);
         Collections.reverse(all);
         all.forEach(d -> steps.add(new Step(d, false)));
         deferred = 0;
@@ -223,14 +223,14 @@
         }
         order = new Order(order.rollout(), order.step() + 1);
         enter(State.RETURNING, why);
-        give(now);
+        sendOrder(now);
     }
 
     // ---------------------------------------------------------------- events
-    private void seen(String dispatcher, SupervisorStatus s, long now) {
-        sights.saw(dispatcher, s, state == State.CHANGING || state == State.LOOKING, now);
+    private void statusReceived(String dispatcher, SupervisorStatus s, long now) {
+        observations.update(dispatcher, s, state == State.CHANGING || state == State.LOOKING, now);
         if (s.seen().rollout() > order.rollout()) {
-            refused(dispatcher, s.seen());
+            orderRefused(dispatcher, s.seen());
             return;
         }
         Step step = steps.peek();
@@ -239,8 +239,8 @@
         }
         if (s.done().equals(order)) {
             if (state == State.HELD) {
-                // it was out of reach and has done it after all
-                enter(returning() ? State.RETURNING : State.CHANGING, dispatcher + " is there after all");
+                // the supervisor was unreachable and has executed the order meanwhile
+                enter(rollingBack() ? State.RETURNING : State.CHANGING, dispatcher + " has executed the order after all");
             }
             if (state == State.CHANGING || state == State.RETURNING) {
                 stepDone(now);
@@ -250,35 +250,35 @@
         }
     }
 
-    private void refused(String dispatcher, Order seen) {
+    private void orderRefused(String dispatcher, Order seen) {
         if (seen.rollout() > order.rollout() && !state.terminal()) {
             enter(State.OVERTAKEN, dispatcher + " has seen order " + seen + ", ours is " + order);
         }
     }
 
-    private void wished(OperatorCommand wish, long now) {
+    private void operatorRequested(OperatorCommand command, long now) {
         if (state == State.OVERTAKEN || state == State.RETURNED) {
             return;
         }
-        switch (wish) {
-            case BACK -> back("an operator's word", now);
+        switch (command) {
+            case BACK -> rollBack("requested by an operator", now);
             case STOP -> {
                 if (!state.terminal()) {
-                    enter(State.STOPPED, "an operator's word");
+                    enter(State.STOPPED, "requested by an operator");
                 }
             }
             case PAUSE -> {
                 if (!state.terminal()) {
                     paused = true;
-                    say("paused");
+                    addLog("paused");
                     actions.add(new RolloutAction.Persist(progress()));
                 }
             }
             case RESUME -> resume(now);
             default -> {
                 if (state == State.HELD && steps.isEmpty()) {
-                    say("passed by an operator's word: " + verdict);
-                    passed(now);
+                    addLog("passed by an operator: " + verdict);
+                    nextStage(now);
                 }
             }
         }
@@ -291,90 +291,94 @@
         paused = false;
         if (state == State.HELD) {
             deferred = 0;
-            enter(steps.isEmpty() ? State.LOOKING : returning() ? State.RETURNING : State.CHANGING, "an operator's word");
+            enter(steps.isEmpty() ? State.LOOKING : rollingBack() ? State.RETURNING : State.CHANGING, "requested by an operator");
         } else {
-            say("resumed");
+            addLog("resumed");
             actions.add(new RolloutAction.Persist(progress()));
         }
         if (state == State.LOOKING) {
-            look(now);
+            startComparison(now);
         } else if (!steps.isEmpty()) {
-            give(now);
+            sendOrder(now);
         }
     }
 
-    /** Whether the steps in hand lead back: of a stage's own, old ones are started anew that never were new. */
-    private boolean returning() {
-        return steps.stream().allMatch(s -> !s.fresh() && fresh.contains(s.dispatcher()));
+    /** Returns whether the pending steps are a rollback. A stage's own old-version steps restart dispatchers that are not candidates. */
+    private boolean rollingBack() {
+        return steps.stream().allMatch(s -> !s.fresh() && candidates.contains(s.dispatcher()));
     }
 
-    private void look(long now) {
-        if (evidence == null) {
-            evidence = new Comparison(plan.margins(), plan.classes());
+    private void startComparison(long now) {
+        if (comparison == null) {
+            comparison = new Comparison(plan.margins(), plan.classes());
         }
-        lookFrom = now + plan.warmUpUs();
-        lookUntil = lookFrom + plan.maxComparisonUs();
-        lastLook = now;
+        compareFrom = now + plan.warmUpUs();
+        compareUntil = compareFrom + plan.maxComparisonUs();
+        lastComparedAt = now;
     }
 
     private void tick(long now) {
         if (paused || state.terminal() || state == State.PLANNED || state == State.HELD) {
-            lastLook = now;
+            lastComparedAt = now;
             return;
         }
         if (state == State.CHANGING || state == State.RETURNING) {
             Step s = steps.peek();
-            if (now - stepSince > plan.stepTimeoutUs()) {
-                SupervisorStatus status = sights.lately(s.dispatcher(), now);
+            if (now - stepStartedAt > plan.stepTimeoutUs()) {
+                SupervisorStatus status = observations.recentStatus(s.dispatcher(), now);
                 stepFailed(status != null ? "not done in time" : "its keeper does not answer", status != null && status.seen().equals(order), now);
-            } else if (now - givenAt > AGAIN_US) {
-                givenAt = now;
+            } else if (now - orderSentAt > ORDER_RESEND_US) {
+                orderSentAt = now;
                 actions.add(new RolloutAction.SendOrder(s.dispatcher(), order, s.fresh() ? plan.candidate() : plan.baseline()));
             }
         }
-        if ((state == State.CHANGING || state == State.LOOKING) && sights.toJudge(now)) {
+        if ((state == State.CHANGING || state == State.LOOKING) && observations.crashesDue(now)) {
             crashes(now);
         }
         if (state == State.LOOKING) {
-            looking(now);
+            compare(now);
         }
     }
 
-    /** Whether new ones end by themselves more often than old ones beside them. */
+    /** Fails the stage if candidates crash more often than the dispatchers on the old version. */
     private void crashes(long now) {
-        sights.judged();
-        int ofFresh = sights.crashed(fresh);
-        List<String> others = plan.dispatchers().stream().filter(d -> !fresh.contains(d)).toList();
-        double ofOld = others.isEmpty() ? 0 : (double) sights.crashed(others) / others.size();
-        if (ofFresh - ofOld * fresh.size() > plan.margins().crashes()) {
-            worse(ofFresh + " ends by themselves among " + fresh.size() + " new ones, " + sights.crashed(others) + " among " + others.size() + " old ones", now);
+        observations.crashesEvaluated();
+        int candidateCrashes = observations.crashCount(candidates);
+        List<String> others = plan.dispatchers().stream().filter(d -> !candidates.contains(d)).toList();
+        double meanOtherCrashes = others.isEmpty() ? 0 : (double) observations.crashCount(others) / others.size();
+        if (candidateCrashes - meanOtherCrashes * candidates.size() > plan.margins().crashes()) {
+            failStage(candidateCrashes + " ends by themselves among " + candidates.size() + " new ones, "
+                    + observations.crashCount(others) + " among " + others.size() + " old ones", now);
         }
     }
 
-    private void looking(long now) {
-        double seconds = (now - lastLook) / 1e6;
-        lastLook = now;
-        if (now < lookFrom) {
+    private void compare(long now) {
+        double seconds = (now - lastComparedAt) / 1e6;
+        lastComparedAt = now;
+        if (now < compareFrom) {
             return;
         }
-        List<String> old = controls.isEmpty() ? plan.dispatchers().stream().filter(d -> !fresh.contains(d)).toList() : List.copyOf(controls);
-        boolean alone = fresh.size() == plan.dispatchers().size();
-        if (!alone) {
-            evidence.look(sights.samples(fresh, now, plan.warmUpUs()), sights.samples(old, now, plan.warmUpUs()), seconds);
+        List<String> baseline = controls.isEmpty()
+                ? plan.dispatchers().stream().filter(d -> !candidates.contains(d)).toList() : List.copyOf(controls);
+        boolean noBaseline = candidates.size() == plan.dispatchers().size();
+        if (!noBaseline) {
+            comparison.addSamples(observations.samples(candidates, now, plan.warmUpUs()),
+                    observations.samples(baseline, now, plan.warmUpUs()), seconds);
         }
-        Verdict v = alone ? new Verdict(Verdict.Kind.GOOD, "no old ones are left to compare with") : evidence.verdict();
+        Verdict v = noBaseline ? new Verdict(Verdict.Kind.GOOD, "no dispatcher on the old version is left to compare with")
+                : comparison.verdict();
         if (v.kind() == Verdict.Kind.WORSE) {
-            worse(v.why(), now);
-        } else if (v.kind() == Verdict.Kind.GOOD && now - lookFrom >= plan.minComparisonUs() && sights.quiet()) {
-            say("stage " + (stage + 1) + " is good: " + v.why());
-            passed(now);
-        } else if (now >= lookUntil) {
-            enter(State.HELD, "not told apart: " + v.why());
+            failStage(v.why(), now);
+        } else if (v.kind() == Verdict.Kind.GOOD && now - compareFrom >= plan.minComparisonUs() && observations.noCrashPending()) {
+            addLog("stage " + (stage + 1) + " is good: " + v.why());
+            nextStage(now);
+        } else if (now >= compareUntil) {
+            enter(State.HELD, "inconclusive: " + v.why());
         }
     }
 
-    private void passed(long now) {
-        evidence = null;
+    private void nextStage(long now) {
+        comparison = null;
         if (stage + 1 < plan.stages().size()) {
             enterStage(stage + 1, now);
         } else {
--- a/src/main/java/granitefold/rollout/RolloutAction.java
+++ b/src/main/java/granitefold/rollout/RolloutAction.java
@@ -1,14 +1,14 @@
 package granitefold.rollout;
 
-/** What a rollout asks for, to be done in this order. */
+/** Output of a {@link Rollout}; actions are performed in the order they are returned. */
 public sealed interface RolloutAction {
 
-    /** Keep this before anything that follows is done. */
+    /** Save the progress before performing the actions that follow. */
     record Persist(Progress progress) implements RolloutAction { }
 
-    /** Tell a keeper to run a version. The same order may be given again: it is carried out once. */
+    /** Order a supervisor to run a version. An order may be sent repeatedly; the supervisor executes it once. */
     record SendOrder(String dispatcher, Order order, Version version) implements RolloutAction { }
 
-    /** Write it to the log. */
-    record Log(String what) implements RolloutAction { }
+    /** Write a message to the log. */
+    record Log(String message) implements RolloutAction { }
 }
--- a/src/main/java/granitefold/rollout/RolloutEvent.java
+++ b/src/main/java/granitefold/rollout/RolloutEvent.java
@@ -1,34 +1,34 @@
 package granitefold.rollout;
 
-/** What a rollout hears. */
+/** Input of a {@link Rollout}. */
 public sealed interface RolloutEvent {
 
-    /** It is to begin, or to go on with what was kept. */
+    /** The controller has started: the rollout begins or continues from its saved progress. */
     record Startup() implements RolloutEvent { }
 
-    /** A keeper has answered. */
+    /** A supervisor has reported its status. */
     record StatusReceived(String dispatcher, SupervisorStatus status) implements RolloutEvent { }
 
-    /** A keeper has refused an order since it has seen a later one. */
+    /** A supervisor has refused an order because it has seen a later one. */
     record OrderRefused(String dispatcher, Order seen) implements RolloutEvent { }
 
-    /** All that could be asked was asked: time to look. */
+    /** Periodic timer, after the supervisors have been polled. */
     record Tick() implements RolloutEvent { }
 
-    /** An operator's word. */
+    /** An operator has issued a command. */
     record OperatorRequested(OperatorCommand command) implements RolloutEvent { }
 
-    /** What operators may say. */
+    /** Commands of operators; their names are the sub-commands in upper case. */
     enum OperatorCommand {
-        /** Give no further orders and judge nothing until told to go on. */
+        /** Send no further orders and evaluate nothing until resumed. */
         PAUSE,
-        /** Go on: after a pause, or look again, or try a step again. */
+        /** Continue after a pause, repeat a comparison, or retry a failed step. */
         RESUME,
-        /** Go on to the next stage though new and old were not told apart. */
+        /** Proceed to the next stage although the comparison was inconclusive. */
         PASS,
-        /** Stay as it is, for good. */
+        /** End the rollout and leave every dispatcher on its present version. */
         STOP,
-        /** All back to the old version. */
+        /** Roll all dispatchers back to the old version. */
         BACK
     }
 }
--- a/src/main/java/granitefold/rollout/Sample.java
+++ b/src/main/java/granitefold/rollout/Sample.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 
 /**
- * How one dispatcher stands, as its keeper tells it. Counts begin at 0 with each life.
+ * Cumulative metrics of one dispatcher process. Counters start at 0 in each process. Written as JSON under the names of the components.
  *
- * @param life number of the process since the keeper began; counts of two lives are not compared
- * @param classes final answers by class
- * @param tries tries whose request was written whole to a worker
- * @param heldS what it held, added up over time: requests taken that have no answer yet, times seconds
- * @param watchedS seconds over which that was added up
- * @param rssKb memory of the process that the machine holds for it, in kilobytes; 0 where it is not known
+ * @param life number of the process; counters of two processes are not compared
+ * @param classes final answers by job class
+ * @param tries attempts whose request was sent completely to a worker
+ * @param heldS integral of the number of unanswered requests over time, in request-seconds
+ * @param watchedS seconds over which {@code heldS} was measured
+ * @param rssKb resident memory of the process in kilobytes; 0 if unknown
  */
 public record Sample(long life, Map<String, Counts> classes, long tries, double heldS, double watchedS, long rssKb) {
 
-    /** Answers of one class. */
+    /** Answers of one job class by outcome. */
     public record Counts(long success, long overload, long error) {
         static final Counts NONE = new Counts(0, 0, 0);
 
--- a/src/main/java/granitefold/rollout/Supervisor.java
+++ b/src/main/java/granitefold/rollout/Supervisor.java
@@ -5,20 +5,21 @@
 import java.util.List;
 
 /**
- * One dispatcher's keeper: (state, event, now) to actions. It keeps one process serving, in the version that it was last ordered to, and
- * changes versions: the new process beside the old one, which ends once the new one serves, or one after the other where two cannot be.
- * A version that does not come up gives way to the one before it. Every order is carried out once, and none that is older than one seen.
+ * State machine of the supervisor ("keeper") of one dispatcher: (state, event, now) to actions. It keeps one process serving in the
+ * version of the latest order and restarts it after a crash. A new version is started next to the old process, which is terminated once
+ * the new one serves, or after the old process has exited where two cannot run at the same addresses. If a version does not start, the
+ * previous one keeps serving or is started again. Each order is executed once; an order older than the latest one seen is ignored.
  */
 public final class Supervisor {
-    /** A process that was told to end is killed after so long: the platform's longest deadline and 0.7 s, with room. */
-    static final long END_US = 6_000_000;
-    /** Waits before a process that ended by itself is started again: doubled each time, up to the second. */
-    static final long AGAIN_US = 200_000, AGAIN_MOST_US = 5_000_000;
-    /** One that has served for so long is well: the next wait is the shortest again. */
-    static final long WELL_US = 10_000_000;
+    /** A terminated process is killed after this time: longer than the platform's longest deadline plus 0.7 s. */
+    static final long TERMINATION_TIMEOUT_US = 6_000_000;
+    /** Initial and longest delay before a crashed process is restarted; the delay doubles with each crash. */
+    static final long RESTART_DELAY_US = 200_000, MAX_RESTART_DELAY_US = 5_000_000;
+    /** A process that has served for this time resets the restart delay. */
+    static final long STABLE_AFTER_US = 10_000_000;
 
-    /** Where a process stands. */
-    private enum Phase { STARTING, SERVING, ENDING }
+    /** Lifecycle of a process. */
+    private enum Phase { STARTING, SERVING, TERMINATING }
 
     private static final class Incarnation {
         final long number;
@@ -34,10 +35,10 @@
         }
     }
 
-    /** How a keeper goes about it. {@code beside}: two processes may run at the same addresses; {@code readyTimeoutUs}: how long a start may take. */
+    /** {@code overlap}: two processes may run at the same addresses; {@code readyTimeoutUs}: time limit for a process to become ready. */
     public record Options(boolean overlap, long readyTimeoutUs) { }
 
-    private final Options ways;
+    private final Options options;
     private Order seen;
     private Order done;
     private Order failed;
@@ -45,226 +46,227 @@
     private Version settled;
     private Version wanted;
     private int crashes;
+    /** Number of processes started so far; the latest one's number. */
     private long lives;
-    /** Number of the process that served when the record was kept. */
+    /** Number of the process that served when the record was saved; 0 for none. */
     private final long previousServing;
     private Incarnation serving;
-    private Incarnation coming;
-    private final List<Incarnation> ending = new ArrayList<>();
-    /** An order is in hand that is neither done nor failed. */
-    private boolean inHand;
-    private long startAt = Long.MAX_VALUE;
-    private long wait = AGAIN_US;
+    private Incarnation starting;
+    private final List<Incarnation> terminating = new ArrayList<>();
+    /** The latest order is neither done nor failed. */
+    private boolean orderPending;
+    private long restartAt = Long.MAX_VALUE;
+    private long restartDelay = RESTART_DELAY_US;
     private final List<SupervisorAction> actions = new ArrayList<>();
 
-    public Supervisor(Options ways, SupervisorRecord kept) {
-        this.ways = ways;
-        seen = kept.seen();
-        done = kept.done();
-        failed = kept.failed();
-        why = kept.why();
-        settled = kept.settled();
-        wanted = kept.wanted();
-        crashes = kept.crashes();
-        lives = kept.lives();
-        previousServing = kept.serving();
-        inHand = seen.compareTo(done) > 0 && seen.compareTo(failed) > 0;
+    public Supervisor(Options options, SupervisorRecord saved) {
+        this.options = options;
+        seen = saved.seen();
+        done = saved.done();
+        failed = saved.failed();
+        why = saved.why();
+        settled = saved.settled();
+        wanted = saved.wanted();
+        crashes = saved.crashes();
+        lives = saved.lives();
+        previousServing = saved.serving();
+        orderPending = seen.compareTo(done) > 0 && seen.compareTo(failed) > 0;
     }
 
     public SupervisorRecord record() {
         return new SupervisorRecord(seen, done, failed, why, settled, wanted, crashes, lives, serving == null ? 0 : serving.number);
     }
 
-    /** Incarnation of the process that served when the record was kept, before {@link SupervisorEvent.Startup}; 0 for none. */
+    /** Number of the process that served when the record was saved, or 0. */
     public long previousServing() {
         return previousServing;
     }
 
-    /** What is told of it; {@code sample}: figures of the process that serves, or null. */
+    /** Returns the status that is reported to controllers; {@code sample}: metrics of the serving process, or null. */
     public SupervisorStatus status(Sample sample) {
         return new SupervisorStatus(seen, done, failed, why, serving == null ? "" : serving.version.label(), serving != null, crashes,
                 serving == null ? null : sample);
     }
 
-    /** Incarnation of the process that serves, or 0. */
+    /** Returns the number of the serving process, or 0. */
     public long servingIncarnation() {
         return serving == null ? 0 : serving.number;
     }
 
-    /** Incarnation of the process that is coming up, or 0. */
+    /** Returns the number of the process that is starting, or 0. */
     public long startingIncarnation() {
-        return coming == null ? 0 : coming.number;
+        return starting == null ? 0 : starting.number;
     }
 
-    /** Whether an order would be refused as older than one that was seen. */
+    /** Returns whether an order is older than the latest one seen. */
     public boolean isStale(Order order) {
         return order.compareTo(seen) < 0;
     }
 
-    /** Takes one event in; returns what it asks for, in order, in a list that stands until the next call. */
+    /** Handles one event. Returns the actions in the order to perform them, in a list that is valid until the next call. */
     public List<SupervisorAction> handle(SupervisorEvent event, long now) {
         actions.clear();
         if (event instanceof SupervisorEvent.Startup e) {
-            begin(e.alive(), now);
+            startup(e.alive(), now);
         } else if (event instanceof SupervisorEvent.OrderReceived e) {
-            ordered(e.order(), e.version(), now);
+            orderReceived(e.order(), e.version(), now);
         } else if (event instanceof SupervisorEvent.Ready e) {
-            serves(e.incarnation(), now);
+            ready(e.incarnation(), now);
         } else if (event instanceof SupervisorEvent.Exited e) {
-            exited(e.incarnation(), e.how(), now);
+            exited(e.incarnation(), e.reason(), now);
         } else {
             tick(now);
         }
         return Collections.unmodifiableList(actions);
     }
 
-    private void keep() {
+    private void persist() {
         actions.add(new SupervisorAction.Persist(record()));
     }
 
-    private void begin(boolean alive, long now) {
+    private void startup(boolean alive, long now) {
         if (alive) {
             serving = new Incarnation(previousServing, settled, now);
             serving.phase = Phase.SERVING;
-            if (inHand) {
-                change(now);
+            if (orderPending) {
+                executeOrder(now);
             }
         } else {
-            start(inHand ? wanted : settled, now);
+            start(orderPending ? wanted : settled, now);
         }
     }
 
     private void start(Version version, long now) {
-        startAt = Long.MAX_VALUE;
-        coming = new Incarnation(++lives, version, now);
-        // the number is kept before there is a process of it: no two lives have one
-        keep();
-        actions.add(new SupervisorAction.Start(coming.number, version));
+        restartAt = Long.MAX_VALUE;
+        starting = new Incarnation(++lives, version, now);
+        // the number is saved before the process exists, so that no two processes get the same number
+        persist();
+        actions.add(new SupervisorAction.Start(starting.number, version));
     }
 
-    private void ordered(Order order, Version version, long now) {
+    private void orderReceived(Order order, Version version, long now) {
         if (order.compareTo(seen) <= 0) {
             return;
         }
         seen = order;
         wanted = version;
-        inHand = true;
-        keep();
+        orderPending = true;
+        persist();
         actions.add(new SupervisorAction.Log("order " + order + ": " + version.label()));
-        if (coming != null) {
-            // whatever was coming up is no longer wanted
-            end(coming, true, now);
-            coming = null;
+        if (starting != null) {
+            // a process that is still starting belongs to an earlier order
+            terminate(starting, true, now);
+            starting = null;
         }
-        change(now);
+        executeOrder(now);
     }
 
-    /** Begins to carry out the order in hand. */
-    private void change(long now) {
-        startAt = Long.MAX_VALUE;
-        if (serving != null && !ways.overlap()) {
-            end(serving, false, now);
+    /** Starts to execute the pending order. */
+    private void executeOrder(long now) {
+        restartAt = Long.MAX_VALUE;
+        if (serving != null && !options.overlap()) {
+            terminate(serving, false, now);
             serving = null;
         }
-        if (ways.overlap() || ending.isEmpty()) {
+        if (options.overlap() || terminating.isEmpty()) {
             start(wanted, now);
         }
     }
 
-    private void end(Incarnation incarnation, boolean atOnce, long now) {
-        incarnation.phase = Phase.ENDING;
+    private void terminate(Incarnation incarnation, boolean immediately, long now) {
+        incarnation.phase = Phase.TERMINATING;
         incarnation.since = now;
-        incarnation.killed = atOnce;
-        ending.add(incarnation);
-        actions.add(atOnce ? new SupervisorAction.Kill(incarnation.number) : new SupervisorAction.Terminate(incarnation.number));
+        incarnation.killed = immediately;
+        terminating.add(incarnation);
+        actions.add(immediately ? new SupervisorAction.Kill(incarnation.number) : new SupervisorAction.Terminate(incarnation.number));
     }
 
-    private void serves(long incarnation, long now) {
-        if (coming == null || coming.number != incarnation) {
+    private void ready(long incarnation, long now) {
+        if (starting == null || starting.number != incarnation) {
             return;
         }
-        Incarnation before = serving;
-        serving = coming;
-        coming = null;
+        Incarnation previous = serving;
+        serving = starting;
+        starting = null;
         serving.phase = Phase.SERVING;
         serving.since = now;
-        if (inHand && serving.version.equals(wanted)) {
+        if (orderPending && serving.version.equals(wanted)) {
             settled = wanted;
-            if (before == null) {
-                finished();
+            if (previous == null) {
+                orderDone();
             }
         }
-        keep();
-        if (before != null) {
-            end(before, false, now);
+        persist();
+        if (previous != null) {
+            terminate(previous, false, now);
         }
     }
 
-    /** The order in hand is carried out. */
-    private void finished() {
-        inHand = false;
+    /** Marks the pending order as done. */
+    private void orderDone() {
+        orderPending = false;
         done = seen;
-        actions.add(new SupervisorAction.Log("order " + done + " is carried out: " + settled.label() + " serves"));
+        actions.add(new SupervisorAction.Log("order " + done + " is done: " + settled.label() + " serves"));
     }
 
-    private void exited(long incarnation, String how, long now) {
-        if (ending.removeIf(l -> l.number == incarnation)) {
-            if (ending.isEmpty()) {
-                if (coming == null && serving == null) {
-                    start(inHand ? wanted : settled, now);
-                } else if (inHand && serving != null && coming == null && serving.version.equals(wanted)) {
-                    finished();
-                    keep();
+    private void exited(long incarnation, String reason, long now) {
+        if (terminating.removeIf(process -> process.number == incarnation)) {
+            if (terminating.isEmpty()) {
+                if (starting == null && serving == null) {
+                    start(orderPending ? wanted : settled, now);
+                } else if (orderPending && serving != null && starting == null && serving.version.equals(wanted)) {
+                    orderDone();
+                    persist();
                 }
             }
-        } else if (coming != null && coming.number == incarnation) {
-            coming = null;
-            notComing(how, now);
+        } else if (starting != null && starting.number == incarnation) {
+            starting = null;
+            startFailed(reason, now);
         } else if (serving != null && serving.number == incarnation) {
             crashes++;
-            wait = now - serving.since >= WELL_US ? AGAIN_US : Math.min(AGAIN_MOST_US, wait * 2);
+            restartDelay = now - serving.since >= STABLE_AFTER_US ? RESTART_DELAY_US : Math.min(MAX_RESTART_DELAY_US, restartDelay * 2);
             serving = null;
-            keep();
-            actions.add(new SupervisorAction.Log("the process that served ended by itself: " + how));
-            if (coming == null) {
-                startAt = now + wait;
+            persist();
+            actions.add(new SupervisorAction.Log("the serving process exited unexpectedly: " + reason));
+            if (starting == null) {
+                restartAt = now + restartDelay;
             }
         }
     }
 
-    /** A process did not come up. */
-    private void notComing(String how, long now) {
-        actions.add(new SupervisorAction.Log("a process did not come to serve: " + how));
-        if (inHand) {
-            inHand = false;
+    /** Handles a process that did not become ready: fails the pending order and returns to the previous version, or retries later. */
+    private void startFailed(String reason, long now) {
+        actions.add(new SupervisorAction.Log("a process did not become ready: " + reason));
+        if (orderPending) {
+            orderPending = false;
             failed = seen;
-            why = how;
+            why = reason;
             wanted = settled;
-            keep();
-            if (serving == null && ending.isEmpty()) {
+            persist();
+            if (serving == null && terminating.isEmpty()) {
                 start(settled, now);
             }
         } else if (serving == null) {
-            wait = Math.min(AGAIN_MOST_US, wait * 2);
-            startAt = now + wait;
+            restartDelay = Math.min(MAX_RESTART_DELAY_US, restartDelay * 2);
+            restartAt = now + restartDelay;
         }
     }
 
     private void tick(long now) {
-        if (coming != null && now - coming.since > ways.readyTimeoutUs()) {
-            Incarnation late = coming;
-            coming = null;
-            end(late, true, now);
-            notComing("it did not say that it serves within " + ways.readyTimeoutUs() / 1000 + " ms", now);
+        if (starting != null && now - starting.since > options.readyTimeoutUs()) {
+            Incarnation timedOut = starting;
+            starting = null;
+            terminate(timedOut, true, now);
+            startFailed("not ready within " + options.readyTimeoutUs() / 1000 + " ms", now);
         }
-        for (Incarnation l : ending) {
-            if (!l.killed && now - l.since > END_US) {
-                l.killed = true;
-                actions.add(new SupervisorAction.Kill(l.number));
+        for (Incarnation process : terminating) {
+            if (!process.killed && now - process.since > TERMINATION_TIMEOUT_US) {
+                process.killed = true;
+                actions.add(new SupervisorAction.Kill(process.number));
             }
         }
-        if (startAt <= now && coming == null && serving == null && ending.isEmpty()) {
-            start(inHand ? wanted : settled, now);
+        if (restartAt <= now && starting == null && serving == null && terminating.isEmpty()) {
+            start(orderPending ? wanted : settled, now);
         }
     }
 }
--- a/src/main/java/granitefold/rollout/SupervisorAction.java
+++ b/src/main/java/granitefold/rollout/SupervisorAction.java
@@ -1,20 +1,20 @@
 package granitefold.rollout;
 
-/** What a keeper's machine asks for, to be done in this order. */
+/** Output of a {@link Supervisor}; actions are performed in the order they are returned. */
 public sealed interface SupervisorAction {
 
-    /** Keep this before anything that follows is done. */
+    /** Save the record before performing the actions that follow. */
     record Persist(SupervisorRecord record) implements SupervisorAction { }
 
     /** Start a process. */
     record Start(long incarnation, Version version) implements SupervisorAction { }
 
-    /** Tell a process to end in order. */
+    /** Ask a process to shut down gracefully. */
     record Terminate(long incarnation) implements SupervisorAction { }
 
-    /** End a process at once. */
+    /** Kill a process. */
     record Kill(long incarnation) implements SupervisorAction { }
 
-    /** Write it to the log. */
-    record Log(String what) implements SupervisorAction { }
+    /** Write a message to the log. */
+    record Log(String message) implements SupervisorAction { }
 }
--- a/src/main/java/granitefold/rollout/SupervisorEvent.java
+++ b/src/main/java/granitefold/rollout/SupervisorEvent.java
@@ -1,20 +1,20 @@
 package granitefold.rollout;
 
-/** What a keeper hears. Processes go by the numbers of their lives. */
+/** Input of a {@link Supervisor}. {@code incarnation}: number of a process, counted from 1 over all processes of the dispatcher. */
 public sealed interface SupervisorEvent {
 
-    /** It begins, or comes back; {@code alive}: the process that served still runs, and no other one of ours does. */
+    /** The supervisor has started. {@code alive}: the process that served before is still running, and no other one is. */
     record Startup(boolean alive) implements SupervisorEvent { }
 
-    /** An order has come. */
+    /** An order has arrived. */
     record OrderReceived(Order order, Version version) implements SupervisorEvent { }
 
-    /** A process says that it serves. */
+    /** A process reports that it is ready to serve. */
     record Ready(long incarnation) implements SupervisorEvent { }
 
-    /** A process has ended, or could not be started. */
-    record Exited(long incarnation, String how) implements SupervisorEvent { }
+    /** A process has exited, or could not be started. */
+    record Exited(long incarnation, String reason) implements SupervisorEvent { }
 
-    /** Time has passed. */
+    /** Periodic timer. */
     record Tick() implements SupervisorEvent { }
 }
--- a/src/main/java/granitefold/rollout/SupervisorRecord.java
+++ b/src/main/java/granitefold/rollout/SupervisorRecord.java
@@ -1,21 +1,21 @@
 package granitefold.rollout;
 
 /**
- * What a keeper has to know when it comes back: kept before anything is done about it.
+ * Persistent state of a supervisor, saved before the actions that follow from it. Written as JSON under the names of the components.
  *
- * @param seen the latest order it has seen
- * @param done the latest order that it has carried out
- * @param failed the latest that it could not carry out
- * @param why the reason
- * @param settled the version that serves, or is to serve again if the one that is wanted does not come up
- * @param wanted the version that is wanted
- * @param crashes how often a process that served ended by itself
- * @param lives processes that were ever started
- * @param serving number of the one that serves, 0 for none; any other one that is found has no business any more
+ * @param seen the latest order received
+ * @param done the latest order executed
+ * @param failed the latest order that could not be executed
+ * @param why the reason of that failure, empty for none
+ * @param settled the version to run if the wanted one does not start
+ * @param wanted the version of the latest order
+ * @param crashes number of serving processes that exited unexpectedly
+ * @param lives number of processes started so far
+ * @param serving number of the serving process, 0 for none; any other process found after a restart is terminated
  */
 public record SupervisorRecord(Order seen, Order done, Order failed, String why, Version settled, Version wanted, int crashes, long lives,
         long serving) {
-    /** Of a keeper that has just been set up. */
+    /** Returns the record of a new supervisor. */
     public static SupervisorRecord initial(Version version) {
         return new SupervisorRecord(Order.NONE, Order.NONE, Order.NONE, "", version, version, 0, 0, 0);
     }
--- a/src/main/java/granitefold/rollout/SupervisorStatus.java
+++ b/src/main/java/granitefold/rollout/SupervisorStatus.java
@@ -1,15 +1,16 @@
 package granitefold.rollout;
 
 /**
- * What a keeper says of its dispatcher.
+ * Status of one dispatcher as its supervisor reports it. Written as JSON under the names of the components.
  *
- * @param seen the latest order it has seen
- * @param done the latest order that it has carried out
- * @param failed the latest order that it could not carry out, with the reason; {@link Order#NONE} and empty where there is none
- * @param label version that serves, empty where none does
- * @param serving a process serves
- * @param crashes how often a process that served ended by itself, since the keeper's folder was made
- * @param sample figures of the process that serves, or null
+ * @param seen the latest order received
+ * @param done the latest order executed
+ * @param failed the latest order that could not be executed, or {@link Order#NONE}
+ * @param why the reason of that failure, empty for none
+ * @param label label of the serving version, empty if no process serves
+ * @param serving whether a process serves
+ * @param crashes number of serving processes that exited unexpectedly since the supervisor's folder was created
+ * @param sample metrics of the serving process, or null
  */
 public record SupervisorStatus(Order seen, Order done, Order failed, String why, String label, boolean serving, int crashes, Sample sample) {
 }
--- a/src/main/java/granitefold/rollout/Verdict.java
+++ b/src/main/java/granitefold/rollout/Verdict.java
@@ -1,15 +1,15 @@
 package granitefold.rollout;
 
-/** What a comparison comes to, and why. */
+/** Result of a {@link Comparison} and its reason. */
 public record Verdict(Kind kind, String why) {
 
-    /** Which way it goes. */
+    /** Outcome of a comparison. */
     public enum Kind {
-        /** No worse than is borne, for sure. */
+        /** Every metric is no worse than its margin allows, at the required confidence. */
         GOOD,
-        /** Worse, for sure. */
+        /** A metric is worse, at the required confidence. */
         WORSE,
-        /** Neither, so far. */
+        /** Neither has been shown yet. */
         INCONCLUSIVE
     }
 }
--- a/src/main/java/granitefold/rollout/Version.java
+++ b/src/main/java/granitefold/rollout/Version.java
@@ -1,12 +1,12 @@
 package granitefold.rollout;
 
 /**
- * What a dispatcher runs.
+ * Program and settings that a dispatcher runs. Written as JSON under the names of the components.
  *
- * @param label how people call it
- * @param jar the program, by its path
- * @param operator the operators' file, or empty for none
- * @param config the platform's configuration, or empty for the one that the keeper was set up with
+ * @param label name shown to operators
+ * @param jar path of the program
+ * @param operator path of the operator's file, empty for none
+ * @param config path of the platform's configuration, empty for the one in the supervisor's settings
  */
 public record Version(String label, String jar, String operator, String config) {
 }
--- a/src/main/java/granitefold/rollout/package-info.java
+++ b/src/main/java/granitefold/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A change of the program or its settings, in stages: what is compared, when it goes on, when it stops, and what a keeper does with
- * an order. Pure: no I/O, clock, threads or random source; times are microseconds that are handed in. The fronts are in
- * {@code granitefold.cli.rollout}.
+ * Staged rollout of a program version or its settings: the rollout's state machine, the statistical comparison of the new version with
+ * the old one, and the state machine of the supervisor that runs one dispatcher. Pure: no I/O, clock, threads or random source; times
+ * are microseconds passed in by the caller. The drivers are in {@code granitefold.cli.rollout}.
  */
 package granitefold.rollout;
--- a/src/test/java/granitefold/rollout/ObservationsTest.java
+++ b/src/test/java/granitefold/rollout/ObservationsTest.java
@@ -7,39 +7,39 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which figures of a fleet are compared. */
+/** Which dispatchers' samples are included in a comparison. */
 class ObservationsTest {
-    private static final long S = 1_000_000, WARM = 2 * S;
-    private final Observations sights = new Observations();
+    private static final long S_US = 1_000_000, WARM_UP_US = 2 * S_US;
+    private final Observations observations = new Observations();
 
-    private void saw(String dispatcher, long life, long now) {
+    private void status(String dispatcher, long life, long now) {
         Sample sample = life == 0 ? null : new Sample(life, Map.of(), 0, 0, 0, 0);
-        sights.saw(dispatcher, new SupervisorStatus(Order.NONE, Order.NONE, Order.NONE, "", "old", life > 0, 0, sample), true, now);
+        observations.update(dispatcher, new SupervisorStatus(Order.NONE, Order.NONE, Order.NONE, "", "old", life > 0, 0, sample), true, now);
     }
 
     private Set<String> compared(long now) {
-        return sights.samples(List.of("n0", "n1"), now, WARM).keySet();
+        return observations.samples(List.of("n0", "n1"), now, WARM_UP_US).keySet();
     }
 
-    /** What a cold process refuses in its first moment would stand for its version. */
+    /** Requests that a new process refuses during its warm-up must not be attributed to its version. */
     @Test
-    void whoBeganAnewIsComparedOnceItIsWarm() {
-        saw("n0", 1, 0);
-        saw("n1", 1, 0);
-        assertEquals(Set.of("n0", "n1"), compared(0), "a look has a warm-up of its own");
-        saw("n0", 0, S);
-        saw("n0", 2, 2 * S);
-        saw("n1", 1, 2 * S);
-        assertEquals(Set.of("n1"), compared(2 * S));
-        saw("n0", 2, 4 * S - 1);
-        assertEquals(Set.of("n1"), compared(4 * S - 1));
-        assertEquals(Set.of("n0", "n1"), compared(4 * S));
+    void restartedProcessIsComparedAfterItsWarmUp() {
+        status("n0", 1, 0);
+        status("n1", 1, 0);
+        assertEquals(Set.of("n0", "n1"), compared(0), "a comparison starts after a warm-up of its own");
+        status("n0", 0, S_US);
+        status("n0", 2, 2 * S_US);
+        status("n1", 1, 2 * S_US);
+        assertEquals(Set.of("n1"), compared(2 * S_US));
+        status("n0", 2, 4 * S_US - 1);
+        assertEquals(Set.of("n1"), compared(4 * S_US - 1));
+        assertEquals(Set.of("n0", "n1"), compared(4 * S_US));
     }
 
     @Test
-    void whoIsNotHeardOfIsNotCompared() {
-        saw("n0", 1, 0);
-        saw("n1", 1, 2 * S);
-        assertEquals(Set.of("n1"), compared(4 * S));
+    void dispatcherWithoutRecentStatusIsNotCompared() {
+        status("n0", 1, 0);
+        status("n1", 1, 2 * S_US);
+        assertEquals(Set.of("n1"), compared(4 * S_US));
     }
 }
