--- a/src/main/java/granitefold/cli/Commands.java
+++ b/src/main/java/granitefold/cli/Commands.java
@@ -27,8 +27,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The sub-commands. Exit status: 0 for success, 1 where the answer is no (not drained in time, no dispatcher there), 2
- * for a broken configuration, 64 for wrong usage (sysexits.h, EX_USAGE).
+ * The sub-commands. Exit status: 0 for success, 1 for failure (not drained in time, no dispatcher reachable), 2 for an invalid
+ * configuration, 64 for wrong usage (sysexits.h, EX_USAGE).
  */
 @Command(name = "granitefold", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
         description = "A dispatcher for jobs.", exitCodeOnInvalidInput = Commands.USAGE,
@@ -37,30 +37,30 @@
             RolloutCommand.class, KeepCommand.class,
             AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
 public final class Commands implements Callable<Integer> {
-    static final int USAGE = 64, NO = 1;
+    static final int USAGE = 64, FAILURE = 1;
 
     @Spec
     private CommandSpec spec;
 
     private Commands() { }
 
-    /** Runs what the arguments name and returns the exit status, or -1 where the process goes on serving. */
+    /** Runs the command that the arguments name. Returns the exit status, or -1 if the process keeps serving. */
     public static int run(String... args) {
         CommandLine line = new CommandLine(new Commands());
         line.setCaseInsensitiveEnumValuesAllowed(true);
-        // sub-commands do not take this over from their parent
-        strict(line);
+        // sub-commands do not inherit the exit code for invalid input
+        setUsageExitCode(line);
         line.setExecutionExceptionHandler((e, command, result) -> {
             command.getErr().println("granitefold: " + e.getMessage());
-            return NO;
+            return FAILURE;
         });
         return line.execute(args);
     }
 
-    private static void strict(CommandLine line) {
-        line.getSubcommands().values().forEach(c -> {
-            c.getCommandSpec().exitCodeOnInvalidInput(USAGE);
-            strict(c);
+    private static void setUsageExitCode(CommandLine line) {
+        line.getSubcommands().values().forEach(subcommand -> {
+            subcommand.getCommandSpec().exitCodeOnInvalidInput(USAGE);
+            setUsageExitCode(subcommand);
         });
     }
 
@@ -82,7 +82,7 @@
     static final class ServeCommand implements Callable<Integer> {
         @Option(names = "--config", paramLabel = "FILE", description = "The platform's configuration (else $LB_CONFIG).")
         private String config = System.getenv("LB_CONFIG");
-        @Option(names = "--operator", paramLabel = "FILE", description = "The operator's file; without it all it holds is off.")
+        @Option(names = "--operator", paramLabel = "FILE", description = "The operator's file; without it, everything it configures is off.")
         private String operator;
 
         @Override
@@ -93,7 +93,7 @@
     }
 
     @Command(name = "benchlink", mixinStandardHelpOptions = true,
-            description = "The decisions on the simulator's wire, over standard input and output.")
+            description = "Make dispatch decisions for the simulator, over standard input and output.")
     static final class BenchLinkCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
@@ -102,12 +102,12 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Check configuration files and print the settings that hold.")
+            description = "Check configuration files and print the effective settings.")
     static final class Check implements Callable<Integer> {
         enum Kind { PLATFORM, OPERATOR, PLAN }
 
         @Option(names = "--as", paramLabel = "KIND",
-                description = "${COMPLETION-CANDIDATES}; else *.json is the platform's and *.plan a rollout's.")
+                description = "${COMPLETION-CANDIDATES}; by default *.json is the platform's, *.plan a rollout plan, any other the operator's.")
         private Kind kind;
         @Parameters(arity = "1..*", paramLabel = "FILE")
         private List<Path> files;
@@ -137,11 +137,11 @@
         }
     }
 
-    /** How a control command finds its dispatcher. */
+    /** Base of the commands that are sent to a dispatcher's control socket. */
     abstract static class ControlCommand implements Callable<Integer> {
         private static final long POLL_MS = 50;
 
-        static final class Where {
+        static final class Target {
             @Option(names = "--socket", paramLabel = "PATH", description = "The control socket.")
             private Path socket;
             @Option(names = "--operator", paramLabel = "FILE", description = "The operator's file that names the socket.")
@@ -149,13 +149,13 @@
         }
 
         @CommandLine.ArgGroup(multiplicity = "1")
-        private Where where;
-        @Option(names = "--json", description = "Print the dispatcher's answer as it is: a JSON object.")
+        private Target target;
+        @Option(names = "--json", description = "Print the dispatcher's response unchanged, as a JSON object.")
         private boolean json;
-        @Option(names = "--wait", description = "Wait until nothing is owed to clients any more.")
+        @Option(names = "--wait", description = "Wait until every request has been answered.")
         private boolean wait;
         @Option(names = "--timeout", paramLabel = "TIME", defaultValue = "PT60S",
-                description = "How long to wait, as PT60S (default: ${DEFAULT-VALUE}); then the status is 1.")
+                description = "Time limit for --wait as an ISO 8601 duration (default: ${DEFAULT-VALUE}); on timeout the status is 1.")
         private Duration timeout;
         @Spec
         private CommandSpec spec;
@@ -166,26 +166,26 @@
         public Integer call() throws Exception {
             ControlClient client;
             try {
-                client = new ControlClient(where.socket != null ? where.socket : socketOf(where.operator));
+                client = new ControlClient(target.socket != null ? target.socket : socketOf(target.operator));
             } catch (InvalidFileException e) {
                 e.problems().forEach(spec.commandLine().getErr()::println);
                 return Serve.BAD_CONFIGURATION;
             }
-            JsonNode answer = client.ask(command());
+            JsonNode answer = client.send(command());
             long until = System.nanoTime() + timeout.toNanos();
             while (wait && !answer.has("error") && answer.path("owed").asInt() > 0) {
                 if (System.nanoTime() - until > 0) {
                     print(answer);
                     spec.commandLine().getErr().println("granitefold: " + answer.path("owed").asInt()
-                            + " requests are still owed an answer");
-                    return NO;
+                            + " requests have not been answered yet");
+                    return FAILURE;
                 }
                 Thread.sleep(POLL_MS);
-                answer = client.ask("status");
+                answer = client.send("status");
             }
             if (answer.has("error")) {
                 spec.commandLine().getErr().println("granitefold: " + answer.get("error").asText());
-                return NO;
+                return FAILURE;
             }
             print(answer);
             return 0;
@@ -199,40 +199,41 @@
             return control.socket();
         }
 
-        private void print(JsonNode a) {
-            spec.commandLine().getOut().println(json ? a.toString() : String.format(Locale.ROOT,
-                    "%s %s, weight %d%%, maxconn %d: %s; %d owed, %d clients, %d of %d workers down", a.path("name").asText(),
-                    a.path("standing").asText(), a.path("weight").asInt(), a.path("maxconn").asInt(), a.path("reason").asText(),
-                    a.path("owed").asInt(), a.path("clients").asInt(), a.path("peers").path("down").asInt(),
-                    a.path("peers").path("ready").asInt()));
+        private void print(JsonNode response) {
+            spec.commandLine().getOut().println(json ? response.toString() : String.format(Locale.ROOT,
+                    "%s %s, weight %d%%, maxconn %d: %s; %d owed, %d clients, %d of %d workers down", response.path("name").asText(),
+                    response.path("standing").asText(), response.path("weight").asInt(), response.path("maxconn").asInt(),
+                    response.path("reason").asText(),
+                    response.path("owed").asInt(), response.path("clients").asInt(), response.path("peers").path("down").asInt(),
+                    response.path("peers").path("ready").asInt()));
         }
     }
 
-    @Command(name = "drain", mixinStandardHelpOptions = true, description = "Take no new traffic; finish what is there.")
+    @Command(name = "drain", mixinStandardHelpOptions = true, description = "Stop taking new traffic and finish the requests in progress.")
     static final class Drain extends ControlCommand {
         @Override
         String command() {
-            return word(RequestedMode.DRAIN);
+            return verb(RequestedMode.DRAIN);
         }
     }
 
-    @Command(name = "ready", mixinStandardHelpOptions = true, description = "Take traffic again after a drain or maint.")
+    @Command(name = "ready", mixinStandardHelpOptions = true, description = "Take traffic again after drain or maint.")
     static final class Ready extends ControlCommand {
         @Override
         String command() {
-            return word(RequestedMode.READY);
+            return verb(RequestedMode.READY);
         }
     }
 
-    @Command(name = "maint", mixinStandardHelpOptions = true, description = "Out for maintenance: as drain, said otherwise.")
+    @Command(name = "maint", mixinStandardHelpOptions = true, description = "Like drain, but report maintenance.")
     static final class Maint extends ControlCommand {
         @Override
         String command() {
-            return word(RequestedMode.MAINT);
+            return verb(RequestedMode.MAINT);
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "How the dispatcher stands.")
+    @Command(name = "status", mixinStandardHelpOptions = true, description = "Print the status of the dispatcher.")
     static final class Status extends ControlCommand {
         @Override
         String command() {
@@ -240,7 +241,7 @@
         }
     }
 
-    private static String word(RequestedMode wish) {
-        return wish.name().toLowerCase(Locale.ROOT);
+    private static String verb(RequestedMode mode) {
+        return mode.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/granitefold/cli/ControlClient.java
+++ b/src/main/java/granitefold/cli/ControlClient.java
@@ -12,9 +12,9 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** Asks a dispatcher over its control socket: a line, an answer, a connection. */
+/** Client of a dispatcher's control socket: one connection for each command and its response. */
 final class ControlClient {
-    private static final int ANSWER_MOST = 64 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Path socket;
@@ -23,16 +23,16 @@
         this.socket = socket;
     }
 
-    JsonNode ask(String command) throws IOException {
+    JsonNode send(String command) throws IOException {
         try (SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             channel.connect(UnixDomainSocketAddress.of(socket));
             channel.write(ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.US_ASCII)));
-            ByteArrayOutputStream answer = new ByteArrayOutputStream();
-            answer.write(Channels.newInputStream(channel).readNBytes(ANSWER_MOST));
-            if (answer.size() == 0) {
-                throw new IOException(socket + ": no answer");
+            ByteArrayOutputStream response = new ByteArrayOutputStream();
+            response.write(Channels.newInputStream(channel).readNBytes(MAX_RESPONSE_BYTES));
+            if (response.size() == 0) {
+                throw new IOException(socket + ": no response");
             }
-            return JSON.readTree(answer.toByteArray());
+            return JSON.readTree(response.toByteArray());
         } catch (IOException e) {
             throw new IOException(socket + ": " + e.getMessage(), e);
         }
--- a/src/main/java/granitefold/cli/JsonLines.java
+++ b/src/main/java/granitefold/cli/JsonLines.java
@@ -9,13 +9,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs as JSON, an object a line, through Logback and its Logstash encoder. Chosen before the first logger is made; the
- * text form keeps to slf4j-simple, which costs a start less (docs/design/balancer-checks.md has the figures).
+ * Configures logging as JSON, one object per line, through Logback and its Logstash encoder. Must be called before the first logger
+ * is created. Text logging uses slf4j-simple, which starts faster (docs/design/balancer-checks.md has the figures).
  */
 final class JsonLines {
     private JsonLines() { }
 
-    static void begin() {
+    static void configure() {
         System.setProperty("slf4j.provider", "ch.qos.logback.classic.spi.LogbackServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/src/main/java/granitefold/cli/Serve.java
+++ b/src/main/java/granitefold/cli/Serve.java
@@ -17,9 +17,9 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Runs one real dispatcher until it is told to end. */
+/** Runs one dispatcher until the process is terminated. */
 public final class Serve {
-    /** Status of a broken configuration. */
+    /** Exit status for an invalid configuration. */
     static final int BAD_CONFIGURATION = 2;
 
     private final Path config;
@@ -27,14 +27,14 @@
     private OperatorSettings operator = OperatorSettings.NONE;
     private EventLoop loop;
     private CheckEndpoints checks;
-    private StateWriter keeper;
+    private StateWriter stateWriter;
 
     private Serve(Path config, Path operatorFile) {
         this.config = config;
         this.operatorFile = operatorFile;
     }
 
-    /** Starts; {@code operatorFile} may be null. What is broken ends the process with one line a problem. */
+    /** Starts the dispatcher; {@code operatorFile} may be null. On an invalid configuration, prints one line per problem and exits. */
     public static void run(String config, String operatorFile) {
         try {
             if (config == null || config.isEmpty()) {
@@ -52,24 +52,24 @@
     }
 
     private void start() throws Exception {
-        // before all else: unhandled, the signal ends the JVM
+        // installed first: without a handler the signal terminates the JVM
         CompletableFuture<Serve> started = new CompletableFuture<>();
-        SignalHandler before = Signal.handle(new Signal("HUP"), signal -> started.thenAccept(Serve::reload));
+        SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> started.thenAccept(Serve::reload));
         if (operatorFile != null) {
             operator = OperatorFile.read(operatorFile).settings();
             if (operator.log().json()) {
-                JsonLines.begin();
+                JsonLines.configure();
             }
         }
-        if (before == SignalHandler.SIG_IGN) {
-            // whoever started us had it ignored, as nohup has; the JVM leaves it so, and a move of discovery would go unnoticed
+        if (previousHandler == SignalHandler.SIG_IGN) {
+            // the parent process ignores SIGHUP, as nohup does; the JVM keeps that, so a changed discovery address goes unnoticed
             EventLog.log(LogEvent.RELOAD_OFF);
         }
         Config platform = Config.read(config);
         loop = new EventLoop(platform, operator);
         if (operator.state() != null) {
-            keeper = new StateWriter(operator.state().directory(), operator.state().generations(), platform.settingsIndexes(), loop::restore);
-            loop.saveStateWith(keeper::submit);
+            stateWriter = new StateWriter(operator.state().directory(), operator.state().generations(), platform.settingsIndexes(), loop::restore);
+            loop.saveStateWith(stateWriter::submit);
         }
         if (platform.ops() != null) {
             new OpsEndpoint(platform.ops(), loop, platform.namedSettings().classNames()).start();
@@ -80,8 +80,8 @@
         }
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
         loop.start();
-        if (keeper != null) {
-            keeper.start();
+        if (stateWriter != null) {
+            stateWriter.start();
         }
         started.complete(this);
     }
@@ -111,8 +111,8 @@
     private void terminate() {
         try {
             long leftUs = loop.terminate();
-            if (keeper != null) {
-                keeper.shutDown(leftUs);
+            if (stateWriter != null) {
+                stateWriter.shutDown(leftUs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -120,7 +120,7 @@
         if (checks != null) {
             checks.close();
         }
-        // a planned end is a success: without this the status would tell of the signal
+        // a graceful shutdown is a success; without this the exit status would report the signal
         Runtime.getRuntime().halt(0);
     }
 
--- a/src/main/java/granitefold/cli/StateCommand.java
+++ b/src/main/java/granitefold/cli/StateCommand.java
@@ -22,8 +22,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks into state files, without touching them. Status 1: damaged, or different. */
-@Command(name = "state", mixinStandardHelpOptions = true, description = "Look into state files.",
+/** Reads state files without modifying them. Exit status 1: damaged or different. */
+@Command(name = "state", mixinStandardHelpOptions = true, description = "Inspect state files.",
         subcommands = {StateCommand.Inspect.class, StateCommand.Verify.class, StateCommand.Diff.class, StateCommand.Export.class})
 final class StateCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
@@ -37,13 +37,13 @@
         return Commands.USAGE;
     }
 
-    /** A file, or a folder's newest whole generation. */
+    /** Reads a file, or the newest valid generation in a folder. */
     private static StateFile.Content read(Path path) throws IOException {
         Path folder = Files.isDirectory(path) ? path : path.toAbsolutePath().getParent();
         if (folder.equals(path)) {
             StateStore.LoadResult found = new StateStore(readOnly(folder), 10).load();
             if (found.content() == null) {
-                throw new IOException(path + ": no whole file" + (found.problems().isEmpty() ? "" : ": "
+                throw new IOException(path + ": no valid file" + (found.problems().isEmpty() ? "" : ": "
                         + String.join("; ", found.problems())));
             }
             return found.content();
@@ -59,13 +59,13 @@
         }
     }
 
-    /** Reads as the store does, and refuses to set anything aside. */
+    /** Returns a storage that refuses all writes, so that the store cannot move damaged files aside. */
     private static granitefold.state.Storage readOnly(Path folder) {
-        granitefold.state.Storage disk = DirectoryStorage.readOnly(folder);
+        granitefold.state.Storage storage = DirectoryStorage.readOnly(folder);
         return new granitefold.state.Storage() {
             @Override
-            public byte[] read(String name, int most) throws IOException {
-                return disk.read(name, most);
+            public byte[] read(String name, int maxBytes) throws IOException {
+                return storage.read(name, maxBytes);
             }
 
             @Override
@@ -90,7 +90,7 @@
         };
     }
 
-    abstract static class OnFile implements Callable<Integer> {
+    abstract static class FileCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "PATH", description = "A state file, or the folder that state.dir names.")
         protected Path path;
         @Spec
@@ -101,8 +101,8 @@
         }
     }
 
-    @Command(name = "inspect", mixinStandardHelpOptions = true, description = "Print what a file holds, in short.")
-    static final class Inspect extends OnFile {
+    @Command(name = "inspect", mixinStandardHelpOptions = true, description = "Print a summary of a file.")
+    static final class Inspect extends FileCommand {
         @Override
         public Integer call() throws IOException {
             StateFile.Content c = read(path);
@@ -116,8 +116,9 @@
         }
     }
 
-    @Command(name = "verify", mixinStandardHelpOptions = true, description = "Status 0 if whole, else 1 and where.")
-    static final class Verify extends OnFile {
+    @Command(name = "verify", mixinStandardHelpOptions = true,
+            description = "Exit with 0 if the file is valid; else with 1, and print where it is damaged.")
+    static final class Verify extends FileCommand {
         @Override
         public Integer call() throws IOException {
             read(path);
@@ -126,38 +127,38 @@
         }
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true, description = "Status 0 if two files hold the same, else 1.")
-    static final class Diff extends OnFile {
+    @Command(name = "diff", mixinStandardHelpOptions = true, description = "Exit with 0 if two files have the same content, else with 1.")
+    static final class Diff extends FileCommand {
         @Parameters(index = "1", paramLabel = "OTHER")
         private Path other;
 
         @Override
         public Integer call() throws IOException {
-            Map<String, String> a = flat(JSON.valueToTree(read(path)), "", new TreeMap<>());
-            Map<String, String> b = flat(JSON.valueToTree(read(other)), "", new TreeMap<>());
+            Map<String, String> a = flatten(JSON.valueToTree(read(path)), "", new TreeMap<>());
+            Map<String, String> b = flatten(JSON.valueToTree(read(other)), "", new TreeMap<>());
             Map<String, String> all = new TreeMap<>(a);
             all.putAll(b);
-            int differ = 0;
+            int differences = 0;
             for (String key : all.keySet()) {
                 if (!java.util.Objects.equals(a.get(key), b.get(key))) {
                     out().println(key + ": " + a.get(key) + " | " + b.get(key));
-                    differ++;
+                    differences++;
                 }
             }
-            return differ == 0 ? 0 : Commands.NO;
+            return differences == 0 ? 0 : Commands.FAILURE;
         }
 
-        private static Map<String, String> flat(JsonNode node, String path, Map<String, String> into) {
+        private static Map<String, String> flatten(JsonNode node, String path, Map<String, String> into) {
             if (node.isContainerNode()) {
                 int i = 0;
                 if (node.isObject()) {
-                    for (Iterator<Map.Entry<String, JsonNode>> f = node.fields(); f.hasNext();) {
-                        Map.Entry<String, JsonNode> e = f.next();
-                        flat(e.getValue(), path.isEmpty() ? e.getKey() : path + "." + e.getKey(), into);
+                    for (Iterator<Map.Entry<String, JsonNode>> entries = node.fields(); entries.hasNext();) {
+                        Map.Entry<String, JsonNode> e = entries.next();
+                        flatten(e.getValue(), path.isEmpty() ? e.getKey() : path + "." + e.getKey(), into);
                     }
                 } else {
                     for (JsonNode n : node) {
-                        flat(n, path + "." + i++, into);
+                        flatten(n, path + "." + i++, into);
                     }
                 }
             } else {
@@ -167,9 +168,9 @@
         }
     }
 
-    @Command(name = "export", mixinStandardHelpOptions = true, description = "Write all that a file holds as JSON.")
-    static final class Export extends OnFile {
-        @Option(names = "--json", required = true, paramLabel = "FILE", description = "Where to; - for standard output.")
+    @Command(name = "export", mixinStandardHelpOptions = true, description = "Write the whole content of a file as JSON.")
+    static final class Export extends FileCommand {
+        @Option(names = "--json", required = true, paramLabel = "FILE", description = "Output file; - for standard output.")
         private String json;
 
         @Override
--- a/src/main/java/granitefold/cli/package-info.java
+++ b/src/main/java/granitefold/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. {@code Serve} alone is on the platform's path; picocli is loaded for everything else only. */
+/** The command line. When the platform starts a dispatcher, only {@code Serve} is used; picocli is loaded for all other commands only. */
 package granitefold.cli;
--- a/src/main/java/granitefold/cli/rollout/PlanFile.java
+++ b/src/main/java/granitefold/cli/rollout/PlanFile.java
@@ -56,7 +56,8 @@
                 tolerances.integer("crashes", defaults.crashes(), 0, 1000), worth);
         int count = Math.max(1, keepers.size());
         List<Integer> stages = stages(all.strings("stages", "a count or a share, as 1 or 10%", t -> t.matches("\\d{1,6}|\\d{1,3}%|all")), count);
-        Plan plan = new Plan(all.string("name", "", "a label of printable characters", t -> t.matches("[!-~]{1,64}")), List.copyOf(keepers.keySet()), stages,
+        Plan plan = new Plan(all.string("name", "", "a label of printable characters", t -> t.matches("[!-~]{1,64}")),
+                List.copyOf(keepers.keySet()), stages,
                 SupervisorFile.version(baseline), SupervisorFile.version(candidate), margins,
                 all.strings("classes", "names of classes", t -> !t.isEmpty()),
                 comparison.durationUs("warm", 5_000_000, 0, HOUR_MS), comparison.durationUs("least", 20_000_000, 0, HOUR_MS),
--- a/src/test/java/granitefold/cli/CommandsTest.java
+++ b/src/test/java/granitefold/cli/CommandsTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit statuses, which scripts go by. */
+/** Exit statuses, which scripts rely on. */
 class CommandsTest {
     @TempDir
     Path folder;
 
     @Test
-    void wrongUsageIsSixtyFour() {
+    void wrongUsageExitsWith64() {
         for (String[] args : new String[][] {{}, {"frob"}, {"drain"}, {"status", "--frob"}, {"serve", "x"}, {"check"},
             {"drain", "--socket", "/x", "--operator", "/y"}, {"drain", "--socket", "/x", "--timeout", "soon"}}) {
             assertEquals(64, Commands.run(args), String.join(" ", args));
@@ -29,26 +29,26 @@
     }
 
     @Test
-    void checkTellsGoodFilesFromBroken() throws Exception {
+    void checkExitsWithTwoForInvalidFiles() throws Exception {
         assertEquals(0, Commands.run("check", "deploy/operator.conf", "examples/config.json"));
-        Path bad = Files.writeString(folder.resolve("bad.conf"), "x = 1");
+        Path invalidConf = Files.writeString(folder.resolve("bad.conf"), "x = 1");
         Path json = Files.writeString(folder.resolve("bad.json"), "{\"listen\": 7}");
-        assertEquals(2, Commands.run("check", bad.toString(), "deploy/operator.conf"));
+        assertEquals(2, Commands.run("check", invalidConf.toString(), "deploy/operator.conf"));
         assertEquals(2, Commands.run("check", json.toString()));
         assertEquals(2, Commands.run("check", folder.resolve("none.conf").toString()));
-        assertEquals(2, Commands.run("status", "--operator", bad.toString()));
+        assertEquals(2, Commands.run("status", "--operator", invalidConf.toString()));
     }
 
     @Test
-    void whereNoDispatcherAnswersTheStatusIsOne() {
+    void unreachableDispatcherExitsWithOne() {
         assertEquals(1, Commands.run("status", "--socket", folder.resolve("none").toString()));
-        assertEquals(1, Commands.run("drain", "--operator", "deploy/operator.conf"), "it names no socket");
+        assertEquals(1, Commands.run("drain", "--operator", "deploy/operator.conf"), "the operator's file names no socket");
     }
 
     @Test
-    void stateCommandsTellWholeFilesFromDamaged() throws Exception {
-        LearnedState l = new LearnedState(7, 1, 1, 1, 1, List.of(), List.of(), List.of(new LearnedState.Bucket(0, List.of(3L), 2, 1)), List.of());
-        byte[] bytes = StateFile.encode(new StateFile.Content("n0", "s", 0, 1, List.of("acme"), List.of(), l));
+    void stateCommandsExitWithOneForDamagedFiles() throws Exception {
+        LearnedState learned = new LearnedState(7, 1, 1, 1, 1, List.of(), List.of(), List.of(new LearnedState.Bucket(0, List.of(3L), 2, 1)), List.of());
+        byte[] bytes = StateFile.encode(new StateFile.Content("n0", "s", 0, 1, List.of("acme"), List.of(), learned));
         Path whole = Files.write(folder.resolve("learned.state"), bytes);
         bytes[50] ^= 1;
         Path damaged = Files.write(folder.resolve("damaged"), bytes);
--- a/src/test/java/granitefold/rollout/ComparisonTest.java
+++ b/src/test/java/granitefold/rollout/ComparisonTest.java
@@ -52,7 +52,8 @@
             // ten readings per second of the number of held requests
             held.merge(name, PoissonSampler.of(random, 10 * requestsPerS * 0.08 * slower * (1 + fault)).sample() / 10.0, Double::sum);
             double watched = seconds.merge(name, 1.0, Double::sum);
-            return new Sample(1, Map.of("ficha", new Sample.Counts(c[0], c[1], 0), "escalar", new Sample.Counts(c[2], c[3], 0)), 0, held.get(name), watched,
+            return new Sample(1, Map.of("ficha", new Sample.Counts(c[0], c[1], 0), "escalar", new Sample.Counts(c[2], c[3], 0)),
+                    0, held.get(name), watched,
                     rssKb + (long) (500 * random.nextDouble()));
         }
     }
@@ -90,7 +91,8 @@
         for (int i = 0; i < RUNS; i++) {
             seconds += Math.max(0, stage(1000 + i, requestsPerS, perGroup, degradation, outcomes));
         }
-        System.out.println("comparison: " + what + ", " + perGroup + " each at " + requestsPerS + "/s: " + outcomes + ", " + seconds / RUNS + " s on the mean");
+        System.out.println("comparison: " + what + ", " + perGroup + " each at " + requestsPerS + "/s: " + outcomes
+                    + ", " + seconds / RUNS + " s on the mean");
         return outcomes;
     }
 
--- a/src/test/java/granitefold/rollout/RolloutSearchTest.java
+++ b/src/test/java/granitefold/rollout/RolloutSearchTest.java
@@ -24,8 +24,8 @@
  */
 class RolloutSearchTest {
     private static final Version OLD = new Version("old", "/old.jar", "", ""), NEW = new Version("new", "/new.jar", "", "");
-    private static final Plan PLAN = new Plan("p", List.of("a", "b"), List.of(1, 2), OLD, NEW, Margins.DEFAULTS, List.of("c"), 0, 1_000_000, 2_000_000,
-            6_000_000, true, false);
+    private static final Plan PLAN = new Plan("p", List.of("a", "b"), List.of(1, 2), OLD, NEW, Margins.DEFAULTS,
+            List.of("c"), 0, 1_000_000, 2_000_000, 6_000_000, true, false);
     /** Depth 7 ({@code -Drollout.depth=7}) has 162,121 states and takes a minute. */
     private static final int DEPTH = Integer.getInteger("rollout.depth", 5);
 
@@ -60,7 +60,8 @@
                     savedProgress = k.progress();
                 } else if (a instanceof RolloutAction.SendOrder g) {
                     assertTrue(savedProgress != null && savedProgress.order().equals(g.order()), "an order was sent before it was saved");
-                    assertTrue(g.version().equals(OLD) || savedProgress.fresh().contains(g.dispatcher()), "the new version was ordered without a saved record of it");
+                    assertTrue(g.version().equals(OLD) || savedProgress.fresh().contains(g.dispatcher()),
+                            "the new version was ordered without a saved record of it");
                     if (linkUp) {
                         deliver(g);
                     } else {
@@ -134,7 +135,8 @@
             settle();
             for (String d : PLAN.dispatchers()) {
                 if (linkUp) {
-                    controllerEvent(new RolloutEvent.StatusReceived(d, supervisors.get(d).status(new Sample(1, Map.of("c", new Sample.Counts(now / 1000, 0, 0)), 0, now / 1e6, now / 1e6, 1))));
+                    controllerEvent(new RolloutEvent.StatusReceived(d, supervisors.get(d).status(
+                            new Sample(1, Map.of("c", new Sample.Counts(now / 1000, 0, 0)), 0, now / 1e6, now / 1e6, 1))));
                     settle();
                 }
             }
@@ -168,10 +170,12 @@
             for (String d : PLAN.dispatchers()) {
                 boolean runsNew = processes.get(d).containsValue(NEW);
                 boolean overtaken = controller.progress().state() == State.OVERTAKEN;
-                assertTrue(!runsNew || overtaken || savedProgress.fresh().contains(d) || savedProgress.state() == State.RETURNED && supervisors.get(d).record().wanted().equals(OLD),
+                assertTrue(!runsNew || overtaken || savedProgress.fresh().contains(d)
+                        || savedProgress.state() == State.RETURNED && supervisors.get(d).record().wanted().equals(OLD),
                         () -> d + " runs the new version without a saved record of it: " + path);
                 SupervisorRecord r = supervisors.get(d).record();
-                assertTrue(r.done().compareTo(r.seen()) <= 0 && r.failed().compareTo(r.seen()) <= 0, () -> "an order is done or failed that was not seen: " + path);
+                assertTrue(r.done().compareTo(r.seen()) <= 0 && r.failed().compareTo(r.seen()) <= 0,
+                        () -> "an order is done or failed that was not seen: " + path);
             }
         }
 
@@ -225,13 +229,15 @@
             "link", w -> w.linkUp = !w.linkUp,
             "new ones start or not", w -> w.newVersionStarts = !w.newVersionStarts,
             "back", w -> w.controllerEvent(new RolloutEvent.OperatorRequested(OperatorCommand.BACK)),
-            "pause or resume", w -> w.controllerEvent(new RolloutEvent.OperatorRequested(w.controller.progress().paused() ? OperatorCommand.RESUME : OperatorCommand.PAUSE)),
+            "pause or resume", w -> w.controllerEvent(new RolloutEvent.OperatorRequested(
+                    w.controller.progress().paused() ? OperatorCommand.RESUME : OperatorCommand.PAUSE)),
             "another rollout", w -> w.supervisorEvent("b", new OrderReceived(new Order(2, 1), OLD))));
 
     /** Returns a fingerprint of the state that determines all further behaviour. */
     private static String fingerprint(SystemState w) {
         StringBuilder b = new StringBuilder(w.controller.progress().toString());
-        w.supervisors.forEach((d, k) -> b.append(d).append(k.record()).append(k.servingIncarnation()).append(k.startingIncarnation()).append(w.processes.get(d)));
+        w.supervisors.forEach((d, k) -> b.append(d).append(k.record()).append(k.servingIncarnation())
+                    .append(k.startingIncarnation()).append(w.processes.get(d)));
         return b.append(w.linkUp).append(w.newVersionStarts).append(w.delayedOrders).append(w.now).toString();
     }
 
