--- a/src/main/java/granitefold/policy/Admission.java
+++ b/src/main/java/granitefold/policy/Admission.java
@@ -4,123 +4,146 @@
 import granitefold.Dispatcher.Request;
 import java.util.stream.DoubleStream;
 
-/** What is refused: by the tenant's bucket and by the wait that the job would have. */
-record Admission(Knowledge k, ColdBudget cold, Waits waits, SendGate gate) {
-    /** A bucket holds this many seconds of its tenant's rate: bursts shorter than that pass untouched. */
-    static final double BUCKET_S = 3;
-    /** Strain: estimated wait on every fitting worker past so many of the tightest class's allowance. */
-    static final double STRAIN_WAITS = 1;
-    /** A wait past this multiple of what the job's class allows for leaves no hope of being on time. */
-    static final double HOPELESS_WAITS = 1.25;
-    /** Hints are held within these bounds (microseconds of work); a job's before any hint was seen. */
-    static final double WORK_LEAST = 1_000, WORK_MOST = 600e6, WORK_UNKNOWN = 1e6;
-    /** The mean of hints follows the last so many jobs. */
-    static final double MEAN_JOBS = 100;
+/**
+ * Decides which requests are refused: by the tenant's token bucket and by the wait that the job would have.
+ */
+record Admission(PolicyState state, SlowStartBudget slowStart, WaitEstimator waits,
+        SendConstraints constraints) {
+    /** Capacity of a bucket in seconds of its tenant's rate: shorter bursts pass unhindered. */
+    static final double BUCKET_CAPACITY_S = 3;
+    /**
+     * Overload: the estimated wait on every candidate exceeds this multiple of the tightest class's
+     * allowance.
+     */
+    static final double OVERLOAD_WAIT_FACTOR = 1;
+    /** A job cannot meet its deadline if it would take longer than this multiple of what its class allows. */
+    static final double MAX_ALLOWANCE_FACTOR = 1.25;
+    /** Bounds of hinted work, and the work assumed before the first hint. */
+    static final double MIN_WORK_US = 1_000, MAX_WORK_US = 600e6, DEFAULT_WORK_US = 1e6;
+    /** Number of recent jobs that the mean of hints follows. */
+    static final double MEAN_WINDOW_JOBS = 100;
 
-    /** The tenant's bucket, credited up to now; null where the site told no quota for it. */
-    Bucket bucket(int tenant, long now) {
-        if (tenant < 0 || tenant >= k.set.tenants().size() || !(k.fleetRate > 0)) {
+    /** Returns the tenant's bucket, refilled up to now; null where the site gives no quota for it. */
+    TokenBucket bucket(int tenant, long now) {
+        if (tenant < 0 || tenant >= state.settings.tenants().size() || !(state.fleetRatePerS > 0)) {
             return null;
         }
-        Bucket b = k.buckets.get(tenant);
-        if (b == null) {
-            double rate = k.fleetRate * Math.max(0, k.set.tenants().get(tenant).share());
-            b = new Bucket(rate, Math.max(1, rate * BUCKET_S), k.siblings, now);
-            k.buckets.put(tenant, b);
+        TokenBucket bucket = state.buckets.get(tenant);
+        if (bucket == null) {
+            double ratePerS = state.fleetRatePerS * Math.max(0, state.settings.tenants().get(tenant).share());
+            bucket = new TokenBucket(ratePerS, Math.max(1, ratePerS * BUCKET_CAPACITY_S), state.siblings,
+                    now);
+            state.buckets.put(tenant, bucket);
         }
-        b.refill(now);
-        return b;
+        bucket.refill(now);
+        return bucket;
     }
 
-    /** When the bucket will hold a whole token again, a second at the least. */
-    long retryAfter(Bucket b) {
-        double s = b == null ? 1 : b.rate > 0 ? (1 - b.available()) / b.rate : Double.MAX_VALUE;
-        return (long) Math.min(k.set.limits().maxRetryAfterUs(), Math.max(1, s) * 1e6);
+    /** Returns the time until the bucket holds a whole token again, at least one second. */
+    long retryAfterUs(TokenBucket bucket) {
+        double seconds = bucket == null ? 1
+                : bucket.ratePerS > 0 ? (1 - bucket.available()) / bucket.ratePerS : Double.MAX_VALUE;
+        return (long) Math.min(state.settings.limits().maxRetryAfterUs(), Math.max(1, seconds) * 1e6);
     }
 
     /**
-     * Estimates the wait for a job on each worker in reach, for strain, hope and pick: by what is counted
-     * there, and how late our own jobs start for what siblings, cut off or too many, did not tell us. A cold
-     * one whose budget is spent is not in reach: it stands idle, and would pass for room that nobody may use.
+     * Determines the candidates for a job and estimates its wait on each, for the overload and deadline
+     * checks and for the selection. A wait comprises the known load and how late own jobs start because of
+     * load that siblings, cut off or too many, did not report. A worker in slow start without budget left is
+     * no candidate: it is idle and would look like capacity that nobody may use.
      */
-    void survey(Job job, long now) {
-        k.reach.clear();
-        double sum = 0;
-        double drift = k.hearsay ? waits.unheard(now) : 0;
-        for (Node n : k.near) {
-            if ((n.mine || cold.isCold(n, now)) && gate.takes(n, job) && cold.allows(job, n, now)) {
-                n.counted = waits.waitOn(n, job.slots, now);
-                double more = n.sharers.isEmpty() ? 0 : Math.max(drift, n.out.stream()
-                        .filter(Waits::tells).mapToDouble(a -> Waits.late(a, now)).max().orElse(0));
-                n.wait = n.counted + more;
-                n.queue = k.lanes.free(1) + more;
-                sum += n.wait;
-                k.reach.add(n);
+    void estimateWaits(Job job, long now) {
+        state.candidates.clear();
+        double sumUs = 0;
+        double unreportedUs = state.infersUnreportedLoad ? waits.unreportedWaitUs(now) : 0;
+        for (TrackedWorker worker : state.preferred) {
+            if ((worker.inSubset || slowStart.inSlowStart(worker, now)) && constraints.accepts(worker, job)
+                    && slowStart.allows(job, worker, now)) {
+                worker.knownWaitUs = waits.waitUs(worker, job.slots, now);
+                double extraUs = worker.sharingSiblings.isEmpty() ? 0 : Math.max(unreportedUs,
+                        worker.openAttempts.stream().filter(WaitEstimator::indicatesLoad)
+                        .mapToDouble(a -> WaitEstimator.startDelayUs(a, now)).max().orElse(0));
+                worker.expectedWaitUs = worker.knownWaitUs + extraUs;
+                worker.queueWaitUs = state.slotSchedule.timeUntilFree(1) + extraUs;
+                sumUs += worker.expectedWaitUs;
+                state.candidates.add(worker);
             }
         }
-        k.meanWait = sum / Math.max(1, k.reach.size());
-        if (k.reach.isEmpty()) {
-            spill(job, now);
+        state.meanWaitUs = sumUs / Math.max(1, state.candidates.size());
+        if (state.candidates.isEmpty()) {
+            addWorkersOutsideSubset(job, now);
         }
     }
 
-    /** Brings the workers outside our subset into reach; nobody tells of them: its mean stands for them. */
-    void spill(Job job, long now) {
-        for (Node n : k.nodes.values()) {
-            if (gate.takes(n, job) && cold.allows(job, n, now) && !k.reach.contains(n)) {
-                n.wait = waits.waitOn(n, job.slots, now) + k.meanWait;
-                n.counted = n.wait - waits.drift(now);
-                n.queue = k.lanes.free(1) + k.meanWait;
-                k.reach.add(n);
+    /**
+     * Adds the workers outside the subset, whose load nobody reports: the subset's mean wait stands for it.
+     */
+    void addWorkersOutsideSubset(Job job, long now) {
+        for (TrackedWorker worker : state.workers.values()) {
+            if (constraints.accepts(worker, job) && slowStart.allows(job, worker, now)
+                    && !state.candidates.contains(worker)) {
+                worker.expectedWaitUs = waits.waitUs(worker, job.slots, now) + state.meanWaitUs;
+                worker.knownWaitUs = worker.expectedWaitUs - waits.waitErrorUs(now);
+                worker.queueWaitUs = state.slotSchedule.timeUntilFree(1) + state.meanWaitUs;
+                state.candidates.add(worker);
             }
         }
     }
 
-    /** Most fitting ready workers lately said 'full', or the wait on all of them is past the bound. */
-    boolean strained(Job job, long now) {
-        int full = 0, deep = 0;
-        for (Node n : k.reach) {
-            full += n.fullUntil > now ? 1 : 0;
-            deep += n.wait > STRAIN_WAITS * k.tightest || Suspicion.suspect(n, now) ? 1 : 0;
+    /** Returns whether most candidates recently refused, or the wait on each of them exceeds the bound. */
+    boolean overloaded(Job job, long now) {
+        int refusing = 0, slow = 0;
+        for (TrackedWorker worker : state.candidates) {
+            refusing += worker.avoidedUntil > now ? 1 : 0;
+            slow += worker.expectedWaitUs > OVERLOAD_WAIT_FACTOR * state.tightestAllowanceUs
+                    || OutlierDetection.isSuspected(worker, now) ? 1 : 0;
         }
-        return full * 2 > k.reach.size() || deep == k.reach.size();
+        return refusing * 2 > state.candidates.size() || slow == state.candidates.size();
     }
 
     /**
-     * No fitting worker is expected to be done in time: before the client gives up, and by the class's aim
-     * with some room for error. Late work, and above all work that nobody waits for, keeps an overload going
-     * after its cause is over. Nor may a queue, the wait for one slot, be longer than a mean job of any class
-     * bears: it is long enough if it keeps the slots busy, and makes tight jobs late. Harm: a wait misjudged.
+     * Returns whether no candidate is expected to finish in time: before the client gives up, and within the
+     * class's allowance with some tolerance. Late work, above all work that nobody waits for, keeps an
+     * overload going after its cause is over. Nor may a queue, the wait for one slot, exceed what a mean job
+     * of any class can bear: a queue is long enough if it keeps the slots busy, and a longer one makes jobs
+     * of tight classes late. The drawback: a misjudged wait refuses a job.
      */
-    boolean hopeless(Job job, long now) {
-        double allowed = allowed(job, now);
-        double most = Math.max(k.tightest, HOPELESS_WAITS * DoubleStream.of(k.slack).min().orElse(allowed));
-        // suspect workers draw nothing: their short queues are no room, unless all are suspect
-        boolean any = k.reach.stream().anyMatch(n -> !Suspicion.suspect(n, now));
-        return !k.reach.isEmpty() && k.reach.stream().noneMatch(n -> !(any && Suspicion.suspect(n, now))
-                && n.queue <= most && n.wait + waits.run(n, job, now) <= allowed);
+    boolean cannotMeetDeadline(Job job, long now) {
+        double allowedUs = allowedUs(job, now);
+        double maxQueueUs = Math.max(state.tightestAllowanceUs,
+                MAX_ALLOWANCE_FACTOR * DoubleStream.of(state.meanSlackUs).min().orElse(allowedUs));
+        // suspected outliers get no jobs: their short queues are no capacity, unless all are suspected
+        boolean anyHealthy = state.candidates.stream().anyMatch(w -> !OutlierDetection.isSuspected(w, now));
+        return !state.candidates.isEmpty() && state.candidates.stream()
+                .noneMatch(w -> !(anyHealthy && OutlierDetection.isSuspected(w, now))
+                && w.queueWaitUs <= maxQueueUs && w.expectedWaitUs + waits.runUs(w, job, now) <= allowedUs);
     }
 
-    /** Time in which a job must be done to be of use: the client's, or its aim's with some room for error. */
-    double allowed(Job job, long now) {
-        JobClass type = job.type(k.set);
-        return Math.min(job.deadline - now, job.arrivedAt - now + HOPELESS_WAITS
-                * (type.onTimeUs() + type.stretch() * job.work / job.slots));
+    /**
+     * Returns the time left for the job to be useful: the client's, or the class's allowance with tolerance.
+     */
+    double allowedUs(Job job, long now) {
+        JobClass jobClass = job.jobClass(state.settings);
+        return Math.min(job.deadline - now, job.arrivedAt - now + MAX_ALLOWANCE_FACTOR
+                * (jobClass.onTimeUs() + jobClass.stretch() * job.workUs / job.slots));
     }
 
-    /** Hinted work: size times slots, within sane bounds; a job without a hint counts as a mean one. */
-    double weigh(Request r) {
-        int slots = Job.slots(r);
-        if (!(r.workUs() > 0)) {
-            return slots * k.meanWork;
+    /**
+     * Returns a request's work, hinted time times slots, within sane bounds; without a hint, the mean work.
+     */
+    double workUs(Request request) {
+        int slots = Job.slots(request);
+        if (!(request.workUs() > 0)) {
+            return slots * state.meanWorkUs;
         }
-        double work = Math.min(WORK_MOST, Math.max(WORK_LEAST, r.workUs()));
-        JobClass type = k.set.classes().get(r.jobClass());
-        double bears = type.onTimeUs() + Math.max(0, type.stretch() - 1) * work;
-        k.slack[r.jobClass()] += (bears - k.slack[r.jobClass()]) / MEAN_JOBS;
-        work *= slots;
-        k.worksSeen++;
-        k.meanWork += (work - k.meanWork) / Math.min(k.worksSeen, MEAN_JOBS);
-        return work;
+        double workUs = Math.min(MAX_WORK_US, Math.max(MIN_WORK_US, request.workUs()));
+        JobClass jobClass = state.settings.classes().get(request.jobClass());
+        double slackUs = jobClass.onTimeUs() + Math.max(0, jobClass.stretch() - 1) * workUs;
+        state.meanSlackUs[request.jobClass()]
+                += (slackUs - state.meanSlackUs[request.jobClass()]) / MEAN_WINDOW_JOBS;
+        workUs *= slots;
+        state.hintsSeen++;
+        state.meanWorkUs += (workUs - state.meanWorkUs) / Math.min(state.hintsSeen, MEAN_WINDOW_JOBS);
+        return workUs;
     }
 }
--- a/src/main/java/granitefold/policy/AdmissionProbe.java
+++ b/src/main/java/granitefold/policy/AdmissionProbe.java
@@ -1,58 +1,71 @@
 package granitefold.policy;
 
 /**
- * Samples workers that are estimated to be too busy. A dispatcher that refuses everything sends nothing,
- * and its estimates of waits, speeds and slots, learned from its own jobs, stay as they are. After some
- * refusals in a row, with no recent feedback, one request is admitted. Harm: that request may be late.
+ * Admits an occasional request although all workers are estimated to be too busy. A dispatcher that refuses
+ * everything sends nothing, and its estimates of waits, speeds and slots, learned from its own jobs, stay as
+ * they are. After some refusals in a row, without recent feedback, one request is admitted. The drawback:
+ * that request may be late.
  */
 final class AdmissionProbe {
-    /** Refusals in a row before a probe: up to twice as many, so that dispatchers do not probe in step. */
-    private static final int REFUSALS = 5;
-    /** An attempt that waits for its start is a sample too: it doubles the refusals, at most so often. */
-    private static final int DOUBLINGS_MOST = 2;
+    /**
+     * Minimum of consecutive refusals before a probe; up to twice as many, so that dispatchers probe out of
+     * step.
+     */
+    private static final int MIN_REFUSALS = 5;
+    /**
+     * Each attempt that waits for its start is a probe too and doubles the refusals, up to this many times.
+     */
+    private static final int MAX_DOUBLINGS = 2;
 
-    private final Knowledge k;
-    /** How long feedback from own jobs counts as recent: as long as siblings' messages, if there are any. */
+    private final PolicyState state;
+    /**
+     * How long feedback from own jobs counts as recent: as long as load reports of siblings, if there are
+     * any.
+     */
     private final double recentUs;
     private int refusals;
-    private int needed;
+    private int refusalsNeeded;
     private long sends;
-    private long sentAt;
+    private long lastSentAt;
 
-    AdmissionProbe(Knowledge k) {
-        this.k = k;
-        boolean gossip = k.set.limits().siblingMessages() && k.siblings > 1;
-        recentUs = gossip ? Gossip.WORD_US : Math.max(Gossip.GOSSIP_US, Math.min(Gossip.WORD_US, k.tightest));
-        spread();
+    AdmissionProbe(PolicyState state) {
+        this.state = state;
+        boolean gossip = state.settings.limits().siblingMessages() && state.siblings > 1;
+        recentUs = gossip ? Gossip.REPORT_LIFETIME_US : Math.max(Gossip.GOSSIP_INTERVAL_US,
+                Math.min(Gossip.REPORT_LIFETIME_US, state.tightestAllowanceUs));
+        resetThreshold();
     }
 
-    /** Whether a request that would be refused is admitted as a probe: first one of at most mean work. */
+    /**
+     * Returns whether a request that would be refused is admitted as a probe; at first only up to mean work.
+     */
     boolean admits(Job job, long now) {
         refusals++;
-        if (now - Math.max(sentAt, k.driftAt) < recentUs) {
+        if (now - Math.max(lastSentAt, state.waitErrorAt) < recentUs) {
             return false;
         }
-        int least = needed << Math.min(DOUBLINGS_MOST, waiting());
-        return refusals >= least && (job.work <= k.meanWork || refusals >= 2 * least);
+        int threshold = refusalsNeeded << Math.min(MAX_DOUBLINGS, waitingAttempts());
+        return refusals >= threshold && (job.workUs <= state.meanWorkUs || refusals >= 2 * threshold);
     }
 
-    /** An attempt was sent. */
-    void sent(long now) {
-        sentAt = now;
+    /** Records that an attempt was sent. */
+    void recordSend(long now) {
+        lastSentAt = now;
         sends++;
-        spread();
+        resetThreshold();
     }
 
-    private void spread() {
+    private void resetThreshold() {
         refusals = 0;
-        needed = REFUSALS + (int) Long.remainderUnsigned(Node.mix(k.set.selfIndex(), sends), REFUSALS);
+        refusalsNeeded = MIN_REFUSALS + (int) Long.remainderUnsigned(
+                TrackedWorker.hash(state.settings.selfIndex(), sends), MIN_REFUSALS);
     }
 
-    private int waiting() {
+    private int waitingAttempts() {
         int waiting = 0;
-        for (Node n : k.near) {
-            for (Attempt a : n.out) {
-                waiting += a.startedAt == 0 ? 1 : 0;
+        for (TrackedWorker worker : state.preferred) {
+            for (Attempt attempt : worker.openAttempts) {
+                waiting += attempt.startedAt == 0 ? 1 : 0;
             }
         }
         return waiting;
--- a/src/main/java/granitefold/policy/Attempt.java
+++ b/src/main/java/granitefold/policy/Attempt.java
@@ -2,41 +2,41 @@
 
 import granitefold.Dispatcher;
 
-/** One send of a job. */
+/** One send of a job to a worker. */
 final class Attempt {
     final Job job;
-    final Node node;
+    final TrackedWorker worker;
     final long sentAt;
-    /** The worker was taken to have a slot free at the send. */
-    final boolean free;
-    /** Keys sent there since its own was, and the time its fetch was expected to take. */
+    /** Whether the worker was expected to have a slot free at the send. */
+    final boolean slotExpectedFree;
+    /** Number of keys sent to the worker since this job's key, and the expected time of its fetch. */
     final int keysSince;
-    final double fetch;
-    /** When it was expected to start. */
-    final long startsAt;
-    /** The wait by what was known of the worker's jobs. */
-    final double counted;
-    /** Last sign of it, its send included, and when the next one is overdue. */
-    long touchedAt;
-    long dueAt;
+    final double fetchUs;
+    /** Expected start time. */
+    final long expectedStartAt;
+    /** Wait by the load known on the worker at the send. */
+    final double knownWaitUs;
+    /** Last sign of life, the send included, and the time from which the next one is overdue. */
+    long lastSignAt;
+    long signDueAt;
     long startedAt;
-    double done;
-    /** It has not been heard to start, while one sent after it and no smaller has. */
+    double progress;
+    /** Whether an attempt sent later, of a job no smaller, has started before this one. */
     boolean overtaken;
     Dispatcher.Outcome outcome;
 
-    Attempt(Job job, Node node, long sentAt, double wait, double fetch) {
+    Attempt(Job job, TrackedWorker worker, long sentAt, double waitUs, double fetchUs) {
         this.job = job;
-        this.node = node;
+        this.worker = worker;
         this.sentAt = sentAt;
-        free = wait == 0;
-        this.fetch = fetch;
-        keysSince = node.keysSince(job.key);
-        startsAt = sentAt + (long) wait;
-        counted = node.counted;
+        slotExpectedFree = waitUs == 0;
+        this.fetchUs = fetchUs;
+        keysSince = worker.keysSince(job.key);
+        expectedStartAt = sentAt + (long) waitUs;
+        knownWaitUs = worker.knownWaitUs;
     }
 
-    /** Still out, or ended without proof that it never ran. */
+    /** Returns whether the attempt is open, or ended without proof that it never ran. */
     boolean mayHaveRun() {
         return outcome == null || !outcome.neverRan();
     }
--- a/src/main/java/granitefold/policy/DispatchPolicy.java
+++ b/src/main/java/granitefold/policy/DispatchPolicy.java
@@ -8,180 +8,189 @@
 import java.util.stream.IntStream;
 
 /**
- * The decisions of a dispatcher, one file a matter: this one takes events and brings each job to its end. Why
- * things are so is told in docs/DESIGN.md. What is not under {@code policy} in the deploy file is data.
+ * The dispatch policy, with one file per concern: this one handles events and brings each job to its end. The
+ * reasons behind the rules are in docs/DESIGN.md. Classes that the deploy file does not list under {@code
+ * policy} hold data.
  */
 public final class DispatchPolicy implements Dispatcher {
-    /** A held request is looked at again after this long. */
+    /** Time after which a held request is tried again. */
     static final long HOLD_US = 40_000;
-    static final long TIMER_GOSSIP = 1, TIMER_ASK = 2, TIMER_JOB = 3;
+    static final long TIMER_GOSSIP = 1, TIMER_WATCH = 2, TIMER_JOB = 3;
 
-    final Knowledge k;
+    final PolicyState state;
     private final Map<Long, Job> jobs = new HashMap<>();
-    private final ColdBudget cold;
-    private final Waits waits;
-    private final SendGate gate;
+    private final SlowStartBudget slowStart;
+    private final WaitEstimator waits;
+    private final SendConstraints constraints;
     private final Admission admission;
-    private final Pick picks;
+    private final WorkerSelector selector;
     private final Subset subset;
     private final Gossip gossip;
     private final AdmissionProbe probe;
 
-    /** A fresh instance, which knows nothing yet; the seed is its only source of chance. */
+    /** Creates an instance that has learned nothing yet; the seed is its only source of randomness. */
     public DispatchPolicy(Settings settings, long seed, Actions actions) {
-        k = new Knowledge(settings, seed, actions);
-        cold = new ColdBudget(k);
-        waits = new Waits(k, cold);
-        gate = new SendGate(k, cold);
-        admission = new Admission(k, cold, waits, gate);
-        picks = new Pick(k, waits, gate, admission);
-        subset = new Subset(k, cold);
-        gossip = new Gossip(k, waits, admission);
-        probe = new AdmissionProbe(k);
+        state = new PolicyState(settings, seed, actions);
+        slowStart = new SlowStartBudget(state);
+        waits = new WaitEstimator(state, slowStart);
+        constraints = new SendConstraints(state, slowStart);
+        admission = new Admission(state, slowStart, waits, constraints);
+        selector = new WorkerSelector(state, waits, constraints, admission);
+        subset = new Subset(state, slowStart);
+        gossip = new Gossip(state, waits, admission);
+        probe = new AdmissionProbe(state);
     }
 
     @Override
     public void start(long now) {
-        if (k.set.mustWatch()) {
-            k.out.watch();
+        if (state.settings.mustWatch()) {
+            state.actions.watch();
         }
     }
 
     @Override
-    public void requested(long now, Request r) {
-        Job job = new Job(r, now, admission.weigh(r));
-        Bucket b = admission.bucket(r.tenant(), now);
-        admission.survey(job, now);
-        boolean strained = admission.strained(job, now), told = strained || r.workUs() > 0;
-        boolean overQuota = strained && b != null && b.available() < 1;
-        boolean hopeless = told && admission.hopeless(job, now);
-        Refusal why = hopeless ? Refusal.HOPELESS : overQuota ? Refusal.QUOTA : null;
-        if (why != null && !probe.admits(job, now)) {
-            k.out.refuse(r.id(), admission.retryAfter(b), why);
+    public void requested(long now, Request request) {
+        Job job = new Job(request, now, admission.workUs(request));
+        TokenBucket bucket = admission.bucket(request.tenant(), now);
+        admission.estimateWaits(job, now);
+        boolean overloaded = admission.overloaded(job, now),
+                checkDeadline = overloaded || request.workUs() > 0;
+        boolean overQuota = overloaded && bucket != null && bucket.available() < 1;
+        boolean tooLate = checkDeadline && admission.cannotMeetDeadline(job, now);
+        Refusal refusal = tooLate ? Refusal.HOPELESS : overQuota ? Refusal.QUOTA : null;
+        if (refusal != null && !probe.admits(job, now)) {
+            state.actions.refuse(request.id(), admission.retryAfterUs(bucket), refusal);
             return;
         }
-        if (b != null) {
-            b.use(k.set.selfIndex(), 1);
+        if (bucket != null) {
+            bucket.use(state.settings.selfIndex(), 1);
         }
-        k.words.earn();
-        gossip.soon(now);
-        jobs.put(r.id(), job);
-        place(job, now);
+        state.loadReports.addBytesForRequest();
+        gossip.scheduleRound(now);
+        jobs.put(request.id(), job);
+        dispatch(job, now);
     }
 
     @Override
-    public void started(long now, long request, int attempt) {
-        Attempt a = attempt(request, attempt);
-        if (a != null && a.startedAt == 0) {
-            a.startedAt = Math.max(1, now);
-            a.node.heardAt = now;
-            Suspicion.expect(a, waits.nextSign(a, now), now);
-            waits.started(a, now);
+    public void started(long now, long requestId, int attemptNumber) {
+        Attempt attempt = findAttempt(requestId, attemptNumber);
+        if (attempt != null && attempt.startedAt == 0) {
+            attempt.startedAt = Math.max(1, now);
+            attempt.worker.lastSignAt = now;
+            OutlierDetection.expectSign(attempt, waits.timeToNextSignUs(attempt, now), now);
+            waits.recordStart(attempt, now);
         }
     }
 
     @Override
-    public void progressed(long now, long request, int attempt, double share) {
-        Attempt a = attempt(request, attempt);
-        if (a != null && share >= 0 && share <= 1) {
-            if (a.startedAt == 0) {
-                a.startedAt = Math.max(a.sentAt, now - k.set.progressUs());
+    public void progressed(long now, long requestId, int attemptNumber, double share) {
+        Attempt attempt = findAttempt(requestId, attemptNumber);
+        if (attempt != null && share >= 0 && share <= 1) {
+            if (attempt.startedAt == 0) {
+                attempt.startedAt = Math.max(attempt.sentAt, now - state.settings.progressUs());
             }
-            a.done = share;
-            a.node.heardAt = now;
-            Suspicion.expect(a, k.set.progressUs(), now);
+            attempt.progress = share;
+            attempt.worker.lastSignAt = now;
+            OutlierDetection.expectSign(attempt, state.settings.progressUs(), now);
         }
     }
 
     @Override
-    public void ended(long now, long request, int attempt, boolean over, Outcome outcome, Report report) {
-        Job job = jobs.get(request);
-        Attempt a = attempt(request, attempt);
-        if (a == null || a.outcome != null) {
+    public void ended(long now, long requestId, int attemptNumber, boolean over, Outcome outcome,
+            Report report) {
+        Job job = jobs.get(requestId);
+        Attempt attempt = findAttempt(requestId, attemptNumber);
+        if (attempt == null || attempt.outcome != null) {
             return;
         }
-        a.outcome = outcome;
-        job.open--;
-        a.node.out.remove(a);
+        attempt.outcome = outcome;
+        job.openAttempts--;
+        attempt.worker.openAttempts.remove(attempt);
         if (outcome != Outcome.TIMED_OUT && outcome != Outcome.CANCELLED && outcome != Outcome.MOOT) {
-            a.node.heardAt = now;
+            attempt.worker.lastSignAt = now;
         }
-        waits.learn(job, a, outcome, report, now);
-        Suspicion.refused(a.node, a, now);
-        gossip.tell(a.node, -1, now);
+        waits.learn(job, attempt, outcome, report, now);
+        OutlierDetection.recordOutcome(attempt.worker, attempt, now);
+        gossip.reportLoad(attempt.worker, -1, now);
         job.over |= over;
         if (job.over) {
-            forget(job);
-        } else if (job.open == 0) {
-            admission.survey(job, now);
-            place(job, now);
+            release(job);
+        } else if (job.openAttempts == 0) {
+            admission.estimateWaits(job, now);
+            dispatch(job, now);
         }
     }
 
     @Override
-    public void expired(long now, long request) {
-        Job job = jobs.get(request);
+    public void expired(long now, long requestId) {
+        Job job = jobs.get(requestId);
         if (job != null) {
             job.over = true;
-            forget(job);
+            release(job);
         }
     }
 
     @Override
     public void elapsed(long now, long token) {
         if (token == TIMER_GOSSIP) {
-            if (now <= k.gossipAt + Gossip.GOSSIP_US) {
-                // else we stood still, what came meanwhile is still to be read, and silence means nothing
-                rescue(now);
+            if (now <= state.nextGossipAt + Gossip.GOSSIP_INTERVAL_US) {
+                // a later timer means that the process was paused: answers are unread, silence proves nothing
+                copyStuckJobs(now);
             }
-            gossip.round(now);
-        } else if (token == TIMER_ASK) {
-            k.out.watch();
+            gossip.runRound(now);
+        } else if (token == TIMER_WATCH) {
+            state.actions.watch();
         } else if (token % 4 == TIMER_JOB) {
             Job job = jobs.get(token / 4);
-            if (job != null && !job.over && job.open == 0) {
-                admission.survey(job, now);
-                place(job, now);
+            if (job != null && !job.over && job.openAttempts == 0) {
+                admission.estimateWaits(job, now);
+                dispatch(job, now);
             }
         }
     }
 
     @Override
     public Pressure pressure(long now) {
-        return Outlook.pressure(k, waits, now);
+        return StatusSummary.pressure(state, waits, now);
     }
 
     @Override
     public WorkerCounts workerCounts(long now) {
-        return Outlook.workerCounts(k, now);
+        return StatusSummary.workerCounts(state, now);
     }
 
     @Override
     public void superseded() {
-        k.relieved = true;
+        state.superseded = true;
     }
 
-    private Attempt attempt(long request, int number) {
-        Job job = jobs.get(request);
+    private Attempt findAttempt(long requestId, int number) {
+        Job job = jobs.get(requestId);
         return job == null || number < 0 || number >= job.attempts.size() ? null : job.attempts.get(number);
     }
 
-    /** Nobody waits for the job any more; it is kept while attempts are out, for the work they stand for. */
-    private void forget(Job job) {
-        IntStream.range(0, k.set.limits().cancel() ? job.attempts.size() : 0)
-                .filter(i -> job.attempts.get(i).outcome == null).forEach(i -> k.out.cancel(job.id, i));
-        if (job.open == 0) {
+    /**
+     * Cancels a job that nobody waits for. It is kept while attempts are open, for the load that they stand
+     * for.
+     */
+    private void release(Job job) {
+        IntStream.range(0, state.settings.limits().cancel() ? job.attempts.size() : 0)
+                .filter(i -> job.attempts.get(i).outcome == null)
+                .forEach(i -> state.actions.cancel(job.id, i));
+        if (job.openAttempts == 0) {
             jobs.remove(job.id);
         }
     }
 
-    /** Sends what is stuck on silent workers once more, where that is allowed and another has room. */
-    private void rescue(long now) {
-        for (Job job : Suspicion.stuck(k, now)) {
-            if (!job.over && job.open < 2) {
-                admission.survey(job, now);
-                Node other = picks.pick(job, now);
-                if (other != null && !other.quiet && other.wait <= k.tightest) {
+    /**
+     * Sends a second copy of jobs stuck on silent workers, where that is allowed and another worker has room.
+     */
+    private void copyStuckJobs(long now) {
+        for (Job job : OutlierDetection.stuckJobs(state, now)) {
+            if (!job.over && job.openAttempts < 2) {
+                admission.estimateWaits(job, now);
+                TrackedWorker other = selector.select(job, now);
+                if (other != null && !other.silent && other.expectedWaitUs <= state.tightestAllowanceUs) {
                     send(job, other, now);
                 }
             }
@@ -189,70 +198,74 @@
     }
 
     /**
-     * Sends a surveyed job, holds it for a while, or ends it: the one place a job goes on from. What no
-     * worker may take while it can still be of use is ended at once: its client can be told when to come
-     * back.
+     * Sends a job whose waits were estimated, holds it for a while, or ends it; every job continues here. A
+     * job that no worker may take while its result is still useful is ended at once, so that its client
+     * learns when to retry.
      */
-    private void place(Job job, long now) {
-        Node n = gate.timeLeft(job, now) > 0 ? picks.pick(job, now) : null;
-        if (n != null) {
-            send(job, n, now);
-        } else if (Math.min(admission.allowed(job, now), gate.timeLeft(job, now)) > HOLD_US
-                && gate.mayRepeat(job, null, now) && job.attempts.size() < k.set.limits().maxAttempts()) {
-            k.out.timer(HOLD_US, job.id * 4 + TIMER_JOB);
+    private void dispatch(Job job, long now) {
+        TrackedWorker worker = constraints.timeLeftUs(job, now) > 0 ? selector.select(job, now) : null;
+        if (worker != null) {
+            send(job, worker, now);
+        } else if (Math.min(admission.allowedUs(job, now), constraints.timeLeftUs(job, now)) > HOLD_US
+                && constraints.mayRepeat(job, null, now)
+                && job.attempts.size() < state.settings.limits().maxAttempts()) {
+            state.actions.timer(HOLD_US, job.id * 4 + TIMER_JOB);
         } else {
             finish(job, now);
         }
     }
 
-    private void send(Job job, Node n, long now) {
-        long window = gate.window(job, now);
-        Attempt a = new Attempt(job, n, now, n.wait, waits.fetch(n, job));
-        Suspicion.expect(a, n.wait + (k.set.tellsStart() ? 0 : waits.nextSign(a, now)), now);
-        job.attempts.add(a);
-        probe.sent(now);
-        job.open++;
-        n.out.add(a);
-        n.sentKey(job.key);
-        n.connections = Math.max(n.connections, n.out.size());
-        if (cold.isCold(n, now)) {
-            n.coldSends.removeIf(s -> s[0] <= now - k.set.rules().overloadWindowUs());
-            n.coldSends.addLast(new double[] {now, job.work});
+    private void send(Job job, TrackedWorker worker, long now) {
+        long windowUs = constraints.repeatWindowUs(job, now);
+        Attempt attempt = new Attempt(job, worker, now, worker.expectedWaitUs, waits.fetchUs(worker, job));
+        OutlierDetection.expectSign(attempt, worker.expectedWaitUs
+                + (state.settings.tellsStart() ? 0 : waits.timeToNextSignUs(attempt, now)), now);
+        job.attempts.add(attempt);
+        probe.recordSend(now);
+        job.openAttempts++;
+        worker.openAttempts.add(attempt);
+        worker.recordKey(job.key);
+        worker.connections = Math.max(worker.connections, worker.openAttempts.size());
+        if (slowStart.inSlowStart(worker, now)) {
+            worker.slowStartSends.removeIf(s -> s[0] <= now - state.settings.rules().overloadWindowUs());
+            worker.slowStartSends.addLast(new double[] {now, job.workUs});
         }
-        k.out.send(job.id, n.id, 0, window);
-        gossip.tell(n, job.tenant, now);
+        state.actions.send(job.id, worker.id, 0, windowUs);
+        gossip.reportLoad(worker, job.tenant, now);
     }
 
-    /** The one gate for every final answer of a job taken in: refused where that is legal, else failed. */
+    /** Gives the final answer of an admitted job: refused where that is permitted, else failed. */
     private void finish(Job job, long now) {
-        JobClass type = job.type(k.set);
-        if (type.effect() == Effect.SAFE || type.effect() == Effect.KEYED && type.group() == Group.ALL
+        JobClass jobClass = job.jobClass(state.settings);
+        if (jobClass.effect() == Effect.SAFE
+                || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL
                 || job.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
-            k.out.refuse(job.id, admission.retryAfter(admission.bucket(job.tenant, now)), Refusal.NO_WORKER);
+            state.actions.refuse(job.id, admission.retryAfterUs(admission.bucket(job.tenant, now)),
+                    Refusal.NO_WORKER);
         } else {
-            k.out.fail(job.id);
+            state.actions.fail(job.id);
         }
         job.over = true;
-        forget(job);
+        release(job);
     }
 
     @Override
-    public void listUpdated(long now, ListUpdate news, List<Worker> entries) {
-        subset.listed(now, news, entries);
+    public void listUpdated(long now, ListUpdate update, List<Worker> entries) {
+        subset.listUpdated(now, update, entries);
     }
 
     @Override
-    public void messageReceived(long now, int from, byte[] m) {
-        gossip.heard(now, from, m);
+    public void messageReceived(long now, int from, byte[] message) {
+        gossip.messageReceived(now, from, message);
     }
 
     @Override
     public LearnedState learned(long now) {
-        return FormerLife.learned(k, cold, now);
+        return LearnedStateMapper.export(state, slowStart, now);
     }
 
     @Override
-    public void restore(long now, LearnedState l) {
-        FormerLife.restore(k, admission, now, l);
+    public void restore(long now, LearnedState previous) {
+        LearnedStateMapper.restore(state, admission, now, previous);
     }
 }
--- a/src/main/java/granitefold/policy/Gossip.java
+++ b/src/main/java/granitefold/policy/Gossip.java
@@ -4,113 +4,123 @@
 import java.util.List;
 import java.util.Map;
 
-/** What siblings tell each other: tenants' use, and their work at the workers that they share. */
-record Gossip(Knowledge k, Waits waits, Admission admission) {
-    /** Gossip: the paper's interval. */
-    static final long GOSSIP_US = 100_000;
-    /** A word on a sibling's work counts for so many times the time it takes to do, and so much longer. */
-    static final double WORD_TIMES = 3, WORD_US = 1_000_000;
-    private static final int MESSAGE_LEAST = 40;
+/** Exchanges with siblings the tenants' use of their buckets, and the load on shared workers. */
+record Gossip(PolicyState state, WaitEstimator waits, Admission admission) {
+    /** Interval between gossip rounds, taken from the published algorithm. */
+    static final long GOSSIP_INTERVAL_US = 100_000;
+    /** A load report is valid for this multiple of the time its jobs take, and this much longer. */
+    static final double REPORT_LIFETIME_FACTOR = 3, REPORT_LIFETIME_US = 1_000_000;
+    private static final int MIN_MESSAGE_BYTES = 40;
 
-    void soon(long now) {
-        if (k.gossipAt == 0) {
-            k.gossipAt = now + GOSSIP_US;
-            k.out.timer(GOSSIP_US, DispatchPolicy.TIMER_GOSSIP);
+    void scheduleRound(long now) {
+        if (state.nextGossipAt == 0) {
+            state.nextGossipAt = now + GOSSIP_INTERVAL_US;
+            state.actions.timer(GOSSIP_INTERVAL_US, DispatchPolicy.TIMER_GOSSIP);
         }
     }
 
-    /** Tells what has become of our work at workers, and what changed in buckets to one sibling at random. */
-    void round(long now) {
-        k.gossipAt = 0;
-        k.words.tell(k.set.selfIndex(), -1, null, k.random, k.out);
-        for (Node n : k.nodes.values()) {
-            if (n.told && now > n.toldUntil) {
-                tell(n, -1, now);
+    /** Sends the load reports that are due, and the changes in buckets to one random sibling. */
+    void runRound(long now) {
+        state.nextGossipAt = 0;
+        state.loadReports.send(state.settings.selfIndex(), -1, null, state.random, state.actions);
+        for (TrackedWorker worker : state.workers.values()) {
+            if (worker.loadReported && now > worker.loadReportedUntil) {
+                reportLoad(worker, -1, now);
             }
-            if (!n.out.isEmpty() || n.told) {
-                soon(now);
+            if (!worker.openAttempts.isEmpty() || worker.loadReported) {
+                scheduleRound(now);
             }
         }
-        if (!k.set.limits().siblingMessages() || k.siblings < 2 || k.words.relay < MESSAGE_LEAST) {
+        if (!state.settings.limits().siblingMessages() || state.siblings < 2
+                || state.loadReports.relayBytes < MIN_MESSAGE_BYTES) {
             return;
         }
-        byte[] m = SiblingMessage.begin();
-        int at = SiblingMessage.MAGIC.length;
-        int room = (int) Math.min(SiblingMessage.MOST, k.words.relay) - SiblingMessage.ENTRY_MOST;
-        List<Map.Entry<Integer, Bucket>> busy = new ArrayList<>(k.buckets.entrySet());
-        int first = k.random.nextInt(k.siblings);
-        for (int i = busy.size() - 1; i >= 0; i--) {
-            Bucket b = busy.get(i).getValue();
-            for (int s = 0; s < k.siblings && at <= room; s++) {
-                int owner = (first + s) % k.siblings;
-                if (b.dirty[owner]) {
-                    at = SiblingMessage.putUse(m, at, busy.get(i).getKey(), owner, b.used[owner], b.credited);
-                    b.dirty[owner] = false;
+        byte[] message = SiblingMessage.begin();
+        int length = SiblingMessage.MAGIC.length;
+        int maxLength = (int) Math.min(SiblingMessage.MAX_BYTES, state.loadReports.relayBytes)
+                - SiblingMessage.MAX_ENTRY_BYTES;
+        List<Map.Entry<Integer, TokenBucket>> buckets = new ArrayList<>(state.buckets.entrySet());
+        int firstOwner = state.random.nextInt(state.siblings);
+        for (int i = buckets.size() - 1; i >= 0; i--) {
+            TokenBucket bucket = buckets.get(i).getValue();
+            for (int s = 0; s < state.siblings && length <= maxLength; s++) {
+                int owner = (firstOwner + s) % state.siblings;
+                if (bucket.dirty[owner]) {
+                    length = SiblingMessage.putBucketUse(message, length, buckets.get(i).getKey(), owner,
+                            bucket.used[owner], bucket.credited);
+                    bucket.dirty[owner] = false;
                 }
             }
         }
-        if (at > SiblingMessage.MAGIC.length) {
-            int sibling = k.random.nextInt(k.siblings - 1);
-            k.out.sendToSibling(sibling < k.set.selfIndex() ? sibling : sibling + 1,
-                    SiblingMessage.end(m, at));
-            k.words.relay -= at + 1;
+        if (length > SiblingMessage.MAGIC.length) {
+            int sibling = state.random.nextInt(state.siblings - 1);
+            state.actions.sendToSibling(sibling < state.settings.selfIndex() ? sibling : sibling + 1,
+                    SiblingMessage.end(message, length));
+            state.loadReports.relayBytes -= length + 1;
         }
     }
 
     /**
-     * Tells those who share a worker what work of ours is there; for a send (of this tenant) at once, with
-     * our use of its bucket. Not relayed: it is soon out of date.
+     * Reports our load on a worker to the siblings that share it. After a send (with its tenant, else -1) the
+     * report goes out at once, with our use of the tenant's bucket. Load reports are not relayed: they soon
+     * go out of date.
      */
-    void tell(Node n, int tenant, long now) {
-        int held = n.held();
-        double speed = waits.speed(n, now);
-        double work = n.out.stream().mapToDouble(a -> waits.left(a, speed, now) * speed * a.job.slots).sum();
-        n.told = held > 0;
-        n.toldUntil = now + (held > 0 ? life(work / held / speed, n.wait) : 0);
-        if (k.set.limits().siblingMessages() && !n.sharers.isEmpty()) {
-            k.words.due(n, work);
-            soon(now);
+    void reportLoad(TrackedWorker worker, int tenant, long now) {
+        int heldSlots = worker.heldSlots();
+        double speed = waits.speed(worker, now);
+        double workUs = worker.openAttempts.stream()
+                .mapToDouble(a -> waits.remainingUs(a, speed, now) * speed * a.job.slots).sum();
+        worker.loadReported = heldSlots > 0;
+        worker.loadReportedUntil = now
+                + (heldSlots > 0 ? reportLifetimeUs(workUs / heldSlots / speed, worker.expectedWaitUs) : 0);
+        if (state.settings.limits().siblingMessages() && !worker.sharingSiblings.isEmpty()) {
+            state.loadReports.add(worker, workUs);
+            scheduleRound(now);
         }
-        Bucket b = admission.bucket(tenant, now);
-        if (tenant >= 0 && k.words.tell(k.set.selfIndex(), tenant, b, k.random, k.out) == k.siblings - 1
-                && b != null) {
-            b.dirty[k.set.selfIndex()] = false;
+        TokenBucket bucket = admission.bucket(tenant, now);
+        if (tenant >= 0 && state.loadReports.send(state.settings.selfIndex(), tenant, bucket, state.random,
+                state.actions) == state.siblings - 1 && bucket != null) {
+            bucket.dirty[state.settings.selfIndex()] = false;
         }
     }
 
-    /** How long a word counts on jobs that take so long after such a wait. */
-    private static long life(double each, double wait) {
-        return (long) (WORD_US + wait + WORD_TIMES * each);
+    /** Returns how long a report is valid on jobs that each take {@code runUs} after a wait. */
+    private static long reportLifetimeUs(double runUs, double waitUs) {
+        return (long) (REPORT_LIFETIME_US + waitUs + REPORT_LIFETIME_FACTOR * runUs);
     }
 
-    void heard(long now, int from, byte[] m) {
-        long[] e = from < 0 || from >= k.siblings || from == k.set.selfIndex() ? null
-                : SiblingMessage.read(m, k.set.tenants().size(), k.siblings);
-        for (int i = 0; e != null && i < e.length; i += 4) {
-            if (e[i] < 0) {
-                Node n = k.nodes.get(e[i + 1]);
-                if (n != null) {
-                    told(n, from, e[i + 2] * SiblingMessage.WORK_UNIT, (int) e[i + 3], now);
+    void messageReceived(long now, int from, byte[] message) {
+        long[] entries = from < 0 || from >= state.siblings || from == state.settings.selfIndex() ? null
+                : SiblingMessage.read(message, state.settings.tenants().size(), state.siblings);
+        for (int i = 0; entries != null && i < entries.length; i += 4) {
+            if (entries[i] < 0) {
+                TrackedWorker worker = state.workers.get(entries[i + 1]);
+                if (worker != null) {
+                    recordSiblingLoad(worker, from, entries[i + 2] * SiblingMessage.WORK_UNIT_US,
+                            (int) entries[i + 3], now);
                 }
                 continue;
             }
-            Bucket b = admission.bucket((int) e[i], now);
-            int owner = (int) e[i + 1];
-            // a larger count of ours is of a former life: what was used since the restart comes on top
-            boolean former = b != null && owner == k.set.selfIndex() && e[i + 2] > b.used[owner];
-            if (b != null && b.merge(owner, e[i + 2] + (former ? b.sinceStart : 0), e[i + 3])) {
-                soon(now);
+            TokenBucket bucket = admission.bucket((int) entries[i], now);
+            int owner = (int) entries[i + 1];
+            // a larger count of ours is from a previous process: what this one has used comes on top
+            boolean previousProcess = bucket != null && owner == state.settings.selfIndex()
+                    && entries[i + 2] > bucket.used[owner];
+            if (bucket != null && bucket.merge(owner,
+                    entries[i + 2] + (previousProcess ? bucket.usedSinceStart : 0), entries[i + 3])) {
+                scheduleRound(now);
             }
         }
     }
 
-    /** Takes a sibling's word on its work at a worker in place of the last. */
-    private void told(Node n, int from, double work, int jobs, long now) {
-        n.words.removeIf(w -> w.from() == from);
+    /** Replaces a sibling's previous load report on a worker. */
+    private void recordSiblingLoad(TrackedWorker worker, int sibling, double workUs, int jobs, long now) {
+        worker.siblingLoads.removeIf(load -> load.sibling() == sibling);
         if (jobs > 0) {
-            double wait = waits.waitOn(n, 1, now);
-            double each = work / jobs / waits.speed(n, now);
-            n.words.add(new Node.Word(from, jobs, each, now + (long) wait, now + life(each, wait)));
+            double waitUs = waits.waitUs(worker, 1, now);
+            double runUs = workUs / jobs / waits.speed(worker, now);
+            worker.siblingLoads.add(new TrackedWorker.SiblingLoad(sibling, jobs, runUs, now + (long) waitUs,
+                    now + reportLifetimeUs(runUs, waitUs)));
         }
     }
 }
--- a/src/main/java/granitefold/policy/Job.java
+++ b/src/main/java/granitefold/policy/Job.java
@@ -4,37 +4,38 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was taken in. */
+/** The job of an admitted request. */
 final class Job {
     final long id;
-    final int jobClass;
+    final int classIndex;
     final int tenant;
     final long arrivedAt;
     final long deadline;
-    final double work;
+    final double workUs;
     final int slots;
     final long key;
     final List<Attempt> attempts = new ArrayList<>(2);
-    int open;
+    int openAttempts;
+    /** Whether nothing is owed for the request any more. */
     boolean over;
 
-    Job(Dispatcher.Request r, long now, double work) {
-        id = r.id();
-        jobClass = r.jobClass();
-        tenant = r.tenant();
+    Job(Dispatcher.Request request, long now, double workUs) {
+        id = request.id();
+        classIndex = request.jobClass();
+        tenant = request.tenant();
         arrivedAt = now;
-        deadline = now + r.timeLeftUs();
-        slots = slots(r);
-        key = r.key();
-        this.work = work;
+        deadline = now + request.timeLeftUs();
+        slots = slots(request);
+        key = request.key();
+        this.workUs = workUs;
     }
 
-    /** Slots of a request, within sane bounds. */
-    static int slots(Dispatcher.Request r) {
-        return Math.min(1000, Math.max(1, r.slots()));
+    /** Returns the slots of a request, clamped to a sane range. */
+    static int slots(Dispatcher.Request request) {
+        return Math.min(1000, Math.max(1, request.slots()));
     }
 
-    Dispatcher.JobClass type(Dispatcher.Settings set) {
-        return set.classes().get(jobClass);
+    Dispatcher.JobClass jobClass(Dispatcher.Settings settings) {
+        return settings.classes().get(classIndex);
     }
 }
--- a/src/main/java/granitefold/policy/SiblingMessage.java
+++ b/src/main/java/granitefold/policy/SiblingMessage.java
@@ -3,107 +3,119 @@
 import java.util.Arrays;
 
 /**
- * The bytes that dispatchers send each other: one of magic and version, entries of varints, a check byte. An even
- * number begins a bucket's entry (twice the tenant, then owner, count, credit), a 1 begins a worker's (id, the
- * sender's queued work there, slots held). Another odd number begins an entry of a later version, of four numbers as well:
- * it is skipped, so that neighbours of two versions go on hearing the rest. What is in a message is chosen and used by
- * {@link DispatchPolicy}.
+ * The binary format of gossip messages: a byte of magic and version, entries of four varints each, and a
+ * check byte. An even first number marks a bucket's entry (twice the tenant, then owner, count, credit), a 1
+ * marks a worker's (its id, the sender's queued work there, slots held). Other odd numbers mark entries of
+ * later versions: they are skipped, so that siblings of two versions still read each other's other entries.
+ * {@link Gossip} chooses and applies the contents.
  */
 final class SiblingMessage {
     static final byte[] MAGIC = {(byte) 0xE2};
-    /** Longest message, less the two bytes that tell its settings, and the room that one more entry and the check byte may need. */
-    static final int MOST = 254, ENTRY_MOST = 26;
-    /** Work is told in this many microseconds. */
-    static final double WORK_UNIT = 20_000;
-    /** Work and slots past these are nonsense. */
-    private static final long WORK_MOST = 1L << 32, HELD_MOST = 1000;
+    /**
+     * Longest message, without the two bytes that identify its settings, and the room that one more entry and
+     * the check byte may take.
+     */
+    static final int MAX_BYTES = 254, MAX_ENTRY_BYTES = 26;
+    /** Unit in which work is sent. */
+    static final double WORK_UNIT_US = 20_000;
+    /** Larger values for work and slots are invalid. */
+    private static final long MAX_WORK_UNITS = 1L << 32, MAX_HELD_SLOTS = 1000;
 
     private SiblingMessage() { }
 
     /**
-     * The entries of a message, four numbers each, or null if anything at all about it is wrong: a bucket's
-     * tenant, owner, count and credit, or -1, a worker, and the sender's work and held slots there.
+     * Returns the entries of a message, four numbers each, or null if any of it is invalid. An entry is a
+     * bucket's tenant, owner, count and credit, or -1, a worker, and the sender's work and held slots there.
      */
-    static long[] read(byte[] m, int tenants, int owners) {
-        if (m == null || m.length <= MAGIC.length + 1 || m.length > MOST
-                || !Arrays.equals(m, 0, MAGIC.length, MAGIC, 0, MAGIC.length)
-                || sum(m, m.length - 1) != m[m.length - 1]) {
+    static long[] read(byte[] message, int tenants, int owners) {
+        if (message == null || message.length <= MAGIC.length + 1 || message.length > MAX_BYTES
+                || !Arrays.equals(message, 0, MAGIC.length, MAGIC, 0, MAGIC.length)
+                || checksum(message, message.length - 1) != message[message.length - 1]) {
             return null;
         }
-        long[] found = new long[m.length * 2];
+        long[] entries = new long[message.length * 2];
         int n = 0;
-        int[] at = {MAGIC.length};
-        while (at[0] < m.length - 1) {
-            long tag = take(m, at);
+        int[] position = {MAGIC.length};
+        while (position[0] < message.length - 1) {
+            long tag = readVarint(message, position);
             boolean load = tag == 1;
             if (tag > 1 && tag % 2 != 0) {
-                if (Math.min(take(m, at), Math.min(take(m, at), take(m, at))) < 0) {
+                if (Math.min(readVarint(message, position),
+                        Math.min(readVarint(message, position), readVarint(message, position))) < 0) {
                     return null;
                 }
                 continue;
             }
-            found[n] = load ? -1 : tag / 2;
-            found[n + 1] = take(m, at);
-            found[n + 2] = take(m, at);
-            found[n + 3] = take(m, at);
-            if (tag < 0 || found[n + 1] < 0 || found[n + 2] < 0 || found[n + 3] < 0
-                    || (load ? found[n + 2] > WORK_MOST || found[n + 3] > HELD_MOST
-                    : found[n] >= tenants || found[n + 1] >= owners)) {
+            entries[n] = load ? -1 : tag / 2;
+            entries[n + 1] = readVarint(message, position);
+            entries[n + 2] = readVarint(message, position);
+            entries[n + 3] = readVarint(message, position);
+            if (tag < 0 || entries[n + 1] < 0 || entries[n + 2] < 0 || entries[n + 3] < 0
+                    || (load ? entries[n + 2] > MAX_WORK_UNITS || entries[n + 3] > MAX_HELD_SLOTS
+                    : entries[n] >= tenants || entries[n + 1] >= owners)) {
                 return null;
             }
             n += 4;
         }
-        return Arrays.copyOf(found, n);
+        return Arrays.copyOf(entries, n);
     }
 
-    /** The number at a place in a message, which moves on behind it; -1 if there is none below 2^42. */
-    private static long take(byte[] m, int[] at) {
-        long v = 0;
-        for (int shift = 0; shift < 42 && at[0] < m.length - 1; shift += 7) {
-            byte x = m[at[0]++];
-            v |= (long) (x & 127) << shift;
-            if (x >= 0) {
-                return v;
+    /** Returns the number at a position, which advances past it; -1 if there is none below 2^42. */
+    private static long readVarint(byte[] message, int[] position) {
+        long value = 0;
+        for (int shift = 0; shift < 42 && position[0] < message.length - 1; shift += 7) {
+            byte next = message[position[0]++];
+            value |= (long) (next & 127) << shift;
+            if (next >= 0) {
+                return value;
             }
         }
         return -1;
     }
 
-    /** A message without entries, with room for the longest. */
+    /** Returns the buffer of a message without entries, with room for the longest message. */
     static byte[] begin() {
-        return Arrays.copyOf(MAGIC, MOST);
+        return Arrays.copyOf(MAGIC, MAX_BYTES);
     }
 
-    /** The finished message of what was put up to a place. */
-    static byte[] end(byte[] m, int at) {
-        m[at] = sum(m, at);
-        return Arrays.copyOf(m, at + 1);
+    /** Returns the finished message made of the first {@code length} bytes. */
+    static byte[] end(byte[] message, int length) {
+        message[length] = checksum(message, length);
+        return Arrays.copyOf(message, length + 1);
     }
 
-    static byte sum(byte[] m, int length) {
+    static byte checksum(byte[] message, int length) {
         int sum = 0;
         for (int i = 0; i < length; i++) {
-            sum = sum * 31 + m[i];
+            sum = sum * 31 + message[i];
         }
         return (byte) (sum ^ sum >> 8);
     }
 
-    /** Puts a bucket's entry: an owner's count, and the credit in whole tokens. */
-    static int putUse(byte[] m, int at, int tenant, int owner, long used, double credited) {
-        return put(m, put(m, put(m, put(m, at, 2L * tenant), owner), used), (long) credited);
+    /**
+     * Writes a bucket's entry, an owner's count and the credit in whole tokens, and returns the position
+     * behind it.
+     */
+    static int putBucketUse(byte[] message, int position, int tenant, int owner, long used, double credited) {
+        return putVarint(message, putVarint(message, putVarint(message,
+                putVarint(message, position, 2L * tenant), owner), used), (long) credited);
     }
 
-    /** Puts a worker's entry: the sender's work there in coarse units, and the slots it holds. */
-    static int putWork(byte[] m, int at, long worker, double work, int held) {
-        return put(m, put(m, put(m, put(m, at, 1), worker), Math.round(work / WORK_UNIT)), held);
+    /**
+     * Writes a worker's entry, the sender's work there and the slots it holds, and returns the position
+     * behind it.
+     */
+    static int putWorkerLoad(byte[] message, int position, long worker, double workUs, int heldSlots) {
+        return putVarint(message, putVarint(message, putVarint(message,
+                putVarint(message, position, 1), worker), Math.round(workUs / WORK_UNIT_US)), heldSlots);
     }
 
-    static int put(byte[] m, int at, long v) {
-        while (v > 127) {
-            m[at++] = (byte) (v & 127 | 128);
-            v >>>= 7;
+    static int putVarint(byte[] message, int position, long value) {
+        while (value > 127) {
+            message[position++] = (byte) (value & 127 | 128);
+            value >>>= 7;
         }
-        m[at++] = (byte) v;
-        return at;
+        message[position++] = (byte) value;
+        return position;
     }
 }
--- a/src/main/java/granitefold/policy/Subset.java
+++ b/src/main/java/granitefold/policy/Subset.java
@@ -7,65 +7,67 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The list of workers, and those of them that this dispatcher goes to. */
-record Subset(Knowledge k, ColdBudget cold) {
-    /** Subset: dispatchers that share a worker (in most fleets all), and workers of each at the least. */
-    static final double SHARERS = 16, SUBSET_LEAST = 6;
-    /** First and longest pause before asking for the list again after a failed call. */
-    static final long ASK_FIRST_US = 200_000, ASK_MOST_US = 3_000_000;
+/** Maintains the list of workers and the subset of them that this dispatcher prefers. */
+record Subset(PolicyState state, SlowStartBudget slowStart) {
+    /** Number of dispatchers that share a worker (in most fleets all), and the minimum size of a subset. */
+    static final double DISPATCHERS_PER_WORKER = 16, MIN_SUBSET_SIZE = 6;
+    /** First and longest pause before the list is watched again after a failed call. */
+    static final long FIRST_WATCH_RETRY_US = 200_000, MAX_WATCH_RETRY_US = 3_000_000;
 
-    void listed(long now, ListUpdate news, List<Worker> entries) {
-        if (news == ListUpdate.FAILED) {
-            // a dropped or failed subscription: ask anew, with growing pauses, or the old list turns stale
-            long pause = k.askPause + k.random.nextLong(k.askPause);
-            k.askPause = Math.min(ASK_MOST_US, k.askPause * 2);
-            k.out.timer(Math.min(pause, Math.max(1, k.set.rules().askWithinUs() / 2)),
-                    DispatchPolicy.TIMER_ASK);
+    void listUpdated(long now, ListUpdate update, List<Worker> entries) {
+        if (update == ListUpdate.FAILED) {
+            // a dropped or failed watch: retry with growing pauses, or the known list becomes stale
+            long pauseUs = state.watchRetryUs + state.random.nextLong(state.watchRetryUs);
+            state.watchRetryUs = Math.min(MAX_WATCH_RETRY_US, state.watchRetryUs * 2);
+            state.actions.timer(Math.min(pauseUs, Math.max(1, state.settings.rules().askWithinUs() / 2)),
+                    DispatchPolicy.TIMER_WATCH);
             return;
         }
-        if (news != ListUpdate.SAVED) {
-            k.askPause = ASK_FIRST_US;
+        if (update != ListUpdate.SAVED) {
+            state.watchRetryUs = FIRST_WATCH_RETRY_US;
         }
-        if (news != ListUpdate.CHANGES) {
-            k.nodes.values().forEach(n -> n.state = State.GONE);
+        if (update != ListUpdate.CHANGES) {
+            state.workers.values().forEach(w -> w.state = State.GONE);
         }
-        for (Worker w : entries) {
-            k.nodes.computeIfAbsent(w.id(), Node::new).update(w);
+        for (Worker entry : entries) {
+            state.workers.computeIfAbsent(entry.id(), TrackedWorker::new).update(entry);
         }
-        k.nodes.values().removeIf(n -> n.state == State.GONE && n.out.isEmpty());
-        List<Node> all = new ArrayList<>(k.nodes.values());
-        all.removeIf(n -> n.state == State.GONE);
-        k.mostSize = Math.max(k.mostSize, all.stream().mapToDouble(n -> n.size).sum());
-        long key = all.stream().mapToLong(n -> Node.mix(n.id, 0)).sum();
-        if (key != k.listKey) {
-            k.listKey = key;
-            subset(all);
+        state.workers.values().removeIf(w -> w.state == State.GONE && w.openAttempts.isEmpty());
+        List<TrackedWorker> listed = new ArrayList<>(state.workers.values());
+        listed.removeIf(w -> w.state == State.GONE);
+        state.maxTotalSize = Math.max(state.maxTotalSize, listed.stream().mapToDouble(w -> w.size).sum());
+        long listHash = listed.stream().mapToLong(w -> TrackedWorker.hash(w.id, 0)).sum();
+        if (listHash != state.listHash) {
+            state.listHash = listHash;
+            assignSubset(listed);
         }
-        k.near = all.stream().filter(n -> n.mine || cold.isCold(n, now)).toList();
+        state.preferred = listed.stream().filter(w -> w.inSubset || slowStart.inSlowStart(w, now)).toList();
     }
 
     /**
      * Deterministic subsetting: each dispatcher in turn takes the next few workers of one shuffled order, and
-     * of another when that is used up, so every worker is shared by as many. Few dispatchers share all. Keeps
-     * connections few, and lets a word on queued work reach all whom it concerns. Harm: less choice.
+     * of another when that is used up, so that all workers are shared by equally many. In a small fleet every
+     * dispatcher takes all workers. Subsets keep connections few, and let a load report reach every
+     * dispatcher it concerns. The drawback: less choice.
      */
-    private void subset(List<Node> all) {
-        int count = all.size();
-        int each = (int) Math.min(count, Math.max(SUBSET_LEAST, Math.ceil(SHARERS * count / k.siblings)));
-        for (Node n : k.nodes.values()) {
-            n.sharers.clear();
-            n.mine = false;
+    private void assignSubset(List<TrackedWorker> listed) {
+        int count = listed.size();
+        int subsetSize = (int) Math.min(count,
+                Math.max(MIN_SUBSET_SIZE, Math.ceil(DISPATCHERS_PER_WORKER * count / state.siblings)));
+        for (TrackedWorker worker : state.workers.values()) {
+            worker.sharingSiblings.clear();
+            worker.inSubset = false;
         }
-        for (int i = 0; i < k.siblings * each; i++) {
+        for (int i = 0; i < state.siblings * subsetSize; i++) {
             int round = i / count;
             if (i % count == 0) {
-                all.forEach(n -> n.order = Node.mix(n.id, ~round));
-                all.sort(Comparator.comparingLong(n -> n.order));
+                listed.forEach(w -> w.shuffleKey = TrackedWorker.hash(w.id, ~round));
+                listed.sort(Comparator.comparingLong(w -> w.shuffleKey));
             }
-            Node n = all.get(i % count);
-            n.mine |= i / each == k.set.selfIndex();
-            if (i / each != k.set.selfIndex()) {
-                n.sharers.add(i / each);
+            TrackedWorker worker = listed.get(i % count);
+            worker.inSubset |= i / subsetSize == state.settings.selfIndex();
+            if (i / subsetSize != state.settings.selfIndex()) {
+                worker.sharingSiblings.add(i / subsetSize);
             }
         }
     }
--- a/src/main/java/granitefold/policy/Bucket.java
+++ b/src/main/java/granitefold/policy/TokenBucket.java
@@ -1,18 +1,22 @@
 package granitefold.policy;
 
-/** A grow-only token bucket that merges: each dispatcher's use in its own entry, and the credit. */
-final class Bucket {
-    final double rate;
+/**
+ * A tenant's token bucket as a mergeable, grow-only value: one usage counter per dispatcher, and the credit
+ * granted so far.
+ */
+final class TokenBucket {
+    final double ratePerS;
     final double capacity;
     final long[] used;
+    /** Counters that changed since they were last sent to a sibling. */
     final boolean[] dirty;
-    long sinceStart;
-    long total;
+    long usedSinceStart;
+    long totalUsed;
     double credited;
     long refilledAt;
 
-    Bucket(double rate, double capacity, int owners, long now) {
-        this.rate = rate;
+    TokenBucket(double ratePerS, double capacity, int owners, long now) {
+        this.ratePerS = ratePerS;
         this.capacity = capacity;
         used = new long[owners];
         dirty = new boolean[owners];
@@ -21,28 +25,28 @@
     }
 
     void refill(long now) {
-        double dt = Math.max(0, now - refilledAt) / 1e6;
-        credited = Math.max(credited, Math.min(credited + rate * dt, total + capacity));
+        double elapsedS = Math.max(0, now - refilledAt) / 1e6;
+        credited = Math.max(credited, Math.min(credited + ratePerS * elapsedS, totalUsed + capacity));
         refilledAt = Math.max(refilledAt, now);
     }
 
     double available() {
-        return credited - total;
+        return credited - totalUsed;
     }
 
     void use(int owner, int tokens) {
-        sinceStart += tokens;
+        usedSinceStart += tokens;
         raise(owner, used[owner] + tokens);
     }
 
-    /** Takes the larger count and credit; tells whether a count grew. */
+    /** Takes the larger of each counter and credit; returns whether the counter grew. */
     boolean merge(int owner, long count, double credit) {
         credited = Math.max(credited, credit);
         return count > used[owner] && raise(owner, count);
     }
 
     private boolean raise(int owner, long count) {
-        total += count - used[owner];
+        totalUsed += count - used[owner];
         used[owner] = count;
         dirty[owner] = true;
         return true;
--- a/src/main/java/granitefold/policy/package-info.java
+++ b/src/main/java/granitefold/policy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The decisions: who serves a job, whether to retry, what to refuse, one file a matter. No I/O, no clock, no threads and no
- * source of chance but the seeded one; {@code granitefold.Dispatcher} is what the rest of the program sees of it.
+ * The dispatch policy: which worker runs a job, when to retry, and what to refuse, with one file per concern.
+ * It does no I/O, reads no clock, starts no threads and uses no randomness but a seeded generator. The rest
+ * of the program uses it through {@code granitefold.Dispatcher}.
  */
 package granitefold.policy;
--- a/src/test/java/granitefold/ShapeTest.java
+++ b/src/test/java/granitefold/ShapeTest.java
@@ -13,8 +13,8 @@
 /** Sources stay short enough to be read, and all that decides is named in the deploy file. */
 class ShapeTest {
     private static final int LINES_MOST = 400, COLUMNS_MOST = 110;
-    private static final Set<String> DATA = Set.of("Attempt.java", "FormerLife.java", "Job.java", "Knowledge.java",
-            "Lanes.java", "Node.java", "Outlook.java", "SiblingMessage.java", "Words.java", "package-info.java");
+    private static final Set<String> DATA = Set.of("Attempt.java", "LearnedStateMapper.java", "Job.java", "PolicyState.java",
+            "SlotSchedule.java", "TrackedWorker.java", "StatusSummary.java", "SiblingMessage.java", "LoadReportQueue.java", "package-info.java");
 
     @Test
     void allThatDecidesIsNamedInTheDeployFileAndNarrow() throws IOException {
--- a/src/test/java/granitefold/policy/AdmissionProbeTest.java
+++ b/src/test/java/granitefold/policy/AdmissionProbeTest.java
@@ -12,7 +12,7 @@
 class AdmissionProbeTest {
     private static final int WORKERS = 12, JOBS = 30, WORK_UNITS = 30_000;
 
-    private final Bench bench = Bench.numbered(0, 100);
+    private final TestBed bench = TestBed.numbered(0, 100);
 
     AdmissionProbeTest() {
         Worker[] listed = new Worker[WORKERS];
@@ -27,7 +27,7 @@
         byte[] m = SiblingMessage.begin();
         int at = SiblingMessage.MAGIC.length;
         for (int i = 0; i < WORKERS; i++) {
-            at = SiblingMessage.putWork(m, at, 1000 + 7 * i, (double) WORK_UNITS * SiblingMessage.WORK_UNIT, JOBS);
+            at = SiblingMessage.putWorkerLoad(m, at, 1000 + 7 * i, (double) WORK_UNITS * SiblingMessage.WORK_UNIT_US, JOBS);
         }
         bench.module.messageReceived(bench.now, 1, SiblingMessage.end(m, at));
     }
@@ -35,7 +35,7 @@
     private void ask(int requests, long apartMs) {
         for (int i = 0; i < requests; i++) {
             heardThatAllAreFull();
-            bench.request(Bench.SAFE, i % 2, 100, 9_000);
+            bench.request(TestBed.SAFE, i % 2, 100, 9_000);
             bench.pass(apartMs);
         }
     }
@@ -61,7 +61,7 @@
         ask(15, 100);
         int sent = bench.sentTo.size();
         for (int i = 0; i < 10; i++) {
-            bench.module.k.driftAt = bench.now;
+            bench.module.state.waitErrorAt = bench.now;
             ask(4, 100);
         }
         assertEquals(sent, bench.sentTo.size());
--- a/src/test/java/granitefold/policy/DispatchPolicyTest.java
+++ b/src/test/java/granitefold/policy/DispatchPolicyTest.java
@@ -22,28 +22,28 @@
 
     @Test
     void picksTheWorkerWithTheLeastQueuedWork() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
-        b.request(Bench.SAFE, 0, 1_000, 9_000);
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+        b.request(TestBed.SAFE, 0, 1_000, 9_000);
         long heavy = b.lastWorker();
-        b.request(Bench.SAFE, 0, 10, 9_000);
+        b.request(TestBed.SAFE, 0, 10, 9_000);
         assertNotEquals(heavy, b.lastWorker());
-        b.request(Bench.SAFE, 0, 10, 9_000);
+        b.request(TestBed.SAFE, 0, 10, 9_000);
         assertNotEquals(heavy, b.lastWorker());
     }
 
     /** Fetches took whole days down: a busy store made every job late, and none of them came back. */
     @Test
     void aJobGoesWhereItsKeyIsKeptUnlessThatWorkerIsFarBusier() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         long[] homes = new long[4];
         for (int i = 0; i < 40; i++) {
-            long id = b.request(Bench.SAFE, 0, 20, 9_000, 1 + i % 4);
+            long id = b.request(TestBed.SAFE, 0, 20, 9_000, 1 + i % 4);
             homes[i % 4] = i < 4 ? b.lastWorker() : homes[i % 4];
             assertEquals(homes[i % 4], b.lastWorker(), "key " + (1 + i % 4));
             b.end(id, 0, Outcome.SERVED);
         }
         while (b.lastWorker() == homes[0]) {
-            b.request(Bench.SAFE, 1, 400, 9_000, 1);
+            b.request(TestBed.SAFE, 1, 400, 9_000, 1);
             assertTrue(b.log.size() < 60, "all piled up on one worker");
         }
     }
@@ -51,8 +51,8 @@
     /** What can no longer be of use is told so at once; it was held until its client's deadline. */
     @Test
     void aJobThatNoWorkerTakesIsHeldOnlyWhileItIsOfUse() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
-        long id = b.request(Bench.SAFE, 0, 100, 9_000);
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        long id = b.request(TestBed.SAFE, 0, 100, 9_000);
         b.list(ListUpdate.WHOLE);
         b.end(id, 0, Outcome.FULL);
         assertEquals(0, b.count("refuse"), "a worker may come back in time");
@@ -63,8 +63,8 @@
     /** Nobody waits for it any more. */
     @Test
     void aTryIsCancelledWhenItsClientLeaves() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
-        long id = b.request(Bench.SAFE, 0, 100, 9_000);
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        long id = b.request(TestBed.SAFE, 0, 100, 9_000);
         b.module.expired(b.now, id);
         assertEquals(1, b.count("cancel"));
     }
@@ -72,12 +72,12 @@
     @Test
     void refusingOrErringWorkersArePassedOverUnlessAllAre() {
         for (Outcome why : List.of(Outcome.FULL, Outcome.UNREACHABLE, Outcome.ERROR)) {
-            Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
-            long id = b.request(Bench.SAFE, 0, 10, 9_000);
+            TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+            long id = b.request(TestBed.SAFE, 0, 10, 9_000);
             long full = b.lastWorker();
             b.end(id, 0, why);
             assertNotEquals(full, b.lastWorker());
-            b.request(Bench.SAFE, 0, 10, 9_000);
+            b.request(TestBed.SAFE, 0, 10, 9_000);
             assertNotEquals(full, b.lastWorker(), "although it holds nothing");
             b.end(id, 1, why);
             assertEquals(4, b.sentTo.size(), "both were full: the least is taken all the same");
@@ -86,37 +86,37 @@
 
     @Test
     void oldJobsServedDoNotEndTheirWorkersBeingPassedOver() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
-        long old = b.request(Bench.SAFE, 0, 10, 9_000);
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        long old = b.request(TestBed.SAFE, 0, 10, 9_000);
         b.pass(1);
-        long refused = b.request(Bench.SAFE, 0, 10, 9_000);
-        b.list(ListUpdate.CHANGES, Bench.worker(11, 0, 0));
+        long refused = b.request(TestBed.SAFE, 0, 10, 9_000);
+        b.list(ListUpdate.CHANGES, TestBed.worker(11, 0, 0));
         b.end(refused, 0, Outcome.FULL);
         b.end(old, 0, Outcome.SERVED);
-        b.request(Bench.SAFE, 0, 10, 9_000);
+        b.request(TestBed.SAFE, 0, 10, 9_000);
         assertEquals(11, b.lastWorker());
     }
 
     @Test
     void silentWorkersJobsAreCopiedAndTheLoserCancelled() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0),
-                Bench.worker(12, 0, 0), Bench.worker(13, 0, 0));
-        long id = b.request(Bench.SAFE, 0, 100, 9_000);
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0),
+                TestBed.worker(12, 0, 0), TestBed.worker(13, 0, 0));
+        long id = b.request(TestBed.SAFE, 0, 100, 9_000);
         long first = b.lastWorker();
         b.pass(3_000);
         assertEquals(2, b.sentTo.size());
         assertNotEquals(first, b.lastWorker());
         b.end(id, 1, Outcome.SERVED);
         assertEquals(1, b.count("cancel " + id + " 0"));
-        Bench unsafe = new Bench(1, false).three();
-        unsafe.request(Bench.UNSAFE, 0, 100, 9_000);
+        TestBed unsafe = new TestBed(1, false).three();
+        unsafe.request(TestBed.UNSAFE, 0, 100, 9_000);
         unsafe.pass(3_000);
         assertEquals(1, unsafe.sentTo.size());
     }
 
     @Test
     void watchIsAskedAtStartAndRenewedAfterFailureWithGrowingPauses() {
-        Bench b = new Bench(1, true);
+        TestBed b = new TestBed(1, true);
         assertEquals(1, b.count("watch"));
         long last = 0;
         for (int i = 0; i < 12; i++) {
@@ -135,8 +135,8 @@
 
     @Test
     void useIsToldAtOnceCountsOnceAndIsNotToldAgain() {
-        Bench a = new Bench(2, false).three();
-        long id = a.request(Bench.SAFE, 0, 100, 9_000);
+        TestBed a = new TestBed(2, false).three();
+        long id = a.request(TestBed.SAFE, 0, 100, 9_000);
         assertEquals(1, a.told.size(), "with the word on the job, before any timer");
         a.end(id, 0, Outcome.SERVED);
         assertEquals(1, a.told.size(), "that the job is done can wait for a round");
@@ -144,12 +144,12 @@
         assertEquals(2, a.told.size());
         a.pass(5_000);
         assertEquals(2, a.told.size());
-        Bench b = new Bench(2, false).three();
+        TestBed b = new TestBed(2, false).three();
         for (int i = 0; i < 20; i++) {
             b.module.messageReceived(b.now, 1, a.told.get(0));
         }
-        b.end(b.request(Bench.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
-        b.end(b.request(Bench.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
+        b.end(b.request(TestBed.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
+        b.end(b.request(TestBed.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
         b.pass(1_000);
         long relayed = 0;
         for (byte[] m : b.told) {
@@ -165,14 +165,14 @@
     /** Of 14 dispatchers only 8 heard of a job: half of the sends went to workers that the sender knew nothing of. */
     @Test
     void allOfALargeFleetHearOfASendAtOnceAndOfRoomWithTheNext() {
-        Bench b = Bench.numbered(0, 14);
-        b.list(ListUpdate.WHOLE, IntStream.range(0, 60).mapToObj(i -> Bench.worker(10 + i, 0, 0))
+        TestBed b = TestBed.numbered(0, 14);
+        b.list(ListUpdate.WHOLE, IntStream.range(0, 60).mapToObj(i -> TestBed.worker(10 + i, 0, 0))
                 .toArray(Dispatcher.Worker[]::new));
-        long id = b.request(Bench.SAFE, 0, 100, 9_000);
+        long id = b.request(TestBed.SAFE, 0, 100, 9_000);
         assertEquals(13, b.toldTo.stream().distinct().count());
         b.end(id, 0, Outcome.SERVED);
         assertEquals(13, b.told.size(), "the room waits");
-        b.request(Bench.SAFE, 1, 100, 9_000);
+        b.request(TestBed.SAFE, 1, 100, 9_000);
         assertEquals(26, b.told.size());
         long[] news = SiblingMessage.read(b.told.get(25), 2, 14);
         assertEquals(12, news.length, "a bucket, the room, the send");
@@ -182,15 +182,15 @@
 
     @Test
     void whatSiblingsHaveQueuedIsCounted() {
-        Bench a = new Bench(2, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
-        a.request(Bench.SAFE, 0, 1_000, 9_000);
+        TestBed a = new TestBed(2, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+        a.request(TestBed.SAFE, 0, 1_000, 9_000);
         long busy = a.lastWorker();
         a.pass(150);
         for (long seed = 0; seed < 20; seed++) {
-            Bench b = new Bench(2, false, true, seed).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0),
-                    Bench.worker(11, 0, 0));
+            TestBed b = new TestBed(2, false, true, seed).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
+                    TestBed.worker(11, 0, 0));
             b.module.messageReceived(b.now, 1, a.told.get(0));
-            b.request(Bench.SAFE, 0, 10, 9_000);
+            b.request(TestBed.SAFE, 0, 10, 9_000);
             assertNotEquals(busy, b.lastWorker());
         }
     }
@@ -198,29 +198,29 @@
     @Test
     void ownZoneIsTakenAmongEquals() {
         for (long seed = 0; seed < 20; seed++) {
-            Bench b = new Bench(1, false, true, seed).list(ListUpdate.WHOLE, Bench.worker(12, 1, 2),
-                    Bench.worker(10, 0, 0));
-            b.request(Bench.SAFE, 0, 10, 9_000);
+            TestBed b = new TestBed(1, false, true, seed).list(ListUpdate.WHOLE, TestBed.worker(12, 1, 2),
+                    TestBed.worker(10, 0, 0));
+            b.request(TestBed.SAFE, 0, 10, 9_000);
             assertEquals(10, b.lastWorker());
         }
     }
 
     @Test
     void restartedDispatcherCountsOnTopOfItsFormerLife() {
-        Bench former = new Bench(2, false).three();
+        TestBed former = new TestBed(2, false).three();
         for (int i = 0; i < 9; i++) {
-            former.end(former.request(Bench.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
+            former.end(former.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
         }
         former.pass(300);
-        Bench now = new Bench(2, false).three();
+        TestBed now = new TestBed(2, false).three();
         for (int i = 0; i < 4; i++) {
-            now.end(now.request(Bench.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
+            now.end(now.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
         }
         for (int i = 0; i < 2; i++) {
             // siblings hold the last count only; the ninth word carries it
             now.module.messageReceived(now.now, 1, former.told.get(8));
         }
-        now.request(Bench.SAFE, 0, 1, 9_000);
+        now.request(TestBed.SAFE, 0, 1, 9_000);
         long[] e = SiblingMessage.read(now.told.get(now.told.size() - 1), 2, 2);
         assertEquals(0, e[1]);
         assertEquals(14, e[2]);
@@ -228,8 +228,8 @@
 
     @Test
     void hostileMessagesAreDroppedWhole() {
-        Bench a = new Bench(2, false).three();
-        a.request(Bench.SAFE, 0, 100, 9_000);
+        TestBed a = new TestBed(2, false).three();
+        a.request(TestBed.SAFE, 0, 100, 9_000);
         a.pass(200);
         byte[] good = a.told.get(0);
         assertTrue(SiblingMessage.read(good, 2, 2).length > 0);
@@ -241,7 +241,7 @@
         assertNull(SiblingMessage.read(good, 0, 2), "a tenant we do not have");
         assertNull(SiblingMessage.read(good, 2, 0), "an owner we do not have");
         Random r = new Random(3);
-        Bench b = new Bench(2, false).three();
+        TestBed b = new TestBed(2, false).three();
         for (int i = 0; i < 2_000; i++) {
             byte[] m = new byte[r.nextInt(300)];
             r.nextBytes(m);
@@ -254,12 +254,12 @@
 
     @Test
     void absurdHintsReportsAndStaleIdsDoNoHarm() {
-        Bench b = new Bench(1, false).three();
+        TestBed b = new TestBed(1, false).three();
         for (double work : new double[] {0, -5, Double.NaN, Double.POSITIVE_INFINITY, 1e300}) {
-            b.module.requested(b.now, new Request(1000 + b.log.size(), Bench.SAFE, 0, 9_000_000, work,
+            b.module.requested(b.now, new Request(1000 + b.log.size(), TestBed.SAFE, 0, 9_000_000, work,
                     Integer.MAX_VALUE, -3, 0));
         }
-        long id = b.request(Bench.SAFE, 1, 10, 9_000);
+        long id = b.request(TestBed.SAFE, 1, 10, 9_000);
         b.module.ended(b.now, id, 0, true, Outcome.SERVED, new Dispatcher.Report(1e300, -1, Double.NaN, -1, 0,
                 1e300, -9));
         b.end(id, 0, Outcome.SERVED);
@@ -269,22 +269,22 @@
         b.module.expired(b.now, 424242);
         b.module.elapsed(b.now, 424242 * 4 + 3);
         int before = b.log.size();
-        b.request(Bench.SAFE, 1, 10, 9_000);
+        b.request(TestBed.SAFE, 1, 10, 9_000);
         assertTrue(b.log.size() > before);
     }
 
     /** Counted at once, a start came on top of the job whose end made room for it, and waits seemed half as long. */
     @Test
     void aStartThatOvertakesAnEndAddsNoSlot() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         for (int i = 0; i < 4; i++) {
-            b.module.started(b.now, b.request(Bench.SAFE, 0, 10, 9_000), 0);
+            b.module.started(b.now, b.request(TestBed.SAFE, 0, 10, 9_000), 0);
         }
-        long next = b.request(Bench.SAFE, 0, 10, 9_000);
-        assertEquals(0, b.module.k.reach.get(0).slots);
-        b.pass(Waits.NOTE_US / 1000);
+        long next = b.request(TestBed.SAFE, 0, 10, 9_000);
+        assertEquals(0, b.module.state.candidates.get(0).slotsSeen);
+        b.pass(WaitEstimator.MAX_REORDER_US / 1000);
         b.module.started(b.now, next, 0);
-        assertEquals(4, b.module.k.reach.get(0).slots);
+        assertEquals(4, b.module.state.candidates.get(0).slotsSeen);
     }
 
     @Test
@@ -294,7 +294,7 @@
     }
 
     private static List<String> script(long seed) {
-        Bench b = new Bench(3, true, true, seed).three();
+        TestBed b = new TestBed(3, true, true, seed).three();
         Random r = new Random(9);
         for (int i = 0; i < 300; i++) {
             long id = b.request(r.nextInt(5), r.nextInt(2), 1 + r.nextInt(500), 9_000);
@@ -307,9 +307,9 @@
     /** A restart forgot the tenant's use and all speeds, under full load. */
     @Test
     void aFormerLifeIsTakenInAndCountsOnlyOnce() {
-        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         for (int i = 0; i < 30; i++) {
-            long id = b.request(Bench.SAFE, 0, 40, 9_000, 1 + i % 3);
+            long id = b.request(TestBed.SAFE, 0, 40, 9_000, 1 + i % 3);
             b.module.started(b.now, id, 0);
             b.pass(20);
             b.end(id, 0, Outcome.SERVED);
@@ -318,8 +318,8 @@
         long used = old.buckets().get(0).used().get(0);
         assertEquals(30, used);
         assertTrue(old.workers().stream().anyMatch(p -> p.weight() > 0 && !p.kept().isEmpty()), old.toString());
-        Bench next = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
-        next.request(Bench.SAFE, 0, 40, 9_000);
+        TestBed next = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+        next.request(TestBed.SAFE, 0, 40, 9_000);
         next.module.restore(next.now, old);
         granitefold.recovery.LearnedState now = next.module.learned(next.now);
         assertEquals(used + 1, now.buckets().get(0).used().get(0), "this life's use comes on top");
--- a/src/test/java/granitefold/policy/WordsTest.java
+++ b/src/test/java/granitefold/policy/LoadReportQueueTest.java
@@ -8,21 +8,21 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes to whom, and how much of it. */
-class WordsTest {
-    private final Bench out = new Bench(4, false);
-    private final Words words = new Words();
+class LoadReportQueueTest {
+    private final TestBed out = new TestBed(4, false);
+    private final LoadReportQueue words = new LoadReportQueue();
     private final SplittableRandom random = new SplittableRandom(1);
 
-    private int tell(Node... due) {
-        for (Node n : due) {
-            words.due(n, 100_000);
+    private int tell(TrackedWorker... due) {
+        for (TrackedWorker n : due) {
+            words.add(n, 100_000);
         }
-        return words.tell(0, -1, null, random, out);
+        return words.send(0, -1, null, random, out);
     }
 
-    private static Node node(long id, Integer... sharers) {
-        Node n = new Node(id);
-        n.sharers.addAll(List.of(sharers));
+    private static TrackedWorker node(long id, Integer... sharers) {
+        TrackedWorker n = new TrackedWorker(id);
+        n.sharingSiblings.addAll(List.of(sharers));
         return n;
     }
 
@@ -45,8 +45,8 @@
             told += tell(node(10, 1, 2, 3));
         }
         long bytes = out.told.stream().mapToLong(m -> m.length).sum();
-        assertTrue(told > 0 && bytes <= Words.BYTES_SAVED, bytes + " bytes");
-        words.earn();
+        assertTrue(told > 0 && bytes <= LoadReportQueue.MAX_SAVED_BYTES, bytes + " bytes");
+        words.addBytesForRequest();
         assertEquals(3, tell(node(10, 1, 2, 3)));
     }
 }
--- a/src/test/java/granitefold/policy/NeighboursTest.java
+++ b/src/test/java/granitefold/policy/MixedVersionsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes between neighbours of two versions: the bytes of version 0.1.0, and an entry that only a later one knows. */
-class NeighboursTest {
+class MixedVersionsTest {
     /** A bucket's use and a worker's load, as 0.1.0 writes them. */
     private static final String GOLDEN = "e20202ac02b96001b1d1f9d6033e050e";
     private static final long[] ENTRIES = {1, 2, 300, 12345, -1, 987654321L, 62, 5};
@@ -16,11 +16,11 @@
     private static byte[] message(int... later) {
         byte[] m = SiblingMessage.begin();
         int at = SiblingMessage.MAGIC.length;
-        at = SiblingMessage.putUse(m, at, 1, 2, 300, 12345);
+        at = SiblingMessage.putBucketUse(m, at, 1, 2, 300, 12345);
         for (int v : later) {
-            at = SiblingMessage.put(m, at, v);
+            at = SiblingMessage.putVarint(m, at, v);
         }
-        at = SiblingMessage.putWork(m, at, 987654321L, 1_234_567, 5);
+        at = SiblingMessage.putWorkerLoad(m, at, 987654321L, 1_234_567, 5);
         return SiblingMessage.end(m, at);
     }
 
@@ -36,7 +36,7 @@
         assertArrayEquals(ENTRIES, SiblingMessage.read(message(3, 1, 2, 3), 2, 4));
         assertArrayEquals(ENTRIES, SiblingMessage.read(message(3, 1, 2, 3, 127, 0, 0, 0), 2, 4));
         byte[] m = SiblingMessage.begin();
-        int at = SiblingMessage.put(m, SiblingMessage.put(m, SiblingMessage.MAGIC.length, 3), 1);
+        int at = SiblingMessage.putVarint(m, SiblingMessage.putVarint(m, SiblingMessage.MAGIC.length, 3), 1);
         assertNull(SiblingMessage.read(SiblingMessage.end(m, at), 2, 4), "cut within it");
     }
 }
--- a/src/test/java/granitefold/policy/ColdFleetTest.java
+++ b/src/test/java/granitefold/policy/SlowStartFleetTest.java
@@ -34,7 +34,7 @@
  * that the settings name, and 2 x root of N + 2 by chance. The dispatchers are the shipped decisions on virtual time; they are told
  * of the start one after the other, and restart, or are relieved by a second process of their name, in the middle of it.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
     /** The issue asks for 1,000 at the least; {@code -Dcold.draws} sets another count. */
     private static final int DRAWS = Integer.getInteger("cold.draws", 1_000);
     private static final int[] FLEETS = {1, 4, 20, 30, 100};
--- a/src/test/java/granitefold/policy/Bench.java
+++ b/src/test/java/granitefold/policy/TestBed.java
@@ -19,7 +19,7 @@
 import java.util.List;
 
 /** A module under test with its actions written down; times are given in milliseconds. */
-final class Bench implements Dispatcher.Actions {
+final class TestBed implements Dispatcher.Actions {
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
     static final int KEYED_ZONE = 2;
@@ -36,25 +36,25 @@
     long now = 1_000_000_000L;
     private long ids = 1;
 
-    Bench(int siblings, boolean mustWatch) {
+    TestBed(int siblings, boolean mustWatch) {
         this(siblings, mustWatch, true, 7);
     }
 
-    Bench(int siblings, boolean mustWatch, boolean copies, long seed) {
+    TestBed(int siblings, boolean mustWatch, boolean copies, long seed) {
         this(0, siblings, mustWatch, copies, seed, true, 0.2);
     }
 
     /** Siblings are there and may not speak; late jobs are worth so much. */
-    static Bench mute(double lateWorth) {
-        return new Bench(0, 4, false, true, 7, false, lateWorth);
+    static TestBed mute(double lateWorth) {
+        return new TestBed(0, 4, false, true, 7, false, lateWorth);
     }
 
     /** One of many dispatchers, by its number. */
-    static Bench numbered(int me, int siblings) {
-        return new Bench(me, siblings, false, true, 7 + me, true, 0.2);
+    static TestBed numbered(int me, int siblings) {
+        return new TestBed(me, siblings, false, true, 7 + me, true, 0.2);
     }
 
-    private Bench(int me, int siblings, boolean mustWatch, boolean copies, long seed, boolean talk, double lateWorth) {
+    private TestBed(int me, int siblings, boolean mustWatch, boolean copies, long seed, boolean talk, double lateWorth) {
         List<JobClass> classes = new ArrayList<>();
         classes.add(type(Effect.SAFE, Group.ALL, lateWorth));
         classes.add(type(Effect.KEYED, Group.ALL, lateWorth));
@@ -76,13 +76,13 @@
         return new Worker(id, 1, State.READY, 0, zone, cell, 0);
     }
 
-    Bench list(ListUpdate news, Worker... workers) {
+    TestBed list(ListUpdate news, Worker... workers) {
         module.listUpdated(now, news, Arrays.asList(workers));
         return this;
     }
 
     /** Two workers in zone 0 and cells 0 and 1, and one in zone 1 and cell 2. */
-    Bench three() {
+    TestBed three() {
         return list(ListUpdate.WHOLE, worker(10, 0, 0), worker(11, 0, 1), worker(12, 1, 2));
     }
 
--- a/src/test/java/granitefold/policy/BucketRestartTest.java
+++ b/src/test/java/granitefold/policy/TokenBucketRestartTest.java
@@ -15,7 +15,7 @@
  * Two dispatchers with a bucket each, every sequence of six steps: uses, saves, crashes with and without a file, words
  * that arrive late or never, time. What a dispatcher forgets is at most what it used since its last save and nobody heard of.
  */
-class BucketRestartTest {
+class TokenBucketRestartTest {
     private static final int STEPS = 6;
     private static final double CAPACITY = 2, RATE = 1;
 
@@ -23,7 +23,7 @@
 
     /** What a file or a word holds of a bucket. */
     private record Copy(long a, long b, double credited) {
-        static Copy of(Bucket k) {
+        static Copy of(TokenBucket k) {
             return new Copy(k.used[0], k.used[1], k.credited);
         }
     }
@@ -35,8 +35,8 @@
 
     @Property(generation = GenerationMode.EXHAUSTIVE, tries = 531_441)
     void aCrashForgetsNoMoreThanWasNeitherSavedNorHeard(@ForAll("sequences") List<Step> steps) {
-        Bucket a = new Bucket(RATE, CAPACITY, 2, 0);
-        Bucket b = new Bucket(RATE, CAPACITY, 2, 0);
+        TokenBucket a = new TokenBucket(RATE, CAPACITY, 2, 0);
+        TokenBucket b = new TokenBucket(RATE, CAPACITY, 2, 0);
         Copy file = null;
         List<Copy> fromA = new ArrayList<>(2);
         List<Copy> fromB = new ArrayList<>(2);
@@ -60,9 +60,9 @@
                 }
                 case SAVE_A -> file = Copy.of(a);
                 case CRASH_A -> {
-                    Bucket next = new Bucket(RATE, CAPACITY, 2, now);
+                    TokenBucket next = new TokenBucket(RATE, CAPACITY, 2, now);
                     if (file != null) {
-                        next.merge(0, file.a() + next.sinceStart, file.credited());
+                        next.merge(0, file.a() + next.usedSinceStart, file.credited());
                         next.merge(1, file.b(), file.credited());
                     }
                     forgotten += Math.max(0, a.used[0] - next.used[0]);
@@ -81,7 +81,7 @@
                 case HEAR_A -> {
                     if (!fromB.isEmpty()) {
                         Copy w = fromB.remove(fromB.size() - 1);
-                        a.merge(0, w.a() + (w.a() > a.used[0] ? a.sinceStart : 0), w.credited());
+                        a.merge(0, w.a() + (w.a() > a.used[0] ? a.usedSinceStart : 0), w.credited());
                         a.merge(1, w.b(), w.credited());
                     }
                 }
--- a/src/test/java/granitefold/policy/BucketTest.java
+++ b/src/test/java/granitefold/policy/TokenBucketTest.java
@@ -8,21 +8,21 @@
 import org.junit.jupiter.api.Test;
 
 /** The arithmetic of the buckets: the laws of merging, refill and its edges. */
-class BucketTest {
+class TokenBucketTest {
     private static final int OWNERS = 4;
 
-    private static Bucket bucket() {
-        return new Bucket(10, 20, OWNERS, 0);
+    private static TokenBucket bucket() {
+        return new TokenBucket(10, 20, OWNERS, 0);
     }
 
-    private static void merge(Bucket into, Bucket from) {
+    private static void merge(TokenBucket into, TokenBucket from) {
         for (int i = 0; i < OWNERS; i++) {
             into.merge(i, from.used[i], from.credited);
         }
     }
 
-    private static Bucket random(Random r) {
-        Bucket b = bucket();
+    private static TokenBucket random(Random r) {
+        TokenBucket b = bucket();
         for (int i = 0; i < 6; i++) {
             b.use(r.nextInt(OWNERS), r.nextInt(9));
             b.refill(r.nextInt(5_000_000));
@@ -30,17 +30,17 @@
         return b;
     }
 
-    private static Bucket of(Bucket... parts) {
-        Bucket b = bucket();
-        for (Bucket p : parts) {
+    private static TokenBucket of(TokenBucket... parts) {
+        TokenBucket b = bucket();
+        for (TokenBucket p : parts) {
             merge(b, p);
         }
         return b;
     }
 
-    private static void same(Bucket a, Bucket b) {
+    private static void same(TokenBucket a, TokenBucket b) {
         assertArrayEquals(a.used, b.used);
-        assertEquals(a.total, b.total);
+        assertEquals(a.totalUsed, b.totalUsed);
         assertEquals(a.credited, b.credited);
     }
 
@@ -48,20 +48,20 @@
     void mergeIsIdempotentCommutativeAssociativeAndMonotone() {
         Random r = new Random(1);
         for (int round = 0; round < 500; round++) {
-            Bucket a = random(r);
-            Bucket b = random(r);
-            Bucket c = random(r);
+            TokenBucket a = random(r);
+            TokenBucket b = random(r);
+            TokenBucket c = random(r);
             same(of(a, a), of(a));
             same(of(a, b), of(b, a));
             same(of(of(a, b), c), of(a, of(b, c)));
-            Bucket ab = of(a, b);
-            assertTrue(ab.total >= a.total && ab.total >= b.total && ab.credited >= a.credited);
+            TokenBucket ab = of(a, b);
+            assertTrue(ab.totalUsed >= a.totalUsed && ab.totalUsed >= b.totalUsed && ab.credited >= a.credited);
         }
     }
 
     @Test
     void startsFullRefillsByRateAndNeverPastCapacity() {
-        Bucket b = bucket();
+        TokenBucket b = bucket();
         assertEquals(20, b.available());
         b.use(0, 20);
         b.refill(500_000);
@@ -72,7 +72,7 @@
 
     @Test
     void clockGoingBackCreditsNothing() {
-        Bucket b = bucket();
+        TokenBucket b = bucket();
         b.use(0, 10);
         b.refill(1_000_000);
         double before = b.credited;
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -33,7 +33,7 @@
 
     private static final Object[][] DEFECTS = {
         {"a job on a silent cocinero goes to another one too", Rule.TWO_OUT, SMALL + "steps = [ { do = hang, to = [s0], at = 500ms } ]",
-            new Patch("policy/SendGate.java", "&& (job.open == 0 || k.set.limits().secondCopies())", "&& job.open < 2"), UNGUARDED},
+            new Patch("policy/SendConstraints.java", "&& (job.openAttempts == 0 || state.settings.limits().secondCopies())", "&& job.openAttempts < 2"), UNGUARDED},
         {"a result is another one", Rule.MADE_UP, SMALL,
             new Patch("core/Attempts.java", "new FinalAnswer.Served(s.result())", "new FinalAnswer.Served(new byte[] {'x'})")},
         {"a truncated answer is served", Rule.MADE_UP, SMALL + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
@@ -60,9 +60,9 @@
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
-            new Patch("policy/ColdBudget.java", "        if (!isCold(n, now)) {\n            return true;\n        }",
+            new Patch("policy/SlowStartBudget.java", "        if (!inSlowStart(worker, now)) {\n            return true;\n        }",
                     "        if (now >= 0) {\n            return true;\n        }"),
-            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().slowStartUs() : 1;", "return 1;")},
+            new Patch("policy/SlowStartBudget.java", "return inSlowStart(worker, now) ? from + (1 - from) * age / state.settings.rules().slowStartUs() : 1;", "return 1;")},
         {"rejects do not say when to come again", Rule.NO_RETRY_AFTER, BUSY,
             new Patch("wire/HttpMessages.java", "if (rejected.retryAfterUs() > 0) {", "if (rejected.retryAfterUs() < 0) {")},
         {"rejects are kept back until time is nearly over", Rule.DELAYED, BUSY,
@@ -70,12 +70,12 @@
                     "        RequestContext c = requests.get(request);\n        core.timers.at(c == null ? core.now : c.moduleDeadline - 50_000,\n"
                             + "                t -> finish(request, new FinalAnswer.Rejected(retryAfterUs, why)));")},
         {"what must not be repeated is", Rule.RESENT, SMALL + CLASSES + "steps = [ { do = break, to = [s0], at = 500ms } ]",
-            new Patch("policy/SendGate.java", "return job.attempts.isEmpty() || type.effect()", "return now > 0 || type.effect()"), UNGUARDED},
+            new Patch("policy/SendConstraints.java", "return job.attempts.isEmpty() || jobClass.effect()", "return now > 0 || jobClass.effect()"), UNGUARDED},
         {"a key's window is not heeded", Rule.RESENT, "for = 5s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load { rate = 40, retries = 0 }\n"
                 + "classes.guardar { work = 50ms, effect = keyed, window = 500ms, on-time = 750ms, deadline = 8s }\n"
                 + "steps = [ { do = hang, to = [s0], at = 1s }, { do = die, to = [s0], at = 3s } ]",
-            new Patch("policy/SendGate.java", "window(job, now) <= 0", "now < 0"),
-            new Patch("policy/DispatchPolicy.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
+            new Patch("policy/SendConstraints.java", "repeatWindowUs(job, now) <= 0", "now < 0"),
+            new Patch("policy/DispatchPolicy.java", "long windowUs = constraints.repeatWindowUs(job, now);", "long windowUs = Long.MAX_VALUE;")},
         {"keys are not passed on", Rule.RAN_TWICE, SMALL + CLASSES + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
             new Patch("wire/HttpMessages.java", "        head.put(HttpHeader.HOST, address);\n        head.put(ClientRequest",
                     "        head.put(HttpHeader.HOST, address);\n        head.remove(\"Idempotency-Key\");\n        head.put(ClientRequest")},
@@ -101,8 +101,9 @@
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
-            new Patch("policy/ColdBudget.java", "return owns(n, now) && job.work + sent(n, now) <= coldJobs(n, now) * k.meanWork / owners(n, now);",
-                    "return job.work + sent(n, now) <= coldJobs(n, now) * k.meanWork;")},
+            new Patch("policy/SlowStartBudget.java", "return isOwner(worker, now) && job.workUs + sentWorkUs(worker, now)\n"
+                    + "                <= budgetJobs(worker, now) * state.meanWorkUs / ownerCount(worker, now);",
+                    "return job.workUs + sentWorkUs(worker, now) <= budgetJobs(worker, now) * state.meanWorkUs;")},
     };
 
     /** The longest first, so that none is left over while the others are done. */
