--- a/src/test/java/granitefold/policy/AdmissionProbeTest.java
+++ b/src/test/java/granitefold/policy/AdmissionProbeTest.java
@@ -8,62 +8,62 @@
 import granitefold.Dispatcher.Worker;
 import org.junit.jupiter.api.Test;
 
-/** Of a dispatcher whose siblings' words say that all workers are full. */
+/** Probes of a dispatcher whose siblings report that all workers are full. */
 class AdmissionProbeTest {
     private static final int WORKERS = 12, JOBS = 30, WORK_UNITS = 30_000;
 
-    private final TestBed bench = TestBed.numbered(0, 100);
+    private final TestBed bed = TestBed.inFleet(0, 100);
 
     AdmissionProbeTest() {
         Worker[] listed = new Worker[WORKERS];
         for (int i = 0; i < WORKERS; i++) {
             listed[i] = new Worker(1000 + 7 * i, 1, State.READY, 0, 0, 0, 0);
         }
-        bench.list(ListUpdate.WHOLE, listed);
+        bed.updateList(ListUpdate.WHOLE, listed);
     }
 
-    /** Every sibling says once more that it has much work at every worker. */
-    private void heardThatAllAreFull() {
-        byte[] m = SiblingMessage.begin();
-        int at = SiblingMessage.MAGIC.length;
+    /** A sibling reports again that it has much work on every worker. */
+    private void receiveReportThatAllAreFull() {
+        byte[] message = SiblingMessage.begin();
+        int length = SiblingMessage.MAGIC.length;
         for (int i = 0; i < WORKERS; i++) {
-            at = SiblingMessage.putWorkerLoad(m, at, 1000 + 7 * i, (double) WORK_UNITS * SiblingMessage.WORK_UNIT_US, JOBS);
+            length = SiblingMessage.putWorkerLoad(message, length, 1000 + 7 * i, (double) WORK_UNITS * SiblingMessage.WORK_UNIT_US, JOBS);
         }
-        bench.module.messageReceived(bench.now, 1, SiblingMessage.end(m, at));
+        bed.policy.messageReceived(bed.now, 1, SiblingMessage.end(message, length));
     }
 
-    private void ask(int requests, long apartMs) {
+    private void sendRequests(int requests, long intervalMs) {
         for (int i = 0; i < requests; i++) {
-            heardThatAllAreFull();
-            bench.request(TestBed.SAFE, i % 2, 100, 9_000);
-            bench.pass(apartMs);
+            receiveReportThatAllAreFull();
+            bed.request(TestBed.SAFE, i % 2, 100, 9_000);
+            bed.advance(intervalMs);
         }
     }
 
-    /** Words that were wrong, or estimates made of them, kept a dispatcher from ever trying: 10 s and more without an attempt. */
+    /** Wrong load reports, or estimates based on them, kept a dispatcher from sending any attempt for 10 s and more. */
     @Test
-    void aDispatcherThatRefusesAllTestsItsBelief() {
-        ask(15, 100);
-        assertTrue(bench.sentTo.size() > 0, "15 requests in a row were refused, and nothing was sent that could have told otherwise");
+    void refusingAllRequestsLeadsToAProbe() {
+        sendRequests(15, 100);
+        assertTrue(bed.sendTargets.size() > 0, "15 consecutive requests were refused without a probe");
     }
 
-    /** With two that wait there are at least 20 refusals to each of the next ones, and no more than 10 in the second before the first. */
+    /** With two probes waiting, each further one takes at least 20 refusals; the first takes no more than 10. */
     @Test
-    void aProbeThatWaitsMakesTheNextOneRarer() {
+    void waitingProbesMakeFurtherProbesRarer() {
         int requests = 200;
-        ask(requests, 100);
-        assertTrue(bench.sentTo.size() <= 2 + requests / 20, bench.sentTo.size() + " of " + requests + " were admitted though none had started");
+        sendRequests(requests, 100);
+        assertTrue(bed.sendTargets.size() <= 2 + requests / 20, bed.sendTargets.size() + " of " + requests + " were admitted although none had started");
     }
 
-    /** What was just heard of one's own jobs needs no test. */
+    /** Recent feedback from own jobs makes a probe unnecessary. */
     @Test
-    void nothingIsProbedWhileOwnJobsTell() {
-        ask(15, 100);
-        int sent = bench.sentTo.size();
+    void noProbeWhileOwnJobsGiveFeedback() {
+        sendRequests(15, 100);
+        int sent = bed.sendTargets.size();
         for (int i = 0; i < 10; i++) {
-            bench.module.state.waitErrorAt = bench.now;
-            ask(4, 100);
+            bed.policy.state.waitErrorAt = bed.now;
+            sendRequests(4, 100);
         }
-        assertEquals(sent, bench.sentTo.size());
+        assertEquals(sent, bed.sendTargets.size());
     }
 }
--- a/src/test/java/granitefold/policy/AdmissionTest.java
+++ b/src/test/java/granitefold/policy/AdmissionTest.java
@@ -9,150 +9,156 @@
 import granitefold.Dispatcher.Request;
 import org.junit.jupiter.api.Test;
 
-/** What is taken in and what is refused under load. */
+/** Which requests are admitted and which are refused under load. */
 class AdmissionTest {
 
     @Test
-    void emptyBucketGoesAndCountsWithoutStrainAndIsRefusedUnderStrain() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+    void emptyBucketIsAdmittedAndCountedWithoutOverloadAndRefusedUnderOverload() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         for (int i = 0; i < 30; i++) {
-            long id = b.request(TestBed.SAFE, 0, 1, 9_000);
-            b.end(id, 0, Outcome.SERVED);
+            long id = bed.request(TestBed.SAFE, 0, 1, 9_000);
+            bed.endAttempt(id, 0, Outcome.SERVED);
         }
-        assertEquals(30, b.count("send"), "no strain: the bucket of 15 is long empty, yet all went");
-        b.request(TestBed.SAFE, 1, 600, 9_000);
-        b.request(TestBed.SAFE, 0, 10, 9_000);
-        assertEquals(1, b.count("refuse"), "strained, and tenant 0 has no tokens");
-        String[] words = b.log.get(b.log.size() - 1).split(" ");
-        assertTrue(Long.parseLong(words[2]) > 0, "with a retry-after");
-        b.request(TestBed.SAFE, 1, 10, 9_000);
-        assertEquals(1, b.count("refuse"), "tenant 1 has tokens");
+        assertEquals(30, bed.countActions("send"), "no overload: the bucket of 15 is empty, yet all were sent");
+        bed.request(TestBed.SAFE, 1, 600, 9_000);
+        bed.request(TestBed.SAFE, 0, 10, 9_000);
+        assertEquals(1, bed.countActions("refuse"), "overloaded, and tenant 0 has no tokens");
+        String[] refusal = bed.actions.get(bed.actions.size() - 1).split(" ");
+        assertTrue(Long.parseLong(refusal[2]) > 0, "with a retry-after");
+        bed.request(TestBed.SAFE, 1, 10, 9_000);
+        assertEquals(1, bed.countActions("refuse"), "tenant 1 has tokens");
     }
 
     @Test
-    void underStrainWhatCannotBeOnTimeIsRefused() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        for (int i = 0; i < 200 && b.count("refuse") == 0; i++) {
-            b.request(TestBed.SAFE, 0, 8_000, 9_900);
+    void underOverloadAJobThatCannotBeOnTimeIsRefused() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        for (int i = 0; i < 200 && bed.countActions("refuse") == 0; i++) {
+            bed.request(TestBed.SAFE, 0, 8_000, 9_900);
         }
-        assertTrue(b.count("send") > 0);
-        b.request(TestBed.SAFE, 1, 10, 9_900);
-        assertEquals(2, b.count("refuse"));
+        assertTrue(bed.countActions("send") > 0);
+        bed.request(TestBed.SAFE, 1, 10, 9_900);
+        assertEquals(2, bed.countActions("refuse"));
     }
 
-    /** One worker that errs at once stands empty: it seemed to be room for all, while none went there and all were late. */
+    /**
+     * A worker that fails at once has an empty queue. It counted as capacity although no job went there, and all jobs
+     * were late.
+     */
     @Test
-    void anErringWorkersEmptyQueueIsNoRoom() {
-        // of what the quotas promise, next to nothing is the part of these two
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0),
+    void emptyQueueOfAFailingWorkerIsNoCapacity() {
+        // next to none of what the quotas promise is the part of these two workers
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0),
                 new Dispatcher.Worker(12, 1_000, Dispatcher.State.DRAINING, 0, 0, 0, 0));
-        long id = b.request(TestBed.SAFE, 0, 8_000, 30_000);
-        b.end(id, 0, Outcome.ERROR);
-        b.request(TestBed.SAFE, 1, 10, 9_900);
-        assertEquals(1, b.count("refuse"), "the other one is busy for 8 s");
+        long id = bed.request(TestBed.SAFE, 0, 8_000, 30_000);
+        bed.endAttempt(id, 0, Outcome.ERROR);
+        bed.request(TestBed.SAFE, 1, 10, 9_900);
+        assertEquals(1, bed.countActions("refuse"), "the other worker is busy for 8 s");
     }
 
-    /** The same in strain: where no worker but an erring one is free, a tenant past its share is refused. */
+    /** Likewise for overload: if only a failing worker is free, a tenant over its quota is refused. */
     @Test
-    void anErringWorkerIsNoEndOfStrain() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+    void aFailingWorkerDoesNotEndOverload() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         for (int i = 0; i < 30; i++) {
-            b.end(b.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
+            bed.endAttempt(bed.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
         }
-        b.end(b.request(TestBed.SAFE, 1, 600, 9_000), 0, Outcome.ERROR);
-        b.request(TestBed.SAFE, 0, 10, 9_000);
-        assertEquals(1, b.count("refuse"), "its bucket is empty, and the healthy worker is busy for 0.6 s");
+        bed.endAttempt(bed.request(TestBed.SAFE, 1, 600, 9_000), 0, Outcome.ERROR);
+        bed.request(TestBed.SAFE, 0, 10, 9_000);
+        assertEquals(1, bed.countActions("refuse"), "its bucket is empty, and the healthy worker is busy for 0.6 s");
     }
 
     @Test
-    void whereAllAreSuspectAWorkerIsTakenAllTheSame() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        b.end(b.request(TestBed.SAFE, 0, 10, 9_000), 0, Outcome.FULL);
-        b.request(TestBed.SAFE, 1, 10, 9_000);
-        assertEquals(0, b.count("refuse"));
-        assertEquals(3, b.count("send"));
+    void aSuspectedWorkerIsUsedIfAllAreSuspected() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        bed.endAttempt(bed.request(TestBed.SAFE, 0, 10, 9_000), 0, Outcome.FULL);
+        bed.request(TestBed.SAFE, 1, 10, 9_000);
+        assertEquals(0, bed.countActions("refuse"));
+        assertEquals(3, bed.countActions("send"));
     }
 
-    /** With none but cold workers whose budget is spent, a request waits for it while that is of use. */
+    /** If all workers are in slow start and their budgets are spent, a request waits for budget while it is useful. */
     @Test
-    void anAllColdFleetHoldsWhatItsBudgetDoesNotReachFor() {
-        TestBed b = new TestBed(1, false);
-        b.list(ListUpdate.WHOLE, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, b.now, 0, 0, 0));
-        for (int i = 0; i < 20 && b.count("send") == i; i++) {
-            b.end(b.request(TestBed.SAFE, i % 2, 100, 9_000), 0, Outcome.SERVED);
+    void requestsBeyondTheSlowStartBudgetAreHeldIfAllWorkersAreInSlowStart() {
+        TestBed bed = new TestBed(1, false);
+        bed.updateList(ListUpdate.WHOLE, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, bed.now, 0, 0, 0));
+        for (int i = 0; i < 20 && bed.countActions("send") == i; i++) {
+            bed.endAttempt(bed.request(TestBed.SAFE, i % 2, 100, 9_000), 0, Outcome.SERVED);
         }
-        long sent = b.count("send");
+        long sent = bed.countActions("send");
         assertTrue(sent > 0);
-        assertEquals(0, b.count("refuse"), "held");
-        b.pass(2_000);
-        assertEquals(sent + 1, b.count("send"), "it goes as the worker warms");
+        assertEquals(0, bed.countActions("refuse"), "held");
+        bed.advance(2_000);
+        assertEquals(sent + 1, bed.countActions("send"), "it is sent when the worker's budget has grown");
     }
 
-    /** A new worker whose cold budget is spent stands idle: it seemed to be room for all, and all were late. */
+    /** A new worker whose slow-start budget is spent is idle. It counted as capacity, and all jobs were late. */
     @Test
-    void aColdWorkerWithoutBudgetIsNoRoom() {
-        TestBed b = new TestBed(1, false);
-        b.list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        for (int i = 0; i < 200 && b.count("refuse") == 0; i++) {
-            b.request(TestBed.SAFE, 1, 100, 9_000);
+    void aWorkerWithoutSlowStartBudgetIsNoCapacity() {
+        TestBed bed = new TestBed(1, false);
+        bed.updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        for (int i = 0; i < 200 && bed.countActions("refuse") == 0; i++) {
+            bed.request(TestBed.SAFE, 1, 100, 9_000);
         }
-        b.list(ListUpdate.CHANGES, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, b.now, 0, 0, 0));
+        bed.updateList(ListUpdate.CHANGES, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, bed.now, 0, 0, 0));
         int sent = 0;
-        for (; b.count("refuse") == 1 && sent < 20; sent++) {
-            b.request(TestBed.SAFE, 0, 100, 9_000);
-            b.end(b.sentTo.size() + 1, 0, Outcome.SERVED);
+        for (; bed.countActions("refuse") == 1 && sent < 20; sent++) {
+            bed.request(TestBed.SAFE, 0, 100, 9_000);
+            bed.endAttempt(bed.sendTargets.size() + 1, 0, Outcome.SERVED);
         }
-        assertEquals(2, b.sentTo.stream().filter(w -> w == 11).count(), "its budget is for two");
-        assertEquals(3, sent, "the next is told at once, not sent behind the queue of the other");
+        assertEquals(2, bed.sendTargets.stream().filter(w -> w == 11).count(), "its budget allows two jobs");
+        assertEquals(3, sent, "the next is refused at once, not sent to the queue of the other worker");
     }
 
-    /** Each of many dispatchers has few jobs on one worker: it took all to have one slot, and rejected what it had room for. */
+    /**
+     * Each of many dispatchers has few jobs on a worker. It assumed that every worker has one slot and refused jobs that
+     * there was capacity for.
+     */
     @Test
-    void slotsThatTheQuotasNeedAreThereBeforeAnyWereSeen() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+    void slotsAreInferredFromQuotasBeforeAnyWereSeen() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         for (int i = 0; i < 40; i++) {
-            b.end(b.request(TestBed.SAFE, i % 2, 1_000, 9_000), 0, Outcome.SERVED);
+            bed.endAttempt(bed.request(TestBed.SAFE, i % 2, 1_000, 9_000), 0, Outcome.SERVED);
         }
-        b.pass(3_000);
+        bed.advance(3_000);
         for (int i = 0; i < 6; i++) {
-            b.request(TestBed.SAFE, i % 2, 1_000, 9_000);
+            bed.request(TestBed.SAFE, i % 2, 1_000, 9_000);
         }
-        assertEquals(0, b.count("refuse"), "10 jobs of 1 s a second need 5 slots on each, of which 3 are counted on");
+        assertEquals(0, bed.countActions("refuse"), "10 jobs of 1 s per second need 5 slots on each worker, of which 3 are assumed");
     }
 
-    /** Jobs of a class that bears long waits filled the queues, and those of tighter ones, worth less, were all late. */
+    /** Jobs of a class with a long allowance filled the queues, and all jobs of tighter classes were late. */
     @Test
-    void noWaitPassesWhatAMeanJobOfTheTightestClassBears() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
+    void noQueueExceedsWhatAMeanJobOfTheTightestClassBears() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
                 new Dispatcher.Worker(12, 1_000, Dispatcher.State.DRAINING, 0, 0, 0, 0));
         for (int i = 0; i < 4; i++) {
-            b.request(TestBed.SAFE, i % 2, 2_000, 60_000);
+            bed.request(TestBed.SAFE, i % 2, 2_000, 60_000);
         }
-        assertEquals(1, b.count("send"), "of 2 s each the second would bear to wait for 2.5 s, a mean one of another class 0.6 s");
+        assertEquals(1, bed.countActions("send"), "the second job of 2 s could wait for 2.5 s, a mean job of another class for 0.6 s");
     }
 
-    /** A roomy job waits for its slots to run free together: that is no queue, and such jobs are worth the most. */
+    /** A job with many slots waits until they are free together. That is no queue, and such jobs are worth the most. */
     @Test
-    void aRoomyJobMayWaitForItsSlotsWhereThereIsNoQueue() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+    void aJobWithManySlotsMayWaitForThemIfThereIsNoQueue() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         for (int i = 0; i < 20; i++) {
-            b.end(b.request(TestBed.SAFE, i % 2, 1_000, 9_000), 0, Outcome.SERVED);
+            bed.endAttempt(bed.request(TestBed.SAFE, i % 2, 1_000, 9_000), 0, Outcome.SERVED);
         }
-        b.pass(3_000);
-        b.request(TestBed.SAFE, 0, 1_000, 9_000);
-        // of the 5 or so slots that 10 jobs of 1 s a second need, one is taken
-        b.module.requested(b.now, new Dispatcher.Request(99, TestBed.SAFE, 0, 60_000_000, 2_000_000, 1_000, 0, 0));
-        assertTrue(b.module.state.candidates.get(0).expectedWaitUs > 600_000 && b.module.state.candidates.get(0).queueWaitUs == 0, "one is free, not all");
-        assertTrue(b.log.contains("send 99 10"), "it is to start after 1 s, and would be in time");
+        bed.advance(3_000);
+        bed.request(TestBed.SAFE, 0, 1_000, 9_000);
+        // one of the about 5 slots that 10 jobs of 1 s per second need is taken
+        bed.policy.requested(bed.now, new Dispatcher.Request(99, TestBed.SAFE, 0, 60_000_000, 2_000_000, 1_000, 0, 0));
+        assertTrue(bed.policy.state.candidates.get(0).expectedWaitUs > 600_000 && bed.policy.state.candidates.get(0).queueWaitUs == 0, "one slot is free, not all");
+        assertTrue(bed.actions.contains("send 99 10"), "it would start after 1 s and finish in time");
     }
 
     @Test
-    void absurdQuotasMakeNoAbsurdSlots() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+    void slotsInferredFromAbsurdQuotasAreBounded() {
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         for (int i = 0; i < 300; i++) {
-            b.request(TestBed.SAFE, i % 2, 600_000, 3_000_000);
+            bed.request(TestBed.SAFE, i % 2, 600_000, 3_000_000);
         }
-        // 10 jobs of 600 s a second would need 6000 slots; what is sent beyond those counted on waits its turn
-        assertTrue(b.count("send") <= 2 * WaitEstimator.MAX_QUOTA_SLOTS, b.count("send") + " sent");
+        // 10 jobs of 600 s per second would need 6000 slots; jobs beyond the assumed slots wait
+        assertTrue(bed.countActions("send") <= 2 * WaitEstimator.MAX_QUOTA_SLOTS, bed.countActions("send") + " sent");
     }
 }
--- a/src/test/java/granitefold/policy/LoadReportQueueTest.java
+++ b/src/test/java/granitefold/policy/LoadReportQueueTest.java
@@ -7,46 +7,46 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What goes to whom, and how much of it. */
+/** Recipients and byte budget of load reports. */
 class LoadReportQueueTest {
-    private final TestBed out = new TestBed(4, false);
-    private final LoadReportQueue words = new LoadReportQueue();
+    private final TestBed bed = new TestBed(4, false);
+    private final LoadReportQueue reports = new LoadReportQueue();
     private final SplittableRandom random = new SplittableRandom(1);
 
-    private int tell(TrackedWorker... due) {
-        for (TrackedWorker n : due) {
-            words.add(n, 100_000);
+    private int send(TrackedWorker... due) {
+        for (TrackedWorker worker : due) {
+            reports.add(worker, 100_000);
         }
-        return words.send(0, -1, null, random, out);
+        return reports.send(0, -1, null, random, bed);
     }
 
-    private static TrackedWorker node(long id, Integer... sharers) {
-        TrackedWorker n = new TrackedWorker(id);
-        n.sharingSiblings.addAll(List.of(sharers));
-        return n;
+    private static TrackedWorker worker(long id, Integer... sharingSiblings) {
+        TrackedWorker worker = new TrackedWorker(id);
+        worker.sharingSiblings.addAll(List.of(sharingSiblings));
+        return worker;
     }
 
     @Test
-    void eachSiblingHearsOfTheWorkersItShares() {
-        assertEquals(3, tell(node(10, 1, 2), node(11, 2, 3)));
+    void eachSiblingReceivesReportsOnTheWorkersItShares() {
+        assertEquals(3, send(worker(10, 1, 2), worker(11, 2, 3)));
         for (int i = 0; i < 3; i++) {
-            long[] e = SiblingMessage.read(out.told.get(i), 2, 4);
-            assertEquals(out.toldTo.get(i) == 2 ? 8 : 4, e.length);
-            assertEquals(out.toldTo.get(i) == 3 ? 11 : 10, e[1]);
+            long[] entries = SiblingMessage.read(bed.messages.get(i), 2, 4);
+            assertEquals(bed.recipients.get(i) == 2 ? 8 : 4, entries.length);
+            assertEquals(bed.recipients.get(i) == 3 ? 11 : 10, entries[1]);
         }
-        assertEquals(0, tell(), "told once");
+        assertEquals(0, send(), "reported once");
     }
 
-    /** Retries and ends earn nothing: a storm of them must not become a storm of datagrams. */
+    /** Retries and ended jobs add no bytes: many of them must not cause a flood of datagrams. */
     @Test
-    void whatNoRequestEarnedIsNotTold() {
-        int told = 0;
+    void reportsBeyondTheByteBudgetAreNotSent() {
+        int sent = 0;
         for (int i = 0; i < 1_000; i++) {
-            told += tell(node(10, 1, 2, 3));
+            sent += send(worker(10, 1, 2, 3));
         }
-        long bytes = out.told.stream().mapToLong(m -> m.length).sum();
-        assertTrue(told > 0 && bytes <= LoadReportQueue.MAX_SAVED_BYTES, bytes + " bytes");
-        words.addBytesForRequest();
-        assertEquals(3, tell(node(10, 1, 2, 3)));
+        long bytes = bed.messages.stream().mapToLong(m -> m.length).sum();
+        assertTrue(sent > 0 && bytes <= LoadReportQueue.MAX_SAVED_BYTES, bytes + " bytes");
+        reports.addBytesForRequest();
+        assertEquals(3, send(worker(10, 1, 2, 3)));
     }
 }
--- a/src/test/java/granitefold/policy/ManyDispatchersTest.java
+++ b/src/test/java/granitefold/policy/ManyDispatchersTest.java
@@ -22,16 +22,16 @@
     private static List<TestBed> fleet(int dispatchers, int workers, boolean cold) {
         List<TestBed> all = new ArrayList<>();
         for (int me = 0; me < dispatchers; me++) {
-            TestBed b = TestBed.numbered(me, dispatchers);
-            all.add(b.list(ListUpdate.WHOLE, workers(b, workers, cold)));
+            TestBed bed = TestBed.inFleet(me, dispatchers);
+            all.add(bed.updateList(ListUpdate.WHOLE, workers(bed, workers, cold)));
         }
         return all;
     }
 
-    private static Worker[] workers(TestBed b, int count, boolean cold) {
+    private static Worker[] workers(TestBed bed, int count, boolean cold) {
         Worker[] listed = new Worker[count];
         for (int i = 0; i < count; i++) {
-            listed[i] = new Worker(1000 + 7 * i, 1, State.READY, cold ? b.now - 1 : 0, 0, 0, 0);
+            listed[i] = new Worker(1000 + 7 * i, 1, State.READY, cold ? bed.now - 1 : 0, 0, 0, 0);
         }
         return listed;
     }
@@ -42,18 +42,18 @@
     }
 
     /** Workers that a dispatcher uses while nothing is wrong. */
-    private static Set<Long> used(TestBed b, int jobs) {
+    private static Set<Long> used(TestBed bed, int jobs) {
         for (int i = 0; i < jobs; i++) {
-            b.end(b.request(TestBed.SAFE, i % 2, 20, 9_000), 0, Outcome.SERVED);
+            bed.endAttempt(bed.request(TestBed.SAFE, i % 2, 20, 9_000), 0, Outcome.SERVED);
         }
-        return new HashSet<>(b.sentTo);
+        return new HashSet<>(bed.sendTargets);
     }
 
     @Test
     void manyDispatchersUseFewWorkersEachAndEveryWorkerIsUsedByAsMany() {
         int[] users = new int[WORKERS];
-        for (TestBed b : fleet(140, WORKERS, false)) {
-            Set<Long> used = used(b, 200);
+        for (TestBed bed : fleet(140, WORKERS, false)) {
+            Set<Long> used = used(bed, 200);
             assertTrue(used.size() <= subset(140), "used " + used.size());
             used.forEach(id -> users[(int) (id - 1000) / 7]++);
         }
@@ -64,18 +64,18 @@
 
     @Test
     void fewDispatchersUseTheWholeFleet() {
-        for (TestBed b : fleet(3, 12, false)) {
-            assertEquals(12, used(b, 400).size());
+        for (TestBed bed : fleet(3, 12, false)) {
+            assertEquals(12, used(bed, 400).size());
         }
     }
 
     @Test
     void aRequestJudgesAsManyWorkersWhateverTheNumberOfDispatchers() {
         for (int dispatchers : new int[] {100, 140, 300}) {
-            TestBed b = fleet(dispatchers, WORKERS, false).get(0);
+            TestBed bed = fleet(dispatchers, WORKERS, false).get(0);
             for (int i = 0; i < 50; i++) {
-                b.request(TestBed.SAFE, i % 2, 1, 9_000);
-                assertTrue(b.module.state.candidates.size() <= subset(dispatchers), "judged " + b.module.state.candidates.size());
+                bed.request(TestBed.SAFE, i % 2, 1, 9_000);
+                assertTrue(bed.policy.state.candidates.size() <= subset(dispatchers), "judged " + bed.policy.state.candidates.size());
             }
         }
     }
@@ -83,66 +83,66 @@
     /** With 100 dispatchers none sees a worker's slots at once: after some jobs each fell back to one, and rejected all else. */
     @Test
     void slotsThatQuotasNeedStandForAsLongAsJobsAreFewEach() {
-        TestBed b = fleet(100, WORKERS, false).get(0);
+        TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 200; i++) {
-            long id = b.request(TestBed.SAFE, i % 2, 30_000, 300_000);
-            b.module.started(b.now, id, 0);
-            b.pass(30_000);
-            b.end(id, 0, Outcome.SERVED);
+            long id = bed.request(TestBed.SAFE, i % 2, 30_000, 300_000);
+            bed.policy.started(bed.now, id, 0);
+            bed.advance(30_000);
+            bed.endAttempt(id, 0, Outcome.SERVED);
         }
         for (int i = 0; i < 40; i++) {
-            b.request(TestBed.SAFE, i % 2, 30_000, 300_000);
+            bed.request(TestBed.SAFE, i % 2, 30_000, 300_000);
         }
-        assertEquals(240, b.sentTo.size(), "10 jobs of 30 s a second need 5 slots on each of 60, of which 3.9 still count: 4");
+        assertEquals(240, bed.sendTargets.size(), "10 jobs of 30 s a second need 5 slots on each of 60, of which 3.9 still count: 4");
     }
 
     /** Nobody tells us of workers outside the subset: those stood for empty, and one job in five went into their queues. */
     @Test
     void aBusySubsetIsNotLeftForWorkersThatNobodyTellsOf() {
-        TestBed b = fleet(100, WORKERS, false).get(0);
+        TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 20; i++) {
             // one of them makes a worker wait past the strain's bound, and a second one is not hopeless yet
-            b.request(TestBed.UNSAFE, i % 2, 550, 9_000);
+            bed.request(TestBed.UNSAFE, i % 2, 550, 9_000);
         }
-        assertTrue(b.sentTo.size() > subset(100), "all of it is busy");
-        assertEquals(subset(100), new HashSet<>(b.sentTo).size());
+        assertTrue(bed.sendTargets.size() > subset(100), "all of it is busy");
+        assertEquals(subset(100), new HashSet<>(bed.sendTargets).size());
     }
 
     /** While siblings are cut off, all took the workers for empty, and queues grew to 4 s; own jobs' waits show them. */
     @Test
     void whatSiblingsDoNotTellShowsInHowLateOwnJobsStart() {
-        TestBed b = fleet(100, WORKERS, false).get(0);
+        TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 3; i++) {
-            b.request(TestBed.SAFE, i % 2, 100, 9_000);
+            bed.request(TestBed.SAFE, i % 2, 100, 9_000);
         }
-        b.pass(3_000);
-        long refused = b.count("refuse");
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(refused + 1, b.count("refuse"), "those out wait for 3 s, another would wait as long");
+        bed.advance(3_000);
+        long refused = bed.countActions("refuse");
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        assertEquals(refused + 1, bed.countActions("refuse"), "those out wait for 3 s, another would wait as long");
         for (int i = 0; i < 3; i++) {
-            b.module.started(b.now, 1 + i, 0);
-            b.end(1 + i, 0, Outcome.SERVED);
+            bed.policy.started(bed.now, 1 + i, 0);
+            bed.endAttempt(1 + i, 0, Outcome.SERVED);
         }
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(refused + 2, b.count("refuse"), "nor is it forgotten at once");
-        b.pass(5_000);
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(refused + 2, b.count("refuse"), "somebody has to try");
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        assertEquals(refused + 2, bed.countActions("refuse"), "nor is it forgotten at once");
+        bed.advance(5_000);
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        assertEquals(refused + 2, bed.countActions("refuse"), "somebody has to try");
     }
 
     private static long refusedAfterLateStarts(double lateWorth) {
-        TestBed b = TestBed.mute(lateWorth);
-        b.list(ListUpdate.WHOLE, workers(b, 12, false));
+        TestBed bed = TestBed.withoutMessages(lateWorth);
+        bed.updateList(ListUpdate.WHOLE, workers(bed, 12, false));
         for (int i = 0; i < 3; i++) {
-            b.request(TestBed.SAFE, i % 2, 100, 9_000);
+            bed.request(TestBed.SAFE, i % 2, 100, 9_000);
         }
-        b.pass(3_000);
+        bed.advance(3_000);
         for (int i = 0; i < 3; i++) {
-            b.module.started(b.now, 1 + i, 0);
-            b.end(1 + i, 0, Outcome.SERVED);
+            bed.policy.started(bed.now, 1 + i, 0);
+            bed.endAttempt(1 + i, 0, Outcome.SERVED);
         }
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        return b.count("refuse");
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        return bed.countActions("refuse");
     }
 
     /**
@@ -158,25 +158,25 @@
     /** A dispatcher of many sees few fetches; it held to a first guess of 0.3 s for ten seconds. */
     @Test
     void fetchTimesAreLearnedFromFewJobsWhereOthersShareTheWorkers() {
-        TestBed b = fleet(100, WORKERS, false).get(0);
+        TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 20; i++) {
-            long id = b.request(TestBed.SAFE, i % 2, 100, 9_000, 1 + i);
-            b.module.started(b.now, id, 0);
-            b.pass(100);
-            b.end(id, 0, Outcome.SERVED);
+            long id = bed.request(TestBed.SAFE, i % 2, 100, 9_000, 1 + i);
+            bed.policy.started(bed.now, id, 0);
+            bed.advance(100);
+            bed.endAttempt(id, 0, Outcome.SERVED);
         }
-        assertTrue(b.module.learned(b.now).fetchUs() < 100_000, "no job of 20 had to fetch");
+        assertTrue(bed.policy.learned(bed.now).fetchUs() < 100_000, "no job of 20 had to fetch");
     }
 
     @Test
     void subsetThatRefusesIsLeft() {
-        TestBed b = fleet(140, WORKERS, false).get(0);
+        TestBed bed = fleet(140, WORKERS, false).get(0);
         for (int i = 0; i < 12; i++) {
-            long id = b.request(TestBed.SAFE, i % 2, 20, 9_000);
-            b.end(id, 0, Outcome.FULL);
-            b.end(id, 1, Outcome.SERVED);
+            long id = bed.request(TestBed.SAFE, i % 2, 20, 9_000);
+            bed.endAttempt(id, 0, Outcome.FULL);
+            bed.endAttempt(id, 1, Outcome.SERVED);
         }
-        assertTrue(new HashSet<>(b.sentTo).size() > subset(140));
+        assertTrue(new HashSet<>(bed.sendTargets).size() > subset(140));
     }
 
     @Test
@@ -184,11 +184,11 @@
         for (int dispatchers : new int[] {1, 3, 20, 140}) {
             int workers = 2;
             double[] sent = new double[workers];
-            for (TestBed b : fleet(dispatchers, workers, true)) {
+            for (TestBed bed : fleet(dispatchers, workers, true)) {
                 for (int i = 0; i < 40; i++) {
-                    b.request(TestBed.SAFE, i % 2, 50, 9_000);
+                    bed.request(TestBed.SAFE, i % 2, 50, 9_000);
                 }
-                b.sentTo.forEach(id -> sent[(int) (id - 1000) / 7] += 0.05);
+                bed.sendTargets.forEach(id -> sent[(int) (id - 1000) / 7] += 0.05);
             }
             // 10 jobs a second of 50 ms over two workers: 0.25 a second each, a quarter of it cold, fourfold
             double most = 4 * 0.25 * 10 * 0.05 / workers + 1e-9;
@@ -206,12 +206,12 @@
         int[] owners = new int[2];
         List<TestBed> all = fleet(140, 1, true);
         for (int round = 0; round < 2; round++) {
-            for (TestBed b : all) {
-                b.sentTo.clear();
-                b.request(TestBed.SAFE, 0, 20, 300);
-                b.request(TestBed.SAFE, 1, 20, 300);
-                owners[round] += b.sentTo.isEmpty() ? 0 : 1;
-                b.pass(8_000);
+            for (TestBed bed : all) {
+                bed.sendTargets.clear();
+                bed.request(TestBed.SAFE, 0, 20, 300);
+                bed.request(TestBed.SAFE, 1, 20, 300);
+                owners[round] += bed.sendTargets.isEmpty() ? 0 : 1;
+                bed.advance(8_000);
             }
         }
         assertTrue(owners[0] > 0 && owners[0] <= 7, "at first " + owners[0]);
@@ -226,24 +226,24 @@
         int jobs = 20;
         for (int second = 0; second < jobs; second++) {
             for (int me = 0; me < many; me++) {
-                TestBed b = all.get(me);
-                b.end(b.request(TestBed.SAFE, 0, 20, 9_000), 0, Outcome.SERVED);
-                b.pass(1_000);
-                for (int i = 0; i < b.told.size(); i++) {
-                    TestBed to = all.get(b.toldTo.get(i));
+                TestBed bed = all.get(me);
+                bed.endAttempt(bed.request(TestBed.SAFE, 0, 20, 9_000), 0, Outcome.SERVED);
+                bed.advance(1_000);
+                for (int i = 0; i < bed.messages.size(); i++) {
+                    TestBed to = all.get(bed.recipients.get(i));
                     if (chance.nextInt(10) > 0) {
-                        to.module.messageReceived(to.now, me, b.told.get(i));
+                        to.policy.messageReceived(to.now, me, bed.messages.get(i));
                     }
                 }
-                assertTrue(b.told.size() > 0, "never silent");
-                b.told.clear();
-                b.toldTo.clear();
+                assertTrue(bed.messages.size() > 0, "never silent");
+                bed.messages.clear();
+                bed.recipients.clear();
             }
         }
         double least = 1;
         double sum = 0;
-        for (TestBed b : all) {
-            double part = (double) b.module.state.buckets.get(0).totalUsed / (many * jobs);
+        for (TestBed bed : all) {
+            double part = (double) bed.policy.state.buckets.get(0).totalUsed / (many * jobs);
             least = Math.min(least, part);
             sum += part / many;
         }
@@ -259,49 +259,49 @@
      */
     @Test
     void aSilentTryIsNoQueue() {
-        TestBed b = TestBed.numbered(0, 2).three();
-        long silent = b.request(TestBed.SAFE, 0, 100, 9_000);
-        long worker = b.lastWorker();
+        TestBed bed = TestBed.inFleet(0, 2).withThreeWorkers();
+        long silent = bed.request(TestBed.SAFE, 0, 100, 9_000);
+        long worker = bed.lastWorker();
         for (int i = 0; i < 40; i++) {
-            long id = b.request(TestBed.SAFE, 1, 100, 9_000);
-            long other = b.request(TestBed.SAFE, 0, 100, 9_000);
-            assertEquals(0, b.count("refuse"), "nothing but the silence of request " + silent + " is known");
-            b.module.started(b.now, id, 0);
-            b.module.started(b.now, other, 0);
-            b.pass(100);
-            b.end(id, 0, Outcome.SERVED);
-            b.end(other, 0, Outcome.SERVED);
+            long id = bed.request(TestBed.SAFE, 1, 100, 9_000);
+            long other = bed.request(TestBed.SAFE, 0, 100, 9_000);
+            assertEquals(0, bed.countActions("refuse"), "nothing but the silence of request " + silent + " is known");
+            bed.policy.started(bed.now, id, 0);
+            bed.policy.started(bed.now, other, 0);
+            bed.advance(100);
+            bed.endAttempt(id, 0, Outcome.SERVED);
+            bed.endAttempt(other, 0, Outcome.SERVED);
         }
-        b.pass(4_000);
+        bed.advance(4_000);
         for (int i = 0; i < 3; i++) {
-            b.request(TestBed.SAFE, 1, 100, 9_000);
+            bed.request(TestBed.SAFE, 1, 100, 9_000);
         }
-        assertEquals(0, b.count("refuse"));
-        assertTrue(b.sentTo.lastIndexOf(worker) > 0, "its worker is tried again");
+        assertEquals(0, bed.countActions("refuse"));
+        assertTrue(bed.sendTargets.lastIndexOf(worker) > 0, "its worker is tried again");
     }
 
     /** A later send to the same worker that has started shows at once that the first is not waiting. */
     @Test
     void whatWasOvertakenTellsOfNoQueue() {
-        TestBed b = TestBed.numbered(0, 2).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        b.pass(100);
-        long next = b.request(TestBed.SAFE, 0, 100, 9_000);
-        b.module.started(b.now, next, 0);
-        b.pass(100);
-        b.end(next, 0, Outcome.SERVED);
-        b.pass(400);
-        b.request(TestBed.SAFE, 1, 100, 9_000);
-        assertEquals(0, b.count("refuse"));
+        TestBed bed = TestBed.inFleet(0, 2).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        bed.advance(100);
+        long next = bed.request(TestBed.SAFE, 0, 100, 9_000);
+        bed.policy.started(bed.now, next, 0);
+        bed.advance(100);
+        bed.endAttempt(next, 0, Outcome.SERVED);
+        bed.advance(400);
+        bed.request(TestBed.SAFE, 1, 100, 9_000);
+        assertEquals(0, bed.countActions("refuse"));
     }
 
     /** Without such a sign lateness tells of work that nobody told us of. */
     @Test
     void whatWaitsUnheardTellsOfAQueue() {
-        TestBed b = TestBed.numbered(0, 2).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        b.pass(650);
-        b.request(TestBed.SAFE, 1, 100, 9_000);
-        assertEquals(1, b.count("refuse"));
+        TestBed bed = TestBed.inFleet(0, 2).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        bed.advance(650);
+        bed.request(TestBed.SAFE, 1, 100, 9_000);
+        assertEquals(1, bed.countActions("refuse"));
     }
 }
--- a/src/test/java/granitefold/policy/SendConstraintsTest.java
+++ b/src/test/java/granitefold/policy/SendConstraintsTest.java
@@ -21,23 +21,23 @@
                 if (outcome == Outcome.SERVED) {
                     continue;
                 }
-                TestBed b = new TestBed(1, false).three();
-                long id = b.request(type, 0, 100, 9_000);
-                long first = b.lastWorker();
-                b.end(id, 0, outcome);
+                TestBed bed = new TestBed(1, false).withThreeWorkers();
+                long id = bed.request(type, 0, 100, 9_000);
+                long first = bed.lastWorker();
+                bed.endAttempt(id, 0, outcome);
                 String what = outcome + " of class " + type;
                 if (type == TestBed.UNSAFE && !outcome.neverRan()) {
-                    assertEquals(1, b.sentTo.size(), what);
-                    assertEquals(1, b.count("fail"), what);
-                    assertEquals(0, b.count("refuse"), what);
+                    assertEquals(1, bed.sendTargets.size(), what);
+                    assertEquals(1, bed.countActions("fail"), what);
+                    assertEquals(0, bed.countActions("refuse"), what);
                     continue;
                 }
-                assertEquals(2, b.sentTo.size(), what);
+                assertEquals(2, bed.sendTargets.size(), what);
                 if (!outcome.neverRan() && type == TestBed.KEYED_CELL) {
-                    assertEquals(first, b.lastWorker(), what);
+                    assertEquals(first, bed.lastWorker(), what);
                 }
                 if (!outcome.neverRan() && type == TestBed.KEYED_ZONE) {
-                    assertEquals(first == 12, b.lastWorker() == 12, what);
+                    assertEquals(first == 12, bed.lastWorker() == 12, what);
                 }
             }
         }
@@ -46,92 +46,92 @@
     @Test
     void keyedIsNotResentPastItsWindowAndThenFailsUnlessAnyoneMayRepeat() {
         for (int type : new int[] {TestBed.KEYED_ALL, TestBed.KEYED_ZONE}) {
-            TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-            long id = b.request(type, 0, 100, 9_000);
-            b.now += (TestBed.KEEP_MS + 1) * 1000;
-            b.end(id, 0, Outcome.ERROR);
-            b.pass(9_000);
-            assertEquals(1, b.sentTo.size());
-            assertEquals(type == TestBed.KEYED_ALL ? 1 : 0, b.count("refuse"));
-            assertEquals(type == TestBed.KEYED_ALL ? 0 : 1, b.count("fail"));
+            TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+            long id = bed.request(type, 0, 100, 9_000);
+            bed.now += (TestBed.DEDUP_WINDOW_MS + 1) * 1000;
+            bed.endAttempt(id, 0, Outcome.ERROR);
+            bed.advance(9_000);
+            assertEquals(1, bed.sendTargets.size());
+            assertEquals(type == TestBed.KEYED_ALL ? 1 : 0, bed.countActions("refuse"));
+            assertEquals(type == TestBed.KEYED_ALL ? 0 : 1, bed.countActions("fail"));
         }
     }
 
     @Test
     void attemptsNeverPassTheirCap() {
-        TestBed b = new TestBed(1, false).three();
-        long id = b.request(TestBed.SAFE, 0, 100, 9_000);
+        TestBed bed = new TestBed(1, false).withThreeWorkers();
+        long id = bed.request(TestBed.SAFE, 0, 100, 9_000);
         for (int i = 0; i < 4; i++) {
-            b.end(id, i, Outcome.ERROR);
+            bed.endAttempt(id, i, Outcome.ERROR);
         }
-        assertEquals(4, b.sentTo.size());
-        assertEquals(1, b.count("refuse") + b.count("fail"));
+        assertEquals(4, bed.sendTargets.size());
+        assertEquals(1, bed.countActions("refuse") + bed.countActions("fail"));
     }
 
     @Test
     void heldRequestIsAnsweredBeforeItsClientGivesUp() {
-        TestBed b = new TestBed(1, false);
-        long before = b.now;
-        b.request(TestBed.UNSAFE, 0, 100, 300);
-        while (b.count("refuse") == 0 && b.now < before + 400_000) {
-            b.pass(1);
+        TestBed bed = new TestBed(1, false);
+        long before = bed.now;
+        bed.request(TestBed.UNSAFE, 0, 100, 300);
+        while (bed.countActions("refuse") == 0 && bed.now < before + 400_000) {
+            bed.advance(1);
         }
-        assertEquals(1, b.count("refuse"));
-        assertTrue(b.now <= before + 300_000, "in time");
-        b.pass(1_000);
-        assertEquals(1, b.log.stream().filter(l -> l.startsWith("refuse") || l.startsWith("fail")).count());
+        assertEquals(1, bed.countActions("refuse"));
+        assertTrue(bed.now <= before + 300_000, "in time");
+        bed.advance(1_000);
+        assertEquals(1, bed.actions.stream().filter(l -> l.startsWith("refuse") || l.startsWith("fail")).count());
     }
 
     @Test
     void requestWithNoTimeLeftIsAnsweredAtOnce() {
-        TestBed b = new TestBed(1, false).three();
-        b.request(TestBed.SAFE, 0, 100, 1);
-        assertEquals(1, b.count("refuse"));
-        assertEquals(0, b.count("send"));
+        TestBed bed = new TestBed(1, false).withThreeWorkers();
+        bed.request(TestBed.SAFE, 0, 100, 1);
+        assertEquals(1, bed.countActions("refuse"));
+        assertEquals(0, bed.countActions("send"));
     }
 
     @Test
     void timeOutAtTheDeadlineFailsWhatMayHaveRun() {
-        TestBed b = new TestBed(1, false).three();
-        long id = b.request(TestBed.UNSAFE, 0, 100, 500);
-        b.now += 500_000;
-        b.end(id, 0, Outcome.TIMED_OUT);
-        assertEquals(1, b.count("fail"));
-        b.end(id, 0, Outcome.TIMED_OUT);
-        assertEquals(1, b.count("fail"));
+        TestBed bed = new TestBed(1, false).withThreeWorkers();
+        long id = bed.request(TestBed.UNSAFE, 0, 100, 500);
+        bed.now += 500_000;
+        bed.endAttempt(id, 0, Outcome.TIMED_OUT);
+        assertEquals(1, bed.countActions("fail"));
+        bed.endAttempt(id, 0, Outcome.TIMED_OUT);
+        assertEquals(1, bed.countActions("fail"));
     }
 
     @Test
     void nothingGoesToADrainingOrGoneOrUnlistedWorker() {
-        TestBed b = new TestBed(1, false).three();
-        b.list(ListUpdate.CHANGES, new Worker(10, 1, State.DRAINING, 0, 0, 0, 0),
+        TestBed bed = new TestBed(1, false).withThreeWorkers();
+        bed.updateList(ListUpdate.CHANGES, new Worker(10, 1, State.DRAINING, 0, 0, 0, 0),
                 new Worker(11, 1, State.GONE, 0, 0, 1, 0));
         for (int i = 0; i < 5; i++) {
-            b.request(TestBed.SAFE, 0, 100, 9_000);
-            assertEquals(12, b.lastWorker());
+            bed.request(TestBed.SAFE, 0, 100, 9_000);
+            assertEquals(12, bed.lastWorker());
         }
-        b.list(ListUpdate.WHOLE, TestBed.worker(11, 0, 1));
-        b.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(11, b.lastWorker());
-        b.list(ListUpdate.WHOLE);
-        int sent = b.sentTo.size();
-        b.request(TestBed.SAFE, 0, 100, 500);
-        b.pass(600);
-        assertEquals(sent, b.sentTo.size());
-        assertEquals(1, b.count("refuse"));
+        bed.updateList(ListUpdate.WHOLE, TestBed.worker(11, 0, 1));
+        bed.request(TestBed.SAFE, 0, 100, 9_000);
+        assertEquals(11, bed.lastWorker());
+        bed.updateList(ListUpdate.WHOLE);
+        int sent = bed.sendTargets.size();
+        bed.request(TestBed.SAFE, 0, 100, 500);
+        bed.advance(600);
+        assertEquals(sent, bed.sendTargets.size());
+        assertEquals(1, bed.countActions("refuse"));
     }
 
     @Test
     void coldBudgetHoldsOverAnySpanForOneAndForManyDispatchers() {
         double[] sent = new double[2];
         for (int many = 0; many < 2; many++) {
-            TestBed b = new TestBed(many == 0 ? 1 : 4, false);
+            TestBed bed = new TestBed(many == 0 ? 1 : 4, false);
             // warm capacity as judged: 10 jobs a second x 50 ms = half a core
-            b.list(ListUpdate.WHOLE, new Worker(10, 1, State.READY, b.now - 1, 0, 0, 0));
+            bed.updateList(ListUpdate.WHOLE, new Worker(10, 1, State.READY, bed.now - 1, 0, 0, 0));
             for (int i = 0; i < 100; i++) {
-                b.request(TestBed.SAFE, 0, 50, 9_000);
+                bed.request(TestBed.SAFE, 0, 50, 9_000);
             }
-            sent[many] = b.sentTo.size() * 50_000.0;
+            sent[many] = bed.sendTargets.size() * 50_000.0;
         }
         double budget = 4 * 0.25 * 0.5e6;
         assertTrue(sent[0] > 0 && sent[0] <= budget, "one: " + sent[0]);
@@ -140,85 +140,85 @@
 
     @Test
     void rejectedSendsSpendTheColdBudgetUntilTheSpanIsOver() {
-        TestBed b = new TestBed(1, false);
-        b.list(ListUpdate.WHOLE, new Worker(10, 1, State.READY, b.now - 1, 0, 0, 0));
+        TestBed bed = new TestBed(1, false);
+        bed.updateList(ListUpdate.WHOLE, new Worker(10, 1, State.READY, bed.now - 1, 0, 0, 0));
         for (int i = 0; i < 20; i++) {
-            long id = b.request(TestBed.SAFE, i % 2, 50, 200);
+            long id = bed.request(TestBed.SAFE, i % 2, 50, 200);
             for (int attempt = 0; attempt < 4; attempt++) {
-                b.end(id, attempt, Outcome.FULL);
+                bed.endAttempt(id, attempt, Outcome.FULL);
             }
         }
-        int sent = b.sentTo.size();
+        int sent = bed.sendTargets.size();
         assertTrue(sent > 0 && sent * 50_000.0 <= 0.5e6, "sent " + sent);
-        b.pass(1_100);
-        b.request(TestBed.SAFE, 0, 50, 9_000);
-        assertEquals(sent + 1, b.sentTo.size(), "the span has passed");
+        bed.advance(1_100);
+        bed.request(TestBed.SAFE, 0, 50, 9_000);
+        assertEquals(sent + 1, bed.sendTargets.size(), "the span has passed");
     }
 
     @Test
     void oneHeavyJobDoesNotGoToAColdWorker() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        b.request(TestBed.SAFE, 0, 50, 9_000);
-        b.list(ListUpdate.CHANGES, new Worker(20, 1, State.READY, b.now - 1, 0, 0, 0));
-        b.request(TestBed.SAFE, 0, 5_000, 9_900);
-        assertNotEquals(20, b.lastWorker());
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        bed.request(TestBed.SAFE, 0, 50, 9_000);
+        bed.updateList(ListUpdate.CHANGES, new Worker(20, 1, State.READY, bed.now - 1, 0, 0, 0));
+        bed.request(TestBed.SAFE, 0, 5_000, 9_900);
+        assertNotEquals(20, bed.lastWorker());
     }
 
     @Test
     void workerThatCouldNotBeReachedIsTakenAsColdFromThen() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        long id = b.request(TestBed.SAFE, 0, 50, 200);
-        b.end(id, 0, Outcome.UNREACHABLE);
-        b.pass(2_500);
-        int before = b.sentTo.size();
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        long id = bed.request(TestBed.SAFE, 0, 50, 200);
+        bed.endAttempt(id, 0, Outcome.UNREACHABLE);
+        bed.advance(2_500);
+        int before = bed.sendTargets.size();
         for (int i = 0; i < 13; i++) {
-            b.request(TestBed.SAFE, i % 2, 50, 9_000);
+            bed.request(TestBed.SAFE, i % 2, 50, 9_000);
         }
-        int sent = b.sentTo.size() - before;
+        int sent = bed.sendTargets.size() - before;
         assertTrue(sent > 0 && sent < 13, "sent " + sent);
     }
 
     @Test
     void fullConnectionTableIsNotTakenForARestart() {
-        TestBed b = new TestBed(1, false).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-        long running = b.request(TestBed.SAFE, 0, 50, 9_000);
-        long turnedAway = b.request(TestBed.SAFE, 0, 50, 200);
-        b.end(turnedAway, 0, Outcome.UNREACHABLE);
-        b.pass(2_500);
-        b.end(running, 0, Outcome.SERVED);
-        int before = b.sentTo.size();
+        TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
+        long running = bed.request(TestBed.SAFE, 0, 50, 9_000);
+        long turnedAway = bed.request(TestBed.SAFE, 0, 50, 200);
+        bed.endAttempt(turnedAway, 0, Outcome.UNREACHABLE);
+        bed.advance(2_500);
+        bed.endAttempt(running, 0, Outcome.SERVED);
+        int before = bed.sendTargets.size();
         for (int i = 0; i < 13; i++) {
-            b.request(TestBed.SAFE, i % 2, 40, 9_000);
+            bed.request(TestBed.SAFE, i % 2, 40, 9_000);
         }
-        assertEquals(13, b.sentTo.size() - before, "it went on with what it had, so it is warm");
+        assertEquals(13, bed.sendTargets.size() - before, "it went on with what it had, so it is warm");
     }
 
     @Test
     void withoutSecondCopiesNoTwoAttemptsAreOut() {
         for (boolean copies : new boolean[] {false, true}) {
-            TestBed b = new TestBed(1, false, copies, 7).list(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
+            TestBed bed = new TestBed(1, false, copies, 7).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
                     TestBed.worker(11, 0, 0), TestBed.worker(12, 0, 0), TestBed.worker(13, 0, 0));
-            b.request(TestBed.SAFE, 0, 100, 9_000);
-            b.pass(5_000);
-            assertEquals(copies ? 2 : 1, b.sentTo.size(), "copies " + copies);
+            bed.request(TestBed.SAFE, 0, 100, 9_000);
+            bed.advance(5_000);
+            assertEquals(copies ? 2 : 1, bed.sendTargets.size(), "copies " + copies);
         }
     }
 
     /** Two processes of one dispatcher, each with its whole part of a cold worker's budget, would push it over together. */
     @Test
     void aRelievedProcessSendsNothingToAColdWorker() {
-        TestBed b = new TestBed(1, false);
-        b.list(ListUpdate.WHOLE, new Dispatcher.Worker(10, 1, Dispatcher.State.READY, b.now - 1_000_000, 0, 0, 0),
+        TestBed bed = new TestBed(1, false);
+        bed.updateList(ListUpdate.WHOLE, new Dispatcher.Worker(10, 1, Dispatcher.State.READY, bed.now - 1_000_000, 0, 0, 0),
                 TestBed.worker(11, 0, 0));
-        for (int i = 0; i < 9 && !b.sentTo.contains(10L); i++) {
-            b.request(TestBed.SAFE, 0, 20, 9_000);
+        for (int i = 0; i < 9 && !bed.sendTargets.contains(10L); i++) {
+            bed.request(TestBed.SAFE, 0, 20, 9_000);
         }
-        assertTrue(b.sentTo.contains(10L), "else this test shows nothing");
-        b.module.superseded();
-        b.sentTo.clear();
+        assertTrue(bed.sendTargets.contains(10L), "else this test shows nothing");
+        bed.policy.superseded();
+        bed.sendTargets.clear();
         for (int i = 0; i < 6; i++) {
-            b.request(TestBed.SAFE, i % 2, 20, 9_000);
+            bed.request(TestBed.SAFE, i % 2, 20, 9_000);
         }
-        assertTrue(b.sentTo.size() > 0 && !b.sentTo.contains(10L), b.sentTo.toString());
+        assertTrue(bed.sendTargets.size() > 0 && !bed.sendTargets.contains(10L), bed.sendTargets.toString());
     }
 }
--- a/src/test/java/granitefold/policy/TestBed.java
+++ b/src/test/java/granitefold/policy/TestBed.java
@@ -18,89 +18,90 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A module under test with its actions written down; times are given in milliseconds. */
+/** Runs one {@link DispatchPolicy} on virtual time and records its actions; times are given in milliseconds. */
 final class TestBed implements Dispatcher.Actions {
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
     static final int KEYED_ZONE = 2;
     static final int KEYED_CELL = 3;
     static final int UNSAFE = 4;
-    static final long KEEP_MS = 5_000;
+    static final long DEDUP_WINDOW_MS = 5_000;
 
-    final List<String> log = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
-    final List<Integer> toldTo = new ArrayList<>();
-    final List<Long> sentTo = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
+    final List<byte[]> messages = new ArrayList<>();
+    final List<Integer> recipients = new ArrayList<>();
+    final List<Long> sendTargets = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    final DispatchPolicy module;
+    final DispatchPolicy policy;
     long now = 1_000_000_000L;
-    private long ids = 1;
+    private long nextId = 1;
 
     TestBed(int siblings, boolean mustWatch) {
         this(siblings, mustWatch, true, 7);
     }
 
-    TestBed(int siblings, boolean mustWatch, boolean copies, long seed) {
-        this(0, siblings, mustWatch, copies, seed, true, 0.2);
+    TestBed(int siblings, boolean mustWatch, boolean secondCopies, long seed) {
+        this(0, siblings, mustWatch, secondCopies, seed, true, 0.2);
     }
 
-    /** Siblings are there and may not speak; late jobs are worth so much. */
-    static TestBed mute(double lateWorth) {
+    /** A dispatcher with siblings that may not exchange messages, and with a value of late jobs. */
+    static TestBed withoutMessages(double lateWorth) {
         return new TestBed(0, 4, false, true, 7, false, lateWorth);
     }
 
-    /** One of many dispatchers, by its number. */
-    static TestBed numbered(int me, int siblings) {
-        return new TestBed(me, siblings, false, true, 7 + me, true, 0.2);
+    /** One of many dispatchers, by its index. */
+    static TestBed inFleet(int selfIndex, int siblings) {
+        return new TestBed(selfIndex, siblings, false, true, 7 + selfIndex, true, 0.2);
     }
 
-    private TestBed(int me, int siblings, boolean mustWatch, boolean copies, long seed, boolean talk, double lateWorth) {
+    private TestBed(int selfIndex, int siblings, boolean mustWatch, boolean secondCopies, long seed, boolean siblingMessages,
+            double lateWorth) {
         List<JobClass> classes = new ArrayList<>();
-        classes.add(type(Effect.SAFE, Group.ALL, lateWorth));
-        classes.add(type(Effect.KEYED, Group.ALL, lateWorth));
-        classes.add(type(Effect.KEYED, Group.ZONE, lateWorth));
-        classes.add(type(Effect.KEYED, Group.CELL, lateWorth));
-        classes.add(type(Effect.UNSAFE, Group.ALL, lateWorth));
-        module = new DispatchPolicy(new Settings(classes, List.of(new Tenant(0.5, 5), new Tenant(0.5, 5)), me, siblings, 0,
-                mustWatch, true, 0, 1_000, new Limits(4, copies, true, talk, true, 2_000_000),
+        classes.add(jobClass(Effect.SAFE, Group.ALL, lateWorth));
+        classes.add(jobClass(Effect.KEYED, Group.ALL, lateWorth));
+        classes.add(jobClass(Effect.KEYED, Group.ZONE, lateWorth));
+        classes.add(jobClass(Effect.KEYED, Group.CELL, lateWorth));
+        classes.add(jobClass(Effect.UNSAFE, Group.ALL, lateWorth));
+        policy = new DispatchPolicy(new Settings(classes, List.of(new Tenant(0.5, 5), new Tenant(0.5, 5)), selfIndex, siblings, 0,
+                mustWatch, true, 0, 1_000, new Limits(4, secondCopies, true, siblingMessages, true, 2_000_000),
                 new Rules(2_000_000, 16_000, 0.25, 10_000_000, 4, 1_000_000, 10_000_000),
                 new Prices(0, 0, 0)), seed, this);
-        module.start(now);
+        policy.start(now);
     }
 
-    private static JobClass type(Effect effect, Group group, double lateWorth) {
-        return new JobClass(effect, group, KEEP_MS * 1000, 500_000, 10_000_000, 2, -1, 1, lateWorth);
+    private static JobClass jobClass(Effect effect, Group group, double lateWorth) {
+        return new JobClass(effect, group, DEDUP_WINDOW_MS * 1000, 500_000, 10_000_000, 2, -1, 1, lateWorth);
     }
 
     static Worker worker(long id, int zone, int cell) {
         return new Worker(id, 1, State.READY, 0, zone, cell, 0);
     }
 
-    TestBed list(ListUpdate news, Worker... workers) {
-        module.listUpdated(now, news, Arrays.asList(workers));
+    TestBed updateList(ListUpdate update, Worker... workers) {
+        policy.listUpdated(now, update, Arrays.asList(workers));
         return this;
     }
 
     /** Two workers in zone 0 and cells 0 and 1, and one in zone 1 and cell 2. */
-    TestBed three() {
-        return list(ListUpdate.WHOLE, worker(10, 0, 0), worker(11, 0, 1), worker(12, 1, 2));
+    TestBed withThreeWorkers() {
+        return updateList(ListUpdate.WHOLE, worker(10, 0, 0), worker(11, 0, 1), worker(12, 1, 2));
     }
 
-    long request(int type, int tenant, double workMs, long leftMs) {
-        return request(type, tenant, workMs, leftMs, 0);
+    long request(int jobClass, int tenant, double workMs, long leftMs) {
+        return request(jobClass, tenant, workMs, leftMs, 0);
     }
 
-    long request(int type, int tenant, double workMs, long leftMs, long key) {
-        module.requested(now, new Request(ids, type, tenant, leftMs * 1000, workMs * 1000, 1, 0, key));
-        return ids++;
+    long request(int jobClass, int tenant, double workMs, long leftMs, long key) {
+        policy.requested(now, new Request(nextId, jobClass, tenant, leftMs * 1000, workMs * 1000, 1, 0, key));
+        return nextId++;
     }
 
-    void end(long id, int attempt, Outcome outcome) {
-        module.ended(now, id, attempt, outcome == Outcome.SERVED, outcome, null);
+    void endAttempt(long id, int attempt, Outcome outcome) {
+        policy.ended(now, id, attempt, outcome == Outcome.SERVED, outcome, null);
     }
 
-    /** Lets time pass, playing the timers that run out. */
-    void pass(long ms) {
+    /** Advances the time and fires the timers that expire. */
+    void advance(long ms) {
         long until = now + ms * 1000;
         while (true) {
             long[] next = null;
@@ -113,37 +114,37 @@
             }
             timers.remove(next);
             now = Math.max(now, next[0]);
-            module.elapsed(now, next[1]);
+            policy.elapsed(now, next[1]);
         }
     }
 
-    long count(String start) {
-        return log.stream().filter(l -> l.startsWith(start)).count();
+    long countActions(String prefix) {
+        return actions.stream().filter(a -> a.startsWith(prefix)).count();
     }
 
     long lastWorker() {
-        return sentTo.get(sentTo.size() - 1);
+        return sendTargets.get(sendTargets.size() - 1);
     }
 
     @Override
     public void send(long request, long worker, long waitUs, long startUs) {
-        log.add("send " + request + " " + worker);
-        sentTo.add(worker);
+        actions.add("send " + request + " " + worker);
+        sendTargets.add(worker);
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        log.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
     public void refuse(long request, long retryAfterUs, Dispatcher.Refusal why) {
-        log.add("refuse " + request + " " + retryAfterUs);
+        actions.add("refuse " + request + " " + retryAfterUs);
     }
 
     @Override
     public void fail(long request) {
-        log.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
@@ -153,13 +154,13 @@
 
     @Override
     public void sendToSibling(int sibling, byte[] message) {
-        log.add("tell " + sibling);
-        told.add(message);
-        toldTo.add(sibling);
+        actions.add("message " + sibling);
+        messages.add(message);
+        recipients.add(sibling);
     }
 
     @Override
     public void watch() {
-        log.add("watch");
+        actions.add("watch");
     }
 }
--- a/src/test/java/granitefold/policy/TokenBucketRestartTest.java
+++ b/src/test/java/granitefold/policy/TokenBucketRestartTest.java
@@ -12,19 +12,20 @@
 import net.jqwik.api.Provide;
 
 /**
- * Two dispatchers with a bucket each, every sequence of six steps: uses, saves, crashes with and without a file, words
- * that arrive late or never, time. What a dispatcher forgets is at most what it used since its last save and nobody heard of.
+ * Runs two dispatchers with a bucket each through every sequence of six steps: uses, saves, crashes with and without a saved
+ * file, messages that arrive late or never, and time. A crash may lose no more than the use that was neither saved nor received
+ * by the other dispatcher.
  */
 class TokenBucketRestartTest {
     private static final int STEPS = 6;
     private static final double CAPACITY = 2, RATE = 1;
 
-    private enum Step { USE_A, USE_B, SAVE_A, CRASH_A, SPEAK_A, SPEAK_B, HEAR_A, HEAR_B, SECOND }
+    private enum Step { USE_A, USE_B, SAVE_A, CRASH_A, SEND_A, SEND_B, RECEIVE_A, RECEIVE_B, SECOND }
 
-    /** What a file or a word holds of a bucket. */
-    private record Copy(long a, long b, double credited) {
-        static Copy of(TokenBucket k) {
-            return new Copy(k.used[0], k.used[1], k.credited);
+    /** The content of a bucket in a file or a message. */
+    private record Copy(long usedByA, long usedByB, double credited) {
+        static Copy of(TokenBucket bucket) {
+            return new Copy(bucket.used[0], bucket.used[1], bucket.credited);
         }
     }
 
@@ -34,19 +35,19 @@
     }
 
     @Property(generation = GenerationMode.EXHAUSTIVE, tries = 531_441)
-    void aCrashForgetsNoMoreThanWasNeitherSavedNorHeard(@ForAll("sequences") List<Step> steps) {
+    void aCrashLosesOnlyUseThatWasNeitherSavedNorReceived(@ForAll("sequences") List<Step> steps) {
         TokenBucket a = new TokenBucket(RATE, CAPACITY, 2, 0);
         TokenBucket b = new TokenBucket(RATE, CAPACITY, 2, 0);
         Copy file = null;
         List<Copy> fromA = new ArrayList<>(2);
         List<Copy> fromB = new ArrayList<>(2);
         long usedA = 0;
-        long forgotten = 0;
+        long lost = 0;
         long now = 0;
-        for (Step s : steps) {
+        for (Step step : steps) {
             a.refill(now);
             b.refill(now);
-            switch (s) {
+            switch (step) {
                 case USE_A -> {
                     if (a.available() >= 1) {
                         a.use(0, 1);
@@ -60,36 +61,36 @@
                 }
                 case SAVE_A -> file = Copy.of(a);
                 case CRASH_A -> {
-                    TokenBucket next = new TokenBucket(RATE, CAPACITY, 2, now);
+                    TokenBucket restarted = new TokenBucket(RATE, CAPACITY, 2, now);
                     if (file != null) {
-                        next.merge(0, file.a() + next.usedSinceStart, file.credited());
-                        next.merge(1, file.b(), file.credited());
+                        restarted.merge(0, file.usedByA() + restarted.usedSinceStart, file.credited());
+                        restarted.merge(1, file.usedByB(), file.credited());
                     }
-                    forgotten += Math.max(0, a.used[0] - next.used[0]);
-                    a = next;
+                    lost += Math.max(0, a.used[0] - restarted.used[0]);
+                    a = restarted;
                 }
-                case SPEAK_A -> fromA.add(Copy.of(a));
-                case SPEAK_B -> fromB.add(Copy.of(b));
-                case HEAR_B -> {
-                    // the newest first: words are reordered, and those left over are lost
+                case SEND_A -> fromA.add(Copy.of(a));
+                case SEND_B -> fromB.add(Copy.of(b));
+                case RECEIVE_B -> {
+                    // the newest first: messages are reordered, and those that remain are lost
                     if (!fromA.isEmpty()) {
-                        Copy w = fromA.remove(fromA.size() - 1);
-                        b.merge(0, w.a(), w.credited());
-                        b.merge(1, w.b(), w.credited());
+                        Copy copy = fromA.remove(fromA.size() - 1);
+                        b.merge(0, copy.usedByA(), copy.credited());
+                        b.merge(1, copy.usedByB(), copy.credited());
                     }
                 }
-                case HEAR_A -> {
+                case RECEIVE_A -> {
                     if (!fromB.isEmpty()) {
-                        Copy w = fromB.remove(fromB.size() - 1);
-                        a.merge(0, w.a() + (w.a() > a.used[0] ? a.usedSinceStart : 0), w.credited());
-                        a.merge(1, w.b(), w.credited());
+                        Copy copy = fromB.remove(fromB.size() - 1);
+                        a.merge(0, copy.usedByA() + (copy.usedByA() > a.used[0] ? a.usedSinceStart : 0), copy.credited());
+                        a.merge(1, copy.usedByB(), copy.credited());
                     }
                 }
                 default -> now += 1_000_000;
             }
-            double allowed = CAPACITY + RATE * now / 1e6 + forgotten;
-            if (usedA > allowed + 1e-9 || a.used[0] + forgotten < usedA
-                    || a.credited > CAPACITY + RATE * now / 1e6 + 1e-9 || file != null && s == Step.CRASH_A && a.used[0] < file.a()) {
+            double allowed = CAPACITY + RATE * now / 1e6 + lost;
+            if (usedA > allowed + 1e-9 || a.used[0] + lost < usedA
+                    || a.credited > CAPACITY + RATE * now / 1e6 + 1e-9 || file != null && step == Step.CRASH_A && a.used[0] < file.usedByA()) {
                 assertTrue(false, "used " + usedA + ", allowed " + allowed + ", counted " + a.used[0] + " after " + steps);
             }
         }
--- a/src/test/java/granitefold/policy/TokenBucketTest.java
+++ b/src/test/java/granitefold/policy/TokenBucketTest.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The arithmetic of the buckets: the laws of merging, refill and its edges. */
+/** Arithmetic of the token bucket: properties of merging, and refill with its edge cases. */
 class TokenBucketTest {
     private static final int OWNERS = 4;
 
@@ -21,24 +21,24 @@
         }
     }
 
-    private static TokenBucket random(Random r) {
-        TokenBucket b = bucket();
+    private static TokenBucket randomBucket(Random random) {
+        TokenBucket bucket = bucket();
         for (int i = 0; i < 6; i++) {
-            b.use(r.nextInt(OWNERS), r.nextInt(9));
-            b.refill(r.nextInt(5_000_000));
+            bucket.use(random.nextInt(OWNERS), random.nextInt(9));
+            bucket.refill(random.nextInt(5_000_000));
         }
-        return b;
+        return bucket;
     }
 
-    private static TokenBucket of(TokenBucket... parts) {
-        TokenBucket b = bucket();
-        for (TokenBucket p : parts) {
-            merge(b, p);
+    private static TokenBucket merged(TokenBucket... parts) {
+        TokenBucket bucket = bucket();
+        for (TokenBucket part : parts) {
+            merge(bucket, part);
         }
-        return b;
+        return bucket;
     }
 
-    private static void same(TokenBucket a, TokenBucket b) {
+    private static void assertSame(TokenBucket a, TokenBucket b) {
         assertArrayEquals(a.used, b.used);
         assertEquals(a.totalUsed, b.totalUsed);
         assertEquals(a.credited, b.credited);
@@ -46,38 +46,38 @@
 
     @Test
     void mergeIsIdempotentCommutativeAssociativeAndMonotone() {
-        Random r = new Random(1);
+        Random random = new Random(1);
         for (int round = 0; round < 500; round++) {
-            TokenBucket a = random(r);
-            TokenBucket b = random(r);
-            TokenBucket c = random(r);
-            same(of(a, a), of(a));
-            same(of(a, b), of(b, a));
-            same(of(of(a, b), c), of(a, of(b, c)));
-            TokenBucket ab = of(a, b);
+            TokenBucket a = randomBucket(random);
+            TokenBucket b = randomBucket(random);
+            TokenBucket c = randomBucket(random);
+            assertSame(merged(a, a), merged(a));
+            assertSame(merged(a, b), merged(b, a));
+            assertSame(merged(merged(a, b), c), merged(a, merged(b, c)));
+            TokenBucket ab = merged(a, b);
             assertTrue(ab.totalUsed >= a.totalUsed && ab.totalUsed >= b.totalUsed && ab.credited >= a.credited);
         }
     }
 
     @Test
-    void startsFullRefillsByRateAndNeverPastCapacity() {
-        TokenBucket b = bucket();
-        assertEquals(20, b.available());
-        b.use(0, 20);
-        b.refill(500_000);
-        assertEquals(5, b.available(), 1e-9);
-        b.refill(60_000_000);
-        assertEquals(20, b.available(), 1e-9);
+    void startsFullAndRefillsAtItsRateUpToItsCapacity() {
+        TokenBucket bucket = bucket();
+        assertEquals(20, bucket.available());
+        bucket.use(0, 20);
+        bucket.refill(500_000);
+        assertEquals(5, bucket.available(), 1e-9);
+        bucket.refill(60_000_000);
+        assertEquals(20, bucket.available(), 1e-9);
     }
 
     @Test
-    void clockGoingBackCreditsNothing() {
-        TokenBucket b = bucket();
-        b.use(0, 10);
-        b.refill(1_000_000);
-        double before = b.credited;
-        b.refill(0);
-        b.refill(1_000_000);
-        assertEquals(before, b.credited);
+    void clockGoingBackwardsAddsNoCredit() {
+        TokenBucket bucket = bucket();
+        bucket.use(0, 10);
+        bucket.refill(1_000_000);
+        double before = bucket.credited;
+        bucket.refill(0);
+        bucket.refill(1_000_000);
+        assertEquals(before, bucket.credited);
     }
 }
