--- a/src/test/java/granitefold/policy/AdmissionProbeTest.java
+++ b/src/test/java/granitefold/policy/AdmissionProbeTest.java
@@ -52,7 +52,8 @@
     void waitingProbesMakeFurtherProbesRarer() {
         int requests = 200;
         sendRequests(requests, 100);
-        assertTrue(bed.sendTargets.size() <= 2 + requests / 20, bed.sendTargets.size() + " of " + requests + " were admitted although none had started");
+        assertTrue(bed.sendTargets.size() <= 2 + requests / 20,
+                bed.sendTargets.size() + " of " + requests + " were admitted although none had started");
     }
 
     /** Recent feedback from own jobs makes a probe unnecessary. */
--- a/src/test/java/granitefold/policy/AdmissionTest.java
+++ b/src/test/java/granitefold/policy/AdmissionTest.java
@@ -148,7 +148,8 @@
         bed.request(TestBed.SAFE, 0, 1_000, 9_000);
         // one of the about 5 slots that 10 jobs of 1 s per second need is taken
         bed.policy.requested(bed.now, new Dispatcher.Request(99, TestBed.SAFE, 0, 60_000_000, 2_000_000, 1_000, 0, 0));
-        assertTrue(bed.policy.state.candidates.get(0).expectedWaitUs > 600_000 && bed.policy.state.candidates.get(0).queueWaitUs == 0, "one slot is free, not all");
+        assertTrue(bed.policy.state.candidates.get(0).expectedWaitUs > 600_000
+                && bed.policy.state.candidates.get(0).queueWaitUs == 0, "one slot is free, not all");
         assertTrue(bed.actions.contains("send 99 10"), "it would start after 1 s and finish in time");
     }
 
--- a/src/test/java/granitefold/policy/DispatchPolicyTest.java
+++ b/src/test/java/granitefold/policy/DispatchPolicyTest.java
@@ -17,23 +17,23 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path and its exceptions. */
+/** Worker selection, retries, messages between siblings and restarts, through the events of the policy. */
 class DispatchPolicyTest {
 
     @Test
     void picksTheWorkerWithTheLeastQueuedWork() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         bed.request(TestBed.SAFE, 0, 1_000, 9_000);
-        long heavy = bed.lastWorker();
+        long busy = bed.lastWorker();
         bed.request(TestBed.SAFE, 0, 10, 9_000);
-        assertNotEquals(heavy, bed.lastWorker());
+        assertNotEquals(busy, bed.lastWorker());
         bed.request(TestBed.SAFE, 0, 10, 9_000);
-        assertNotEquals(heavy, bed.lastWorker());
+        assertNotEquals(busy, bed.lastWorker());
     }
 
-    /** Fetches took whole days down: a busy store made every job late, and none of them came back. */
+    /** Jobs sent to workers without their key's data overloaded the store with fetches, and every job was late for valid. */
     @Test
-    void aJobGoesWhereItsKeyIsKeptUnlessThatWorkerIsFarBusier() {
+    void aJobIsSentWhereItsKeyIsKeptUnlessThatWorkerIsFarBusier() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         long[] homes = new long[4];
         for (int i = 0; i < 40; i++) {
@@ -44,25 +44,24 @@
         }
         while (bed.lastWorker() == homes[0]) {
             bed.request(TestBed.SAFE, 1, 400, 9_000, 1);
-            assertTrue(bed.actions.size() < 60, "all piled up on one worker");
+            assertTrue(bed.actions.size() < 60, "all jobs were sent to one worker");
         }
     }
 
-    /** What can no longer be of use is told so at once; it was held until its client's deadline. */
+    /** A job that is no longer useful is refused at once. It was held until its client's deadline. */
     @Test
-    void aJobThatNoWorkerTakesIsHeldOnlyWhileItIsOfUse() {
+    void aJobThatNoWorkerTakesIsHeldOnlyWhileItIsUseful() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         long id = bed.request(TestBed.SAFE, 0, 100, 9_000);
         bed.updateList(ListUpdate.WHOLE);
         bed.endAttempt(id, 0, Outcome.FULL);
         assertEquals(0, bed.countActions("refuse"), "a worker may come back in time");
         bed.advance(1_000);
-        assertEquals(1, bed.countActions("refuse"), "its aim and some room are past, its deadline is not");
+        assertEquals(1, bed.countActions("refuse"), "its allowance with tolerance has passed, its deadline has not");
     }
 
-    /** Nobody waits for it any more. */
     @Test
-    void aTryIsCancelledWhenItsClientLeaves() {
+    void anAttemptIsCancelledWhenItsClientLeaves() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         long id = bed.request(TestBed.SAFE, 0, 100, 9_000);
         bed.policy.expired(bed.now, id);
@@ -70,22 +69,22 @@
     }
 
     @Test
-    void refusingOrErringWorkersArePassedOverUnlessAllAre() {
-        for (Outcome why : List.of(Outcome.FULL, Outcome.UNREACHABLE, Outcome.ERROR)) {
+    void refusingOrFailingWorkersAreAvoidedUnlessAllAre() {
+        for (Outcome outcome : List.of(Outcome.FULL, Outcome.UNREACHABLE, Outcome.ERROR)) {
             TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
             long id = bed.request(TestBed.SAFE, 0, 10, 9_000);
-            long full = bed.lastWorker();
-            bed.endAttempt(id, 0, why);
-            assertNotEquals(full, bed.lastWorker());
+            long refusing = bed.lastWorker();
+            bed.endAttempt(id, 0, outcome);
+            assertNotEquals(refusing, bed.lastWorker());
             bed.request(TestBed.SAFE, 0, 10, 9_000);
-            assertNotEquals(full, bed.lastWorker(), "although it holds nothing");
-            bed.endAttempt(id, 1, why);
-            assertEquals(4, bed.sendTargets.size(), "both were full: the least is taken all the same");
+            assertNotEquals(refusing, bed.lastWorker(), "although it has no jobs");
+            bed.endAttempt(id, 1, outcome);
+            assertEquals(4, bed.sendTargets.size(), "both refused: the better one is used all the same");
         }
     }
 
     @Test
-    void oldJobsServedDoNotEndTheirWorkersBeingPassedOver() {
+    void servedOldJobsDoNotEndTheAvoidanceOfTheirWorker() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         long old = bed.request(TestBed.SAFE, 0, 10, 9_000);
         bed.advance(1);
@@ -98,7 +97,7 @@
     }
 
     @Test
-    void silentWorkersJobsAreCopiedAndTheLoserCancelled() {
+    void jobsOfASilentWorkerAreCopiedAndTheSlowerAttemptIsCancelled() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0),
                 TestBed.worker(12, 0, 0), TestBed.worker(13, 0, 0));
         long id = bed.request(TestBed.SAFE, 0, 100, 9_000);
@@ -115,14 +114,14 @@
     }
 
     @Test
-    void watchIsAskedAtStartAndRenewedAfterFailureWithGrowingPauses() {
+    void theListIsWatchedAtStartAndAfterFailuresWithGrowingPauses() {
         TestBed bed = new TestBed(1, true);
         assertEquals(1, bed.countActions("watch"));
         long last = 0;
         for (int i = 0; i < 12; i++) {
             bed.updateList(ListUpdate.FAILED);
             long pause = bed.timers.get(bed.timers.size() - 1)[0] - bed.now;
-            assertTrue(pause <= 5_000_000, "within half of the time to ask");
+            assertTrue(pause <= 5_000_000, "within half of the permitted time without a watch");
             last = pause;
             bed.advance(6_000);
             assertEquals(2 + i, bed.countActions("watch"));
@@ -130,73 +129,73 @@
         assertTrue(last >= 3_000_000);
         bed.updateList(ListUpdate.CHANGES);
         bed.updateList(ListUpdate.FAILED);
-        assertTrue(bed.timers.get(bed.timers.size() - 1)[0] - bed.now < 500_000, "short again after news");
+        assertTrue(bed.timers.get(bed.timers.size() - 1)[0] - bed.now < 500_000, "short again after an update");
     }
 
     @Test
-    void useIsToldAtOnceCountsOnceAndIsNotToldAgain() {
-        TestBed a = new TestBed(2, false).withThreeWorkers();
-        long id = a.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(1, a.messages.size(), "with the word on the job, before any timer");
-        a.endAttempt(id, 0, Outcome.SERVED);
-        assertEquals(1, a.messages.size(), "that the job is done can wait for a round");
-        a.advance(1_000);
-        assertEquals(2, a.messages.size());
-        a.advance(5_000);
-        assertEquals(2, a.messages.size());
+    void bucketUseIsReportedAtOnceCountedOnceAndNotReportedAgain() {
+        TestBed sender = new TestBed(2, false).withThreeWorkers();
+        long id = sender.request(TestBed.SAFE, 0, 100, 9_000);
+        assertEquals(1, sender.messages.size(), "with the load report on the job, before any timer");
+        sender.endAttempt(id, 0, Outcome.SERVED);
+        assertEquals(1, sender.messages.size(), "that the job has ended can wait for a round");
+        sender.advance(1_000);
+        assertEquals(2, sender.messages.size());
+        sender.advance(5_000);
+        assertEquals(2, sender.messages.size());
         TestBed bed = new TestBed(2, false).withThreeWorkers();
         for (int i = 0; i < 20; i++) {
-            bed.policy.messageReceived(bed.now, 1, a.messages.get(0));
+            bed.policy.messageReceived(bed.now, 1, sender.messages.get(0));
         }
         bed.endAttempt(bed.request(TestBed.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
         bed.endAttempt(bed.request(TestBed.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
         bed.advance(1_000);
         long relayed = 0;
-        for (byte[] m : bed.messages) {
-            long[] e = SiblingMessage.read(m, 2, 2);
-            for (int i = 0; i < e.length; i += 4) {
-                relayed += e[i] == 0 ? 1 : 0;
-                assertTrue(e[i] != 0 || e[i + 1] == 0 && e[i + 2] == 1, "heard twenty times, counted once");
+        for (byte[] message : bed.messages) {
+            long[] entries = SiblingMessage.read(message, 2, 2);
+            for (int i = 0; i < entries.length; i += 4) {
+                relayed += entries[i] == 0 ? 1 : 0;
+                assertTrue(entries[i] != 0 || entries[i + 1] == 0 && entries[i + 2] == 1, "received twenty times, counted once");
             }
         }
         assertEquals(1, relayed, "relayed once");
     }
 
-    /** Of 14 dispatchers only 8 heard of a job: half of the sends went to workers that the sender knew nothing of. */
+    /** Only 8 of 14 dispatchers were sent a load report, and half of the sends went to workers whose load was unknown. */
     @Test
-    void allOfALargeFleetHearOfASendAtOnceAndOfRoomWithTheNext() {
+    void allSiblingsOfALargeFleetReceiveASendAtOnceAndAnEndWithTheNextSend() {
         TestBed bed = TestBed.inFleet(0, 14);
         bed.updateList(ListUpdate.WHOLE, IntStream.range(0, 60).mapToObj(i -> TestBed.worker(10 + i, 0, 0))
                 .toArray(Dispatcher.Worker[]::new));
         long id = bed.request(TestBed.SAFE, 0, 100, 9_000);
         assertEquals(13, bed.recipients.stream().distinct().count());
         bed.endAttempt(id, 0, Outcome.SERVED);
-        assertEquals(13, bed.messages.size(), "the room waits");
+        assertEquals(13, bed.messages.size(), "the end waits for the next send");
         bed.request(TestBed.SAFE, 1, 100, 9_000);
         assertEquals(26, bed.messages.size());
-        long[] news = SiblingMessage.read(bed.messages.get(25), 2, 14);
-        assertEquals(12, news.length, "a bucket, the room, the send");
-        assertEquals(0, news[7], "no slot is held there any more");
-        assertEquals(1, news[11]);
+        long[] entries = SiblingMessage.read(bed.messages.get(25), 2, 14);
+        assertEquals(12, entries.length, "a bucket, the end, the send");
+        assertEquals(0, entries[7], "no slot is held there any more");
+        assertEquals(1, entries[11]);
     }
 
     @Test
-    void whatSiblingsHaveQueuedIsCounted() {
-        TestBed a = new TestBed(2, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
-        a.request(TestBed.SAFE, 0, 1_000, 9_000);
-        long busy = a.lastWorker();
-        a.advance(150);
+    void loadReportedBySiblingsIsCounted() {
+        TestBed sender = new TestBed(2, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
+        sender.request(TestBed.SAFE, 0, 1_000, 9_000);
+        long busy = sender.lastWorker();
+        sender.advance(150);
         for (long seed = 0; seed < 20; seed++) {
             TestBed bed = new TestBed(2, false, true, seed).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
                     TestBed.worker(11, 0, 0));
-            bed.policy.messageReceived(bed.now, 1, a.messages.get(0));
+            bed.policy.messageReceived(bed.now, 1, sender.messages.get(0));
             bed.request(TestBed.SAFE, 0, 10, 9_000);
             assertNotEquals(busy, bed.lastWorker());
         }
     }
 
     @Test
-    void ownZoneIsTakenAmongEquals() {
+    void theOwnZoneIsPreferredAmongEqualWorkers() {
         for (long seed = 0; seed < 20; seed++) {
             TestBed bed = new TestBed(1, false, true, seed).updateList(ListUpdate.WHOLE, TestBed.worker(12, 1, 2),
                     TestBed.worker(10, 0, 0));
@@ -206,54 +205,54 @@
     }
 
     @Test
-    void restartedDispatcherCountsOnTopOfItsFormerLife() {
-        TestBed former = new TestBed(2, false).withThreeWorkers();
+    void aRestartedDispatcherCountsOnTopOfItsPreviousProcess() {
+        TestBed previous = new TestBed(2, false).withThreeWorkers();
         for (int i = 0; i < 9; i++) {
-            former.endAttempt(former.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
+            previous.endAttempt(previous.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
         }
-        former.advance(300);
-        TestBed now = new TestBed(2, false).withThreeWorkers();
+        previous.advance(300);
+        TestBed current = new TestBed(2, false).withThreeWorkers();
         for (int i = 0; i < 4; i++) {
-            now.endAttempt(now.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
+            current.endAttempt(current.request(TestBed.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
         }
         for (int i = 0; i < 2; i++) {
-            // siblings hold the last count only; the ninth word carries it
-            now.policy.messageReceived(now.now, 1, former.messages.get(8));
+            // siblings hold the last count only; the ninth message carries it
+            current.policy.messageReceived(current.now, 1, previous.messages.get(8));
         }
-        now.request(TestBed.SAFE, 0, 1, 9_000);
-        long[] e = SiblingMessage.read(now.messages.get(now.messages.size() - 1), 2, 2);
-        assertEquals(0, e[1]);
-        assertEquals(14, e[2]);
+        current.request(TestBed.SAFE, 0, 1, 9_000);
+        long[] entries = SiblingMessage.read(current.messages.get(current.messages.size() - 1), 2, 2);
+        assertEquals(0, entries[1]);
+        assertEquals(14, entries[2]);
     }
 
     @Test
-    void hostileMessagesAreDroppedWhole() {
-        TestBed a = new TestBed(2, false).withThreeWorkers();
-        a.request(TestBed.SAFE, 0, 100, 9_000);
-        a.advance(200);
-        byte[] good = a.messages.get(0);
-        assertTrue(SiblingMessage.read(good, 2, 2).length > 0);
+    void invalidMessagesAreDroppedAsAWhole() {
+        TestBed sender = new TestBed(2, false).withThreeWorkers();
+        sender.request(TestBed.SAFE, 0, 100, 9_000);
+        sender.advance(200);
+        byte[] valid = sender.messages.get(0);
+        assertTrue(SiblingMessage.read(valid, 2, 2).length > 0);
         assertNull(SiblingMessage.read(null, 2, 2));
         assertNull(SiblingMessage.read(new byte[300], 2, 2));
-        for (int n = 0; n < good.length; n++) {
-            assertNull(SiblingMessage.read(Arrays.copyOf(good, n), 2, 2), "cut to " + n);
+        for (int n = 0; n < valid.length; n++) {
+            assertNull(SiblingMessage.read(Arrays.copyOf(valid, n), 2, 2), "truncated to " + n);
         }
-        assertNull(SiblingMessage.read(good, 0, 2), "a tenant we do not have");
-        assertNull(SiblingMessage.read(good, 2, 0), "an owner we do not have");
-        Random r = new Random(3);
+        assertNull(SiblingMessage.read(valid, 0, 2), "an unknown tenant");
+        assertNull(SiblingMessage.read(valid, 2, 0), "an unknown owner");
+        Random random = new Random(3);
         TestBed bed = new TestBed(2, false).withThreeWorkers();
         for (int i = 0; i < 2_000; i++) {
-            byte[] m = new byte[r.nextInt(300)];
-            r.nextBytes(m);
-            bed.policy.messageReceived(bed.now, r.nextInt(5) - 1, m);
+            byte[] message = new byte[random.nextInt(300)];
+            random.nextBytes(message);
+            bed.policy.messageReceived(bed.now, random.nextInt(5) - 1, message);
         }
-        bed.policy.messageReceived(bed.now, 9, good);
+        bed.policy.messageReceived(bed.now, 9, valid);
         bed.advance(1_000);
-        assertEquals(0, bed.messages.size(), "nothing changed, nothing to tell");
+        assertEquals(0, bed.messages.size(), "nothing changed, nothing to send");
     }
 
     @Test
-    void absurdHintsReportsAndStaleIdsDoNoHarm() {
+    void absurdHintsAndReportsAndUnknownIdsAreHarmless() {
         TestBed bed = new TestBed(1, false).withThreeWorkers();
         for (double work : new double[] {0, -5, Double.NaN, Double.POSITIVE_INFINITY, 1e300}) {
             bed.policy.requested(bed.now, new Request(1000 + bed.actions.size(), TestBed.SAFE, 0, 9_000_000, work,
@@ -273,7 +272,10 @@
         assertTrue(bed.actions.size() > before);
     }
 
-    /** Counted at once, a start came on top of the job whose end made room for it, and waits seemed half as long. */
+    /**
+     * A start note can overtake the answer of the job whose end made room for it. Counted at once, it added a slot, and
+     * estimated waits were half as long.
+     */
     @Test
     void aStartThatOvertakesAnEndAddsNoSlot() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
@@ -288,25 +290,25 @@
     }
 
     @Test
-    void sameEventsSameActions() {
-        assertEquals(script(5), script(5));
-        assertFalse(new HashSet<>(script(5)).isEmpty());
+    void theSameEventsLeadToTheSameActions() {
+        assertEquals(actionsOfARandomRun(5), actionsOfARandomRun(5));
+        assertFalse(new HashSet<>(actionsOfARandomRun(5)).isEmpty());
     }
 
-    private static List<String> script(long seed) {
+    private static List<String> actionsOfARandomRun(long seed) {
         TestBed bed = new TestBed(3, true, true, seed).withThreeWorkers();
-        Random r = new Random(9);
+        Random random = new Random(9);
         for (int i = 0; i < 300; i++) {
-            long id = bed.request(r.nextInt(5), r.nextInt(2), 1 + r.nextInt(500), 9_000);
-            bed.advance(r.nextInt(60));
-            bed.endAttempt(id, 0, Outcome.values()[r.nextInt(Outcome.values().length)]);
+            long id = bed.request(random.nextInt(5), random.nextInt(2), 1 + random.nextInt(500), 9_000);
+            bed.advance(random.nextInt(60));
+            bed.endAttempt(id, 0, Outcome.values()[random.nextInt(Outcome.values().length)]);
         }
         return bed.actions;
     }
 
-    /** A restart forgot the tenant's use and all speeds, under full load. */
+    /** A restart under full load lost the tenants' use and all learned speeds. */
     @Test
-    void aFormerLifeIsTakenInAndCountsOnlyOnce() {
+    void theStateOfAPreviousProcessIsRestoredAndCountedOnce() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
         for (int i = 0; i < 30; i++) {
             long id = bed.request(TestBed.SAFE, 0, 40, 9_000, 1 + i % 3);
@@ -322,14 +324,14 @@
         next.request(TestBed.SAFE, 0, 40, 9_000);
         next.policy.restore(next.now, old);
         granitefold.recovery.LearnedState now = next.policy.learned(next.now);
-        assertEquals(used + 1, now.buckets().get(0).used().get(0), "this life's use comes on top");
+        assertEquals(used + 1, now.buckets().get(0).used().get(0), "the use of this process comes on top");
         double credit = now.buckets().get(0).credited() - used - 1;
-        assertTrue(credit <= 15, "no more than a bucket is granted: " + credit);
-        for (granitefold.recovery.LearnedState.Worker p : old.workers()) {
-            granitefold.recovery.LearnedState.Worker q = now.workers().stream().filter(x -> x.id() == p.id()).findFirst().orElseThrow();
-            assertEquals(p.weight(), q.weight(), 1e-9);
-            assertEquals(p.kept(), q.kept());
-            assertTrue(q.slots() >= p.slots());
+        assertTrue(credit <= 15, "no more credit than the capacity: " + credit);
+        for (granitefold.recovery.LearnedState.Worker before : old.workers()) {
+            granitefold.recovery.LearnedState.Worker after = now.workers().stream().filter(w -> w.id() == before.id()).findFirst().orElseThrow();
+            assertEquals(before.weight(), after.weight(), 1e-9);
+            assertEquals(before.kept(), after.kept());
+            assertTrue(after.slots() >= before.slots());
         }
         next.policy.restore(next.now, new granitefold.recovery.LearnedState(0, 0, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
         assertEquals(used + 1, next.policy.learned(next.now).buckets().get(0).used().get(0));
--- a/src/test/java/granitefold/policy/ManyDispatchersTest.java
+++ b/src/test/java/granitefold/policy/ManyDispatchersTest.java
@@ -15,34 +15,34 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What changes where dispatchers are many: subsets, owners of cold workers, messages. */
+/** Behaviour of large fleets of dispatchers: subsets, owners of workers in slow start, messages. */
 class ManyDispatchersTest {
     private static final int WORKERS = 60;
 
-    private static List<TestBed> fleet(int dispatchers, int workers, boolean cold) {
+    private static List<TestBed> fleet(int dispatchers, int workers, boolean slowStart) {
         List<TestBed> all = new ArrayList<>();
-        for (int me = 0; me < dispatchers; me++) {
-            TestBed bed = TestBed.inFleet(me, dispatchers);
-            all.add(bed.updateList(ListUpdate.WHOLE, workers(bed, workers, cold)));
+        for (int index = 0; index < dispatchers; index++) {
+            TestBed bed = TestBed.inFleet(index, dispatchers);
+            all.add(bed.updateList(ListUpdate.WHOLE, workers(bed, workers, slowStart)));
         }
         return all;
     }
 
-    private static Worker[] workers(TestBed bed, int count, boolean cold) {
+    private static Worker[] workers(TestBed bed, int count, boolean slowStart) {
         Worker[] listed = new Worker[count];
         for (int i = 0; i < count; i++) {
-            listed[i] = new Worker(1000 + 7 * i, 1, State.READY, cold ? bed.now - 1 : 0, 0, 0, 0);
+            listed[i] = new Worker(1000 + 7 * i, 1, State.READY, slowStart ? bed.now - 1 : 0, 0, 0, 0);
         }
         return listed;
     }
 
-    /** Workers that one of so many dispatchers prefers. */
-    private static int subset(int dispatchers) {
+    /** Returns the size of the subset that one of this many dispatchers prefers. */
+    private static int subsetSize(int dispatchers) {
         return (int) Math.max(Subset.MIN_SUBSET_SIZE, Math.ceil(Subset.DISPATCHERS_PER_WORKER * WORKERS / dispatchers));
     }
 
-    /** Workers that a dispatcher uses while nothing is wrong. */
-    private static Set<Long> used(TestBed bed, int jobs) {
+    /** Returns the workers that a dispatcher uses for a number of jobs that are all served. */
+    private static Set<Long> usedWorkers(TestBed bed, int jobs) {
         for (int i = 0; i < jobs; i++) {
             bed.endAttempt(bed.request(TestBed.SAFE, i % 2, 20, 9_000), 0, Outcome.SERVED);
         }
@@ -50,39 +50,42 @@
     }
 
     @Test
-    void manyDispatchersUseFewWorkersEachAndEveryWorkerIsUsedByAsMany() {
+    void manyDispatchersUseFewWorkersEachAndEveryWorkerHasEquallyManyUsers() {
         int[] users = new int[WORKERS];
         for (TestBed bed : fleet(140, WORKERS, false)) {
-            Set<Long> used = used(bed, 200);
-            assertTrue(used.size() <= subset(140), "used " + used.size());
+            Set<Long> used = usedWorkers(bed, 200);
+            assertTrue(used.size() <= subsetSize(140), "used " + used.size());
             used.forEach(id -> users[(int) (id - 1000) / 7]++);
         }
-        for (int n : users) {
-            assertTrue(n >= 14 && n <= 17, "140 x 7 / 60 = 16.3 less repeats, but " + n);
+        for (int count : users) {
+            assertTrue(count >= 14 && count <= 17, "140 x 7 / 60 = 16.3 without repeats, but " + count);
         }
     }
 
     @Test
     void fewDispatchersUseTheWholeFleet() {
         for (TestBed bed : fleet(3, 12, false)) {
-            assertEquals(12, used(bed, 400).size());
+            assertEquals(12, usedWorkers(bed, 400).size());
         }
     }
 
     @Test
-    void aRequestJudgesAsManyWorkersWhateverTheNumberOfDispatchers() {
+    void candidatesPerRequestAreBoundedBySubsetSize() {
         for (int dispatchers : new int[] {100, 140, 300}) {
             TestBed bed = fleet(dispatchers, WORKERS, false).get(0);
             for (int i = 0; i < 50; i++) {
                 bed.request(TestBed.SAFE, i % 2, 1, 9_000);
-                assertTrue(bed.policy.state.candidates.size() <= subset(dispatchers), "judged " + bed.policy.state.candidates.size());
+                assertTrue(bed.policy.state.candidates.size() <= subsetSize(dispatchers), "candidates " + bed.policy.state.candidates.size());
             }
         }
     }
 
-    /** With 100 dispatchers none sees a worker's slots at once: after some jobs each fell back to one, and rejected all else. */
+    /**
+     * Of 100 dispatchers, none sees all of a worker's slots in use. After some jobs each assumed one slot per worker and
+     * refused all further jobs.
+     */
     @Test
-    void slotsThatQuotasNeedStandForAsLongAsJobsAreFewEach() {
+    void slotsInferredFromQuotasRemainWhileEachDispatcherHasFewJobs() {
         TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 200; i++) {
             long id = bed.request(TestBed.SAFE, i % 2, 30_000, 300_000);
@@ -93,24 +96,30 @@
         for (int i = 0; i < 40; i++) {
             bed.request(TestBed.SAFE, i % 2, 30_000, 300_000);
         }
-        assertEquals(240, bed.sendTargets.size(), "10 jobs of 30 s a second need 5 slots on each of 60, of which 3.9 still count: 4");
+        assertEquals(240, bed.sendTargets.size(), "10 jobs of 30 s per second need 5 slots on each of 60 workers, of which 3.9 are still assumed: 4");
     }
 
-    /** Nobody tells us of workers outside the subset: those stood for empty, and one job in five went into their queues. */
+    /**
+     * Nobody reports the load of workers outside the subset. They counted as idle, and one job in five was sent to their
+     * queues.
+     */
     @Test
-    void aBusySubsetIsNotLeftForWorkersThatNobodyTellsOf() {
+    void aBusySubsetIsNotLeftForWorkersWithoutLoadReports() {
         TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 20; i++) {
-            // one of them makes a worker wait past the strain's bound, and a second one is not hopeless yet
+            // one such job makes the wait on a worker exceed the overload bound; a second one can still be on time
             bed.request(TestBed.UNSAFE, i % 2, 550, 9_000);
         }
-        assertTrue(bed.sendTargets.size() > subset(100), "all of it is busy");
-        assertEquals(subset(100), new HashSet<>(bed.sendTargets).size());
+        assertTrue(bed.sendTargets.size() > subsetSize(100), "the whole subset is busy");
+        assertEquals(subsetSize(100), new HashSet<>(bed.sendTargets).size());
     }
 
-    /** While siblings are cut off, all took the workers for empty, and queues grew to 4 s; own jobs' waits show them. */
+    /**
+     * While siblings were cut off from each other, all took the workers for idle, and queues grew to 4 s. The waits of own
+     * jobs reveal that load.
+     */
     @Test
-    void whatSiblingsDoNotTellShowsInHowLateOwnJobsStart() {
+    void lateStartsRevealUnreportedLoad() {
         TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 3; i++) {
             bed.request(TestBed.SAFE, i % 2, 100, 9_000);
@@ -118,16 +127,16 @@
         bed.advance(3_000);
         long refused = bed.countActions("refuse");
         bed.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(refused + 1, bed.countActions("refuse"), "those out wait for 3 s, another would wait as long");
+        assertEquals(refused + 1, bed.countActions("refuse"), "the open attempts have waited for 3 s, another would wait as long");
         for (int i = 0; i < 3; i++) {
             bed.policy.started(bed.now, 1 + i, 0);
             bed.endAttempt(1 + i, 0, Outcome.SERVED);
         }
         bed.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(refused + 2, bed.countActions("refuse"), "nor is it forgotten at once");
+        assertEquals(refused + 2, bed.countActions("refuse"), "the late starts still count");
         bed.advance(5_000);
         bed.request(TestBed.SAFE, 0, 100, 9_000);
-        assertEquals(refused + 2, bed.countActions("refuse"), "somebody has to try");
+        assertEquals(refused + 2, bed.countActions("refuse"), "the late starts have faded: the dispatcher tries again");
     }
 
     private static long refusedAfterLateStarts(double lateWorth) {
@@ -146,18 +155,18 @@
     }
 
     /**
-     * Where siblings may never speak waits are the rule, with idle workers beside: half of all jobs were refused for them, each of
-     * which would have been worth half its worth or all of it.
+     * Where siblings may not exchange messages, long waits are normal although other workers are idle. Half of all jobs were
+     * refused for them, each of which would have had half of its value or all of it.
      */
     @Test
-    void lateStartsRefuseNobodyWhereSiblingsMayNotSpeakAndLateCounts() {
+    void lateStartsCauseNoRefusalsWithoutSiblingMessagesIfLateResultsCount() {
         assertEquals(0, refusedAfterLateStarts(0.5));
-        assertEquals(1, refusedAfterLateStarts(0), "what is late is worth nothing: it is kept out");
+        assertEquals(1, refusedAfterLateStarts(0), "late results have no value: the job is refused");
     }
 
-    /** A dispatcher of many sees few fetches; it held to a first guess of 0.3 s for ten seconds. */
+    /** One of many dispatchers sees few fetches. It kept the initial estimate of 0.3 s for ten seconds. */
     @Test
-    void fetchTimesAreLearnedFromFewJobsWhereOthersShareTheWorkers() {
+    void fetchTimesAreLearnedFromFewJobsIfWorkersAreShared() {
         TestBed bed = fleet(100, WORKERS, false).get(0);
         for (int i = 0; i < 20; i++) {
             long id = bed.request(TestBed.SAFE, i % 2, 100, 9_000, 1 + i);
@@ -165,22 +174,22 @@
             bed.advance(100);
             bed.endAttempt(id, 0, Outcome.SERVED);
         }
-        assertTrue(bed.policy.learned(bed.now).fetchUs() < 100_000, "no job of 20 had to fetch");
+        assertTrue(bed.policy.learned(bed.now).fetchUs() < 100_000, "none of 20 jobs had to fetch");
     }
 
     @Test
-    void subsetThatRefusesIsLeft() {
+    void aRefusingSubsetIsLeft() {
         TestBed bed = fleet(140, WORKERS, false).get(0);
         for (int i = 0; i < 12; i++) {
             long id = bed.request(TestBed.SAFE, i % 2, 20, 9_000);
             bed.endAttempt(id, 0, Outcome.FULL);
             bed.endAttempt(id, 1, Outcome.SERVED);
         }
-        assertTrue(new HashSet<>(bed.sendTargets).size() > subset(140));
+        assertTrue(new HashSet<>(bed.sendTargets).size() > subsetSize(140));
     }
 
     @Test
-    void coldFleetGetsWorkFromItsOwnersAndNeverMoreThanTheRuleAllows() {
+    void aFleetInSlowStartGetsWorkFromItsOwnersWithinTheBudget() {
         for (int dispatchers : new int[] {1, 3, 20, 140}) {
             int workers = 2;
             double[] sent = new double[workers];
@@ -190,19 +199,19 @@
                 }
                 bed.sendTargets.forEach(id -> sent[(int) (id - 1000) / 7] += 0.05);
             }
-            // 10 jobs a second of 50 ms over two workers: 0.25 a second each, a quarter of it cold, fourfold
-            double most = 4 * 0.25 * 10 * 0.05 / workers + 1e-9;
+            // 10 jobs per second of 50 ms over two workers: 0.25 cores each, a quarter of it at the start, fourfold
+            double maxWorkS = 4 * 0.25 * 10 * 0.05 / workers + 1e-9;
             int served = 0;
             for (double s : sent) {
-                assertTrue(s <= most, dispatchers + " dispatchers sent " + s);
+                assertTrue(s <= maxWorkS, dispatchers + " dispatchers sent " + s);
                 served += s > 0 ? 1 : 0;
             }
-            assertEquals(workers, served, "none is left without work");
+            assertEquals(workers, served, "no worker is left without work");
         }
     }
 
     @Test
-    void ownersOfAColdWorkerAreFewAndGrowWithItsWarmth() {
+    void ownersOfAWorkerInSlowStartAreFewAndGrowWithItsCapacity() {
         int[] owners = new int[2];
         List<TestBed> all = fleet(140, 1, true);
         for (int round = 0; round < 2; round++) {
@@ -219,53 +228,53 @@
     }
 
     @Test
-    void countsReachTheRestAndBytesStayWithinWhatRequestsEarn() {
-        int many = 150;
-        List<TestBed> all = fleet(many, WORKERS, false);
-        Random chance = new Random(5);
+    void bucketUseReachesTheOtherDispatchersDespiteLostMessages() {
+        int dispatchers = 150;
+        List<TestBed> all = fleet(dispatchers, WORKERS, false);
+        Random random = new Random(5);
         int jobs = 20;
         for (int second = 0; second < jobs; second++) {
-            for (int me = 0; me < many; me++) {
-                TestBed bed = all.get(me);
+            for (int index = 0; index < dispatchers; index++) {
+                TestBed bed = all.get(index);
                 bed.endAttempt(bed.request(TestBed.SAFE, 0, 20, 9_000), 0, Outcome.SERVED);
                 bed.advance(1_000);
                 for (int i = 0; i < bed.messages.size(); i++) {
                     TestBed to = all.get(bed.recipients.get(i));
-                    if (chance.nextInt(10) > 0) {
-                        to.policy.messageReceived(to.now, me, bed.messages.get(i));
+                    if (random.nextInt(10) > 0) {
+                        to.policy.messageReceived(to.now, index, bed.messages.get(i));
                     }
                 }
-                assertTrue(bed.messages.size() > 0, "never silent");
+                assertTrue(bed.messages.size() > 0, "no messages were sent");
                 bed.messages.clear();
                 bed.recipients.clear();
             }
         }
-        double least = 1;
-        double sum = 0;
+        double leastShare = 1;
+        double meanShare = 0;
         for (TestBed bed : all) {
-            double part = (double) bed.policy.state.buckets.get(0).totalUsed / (many * jobs);
-            least = Math.min(least, part);
-            sum += part / many;
+            double share = (double) bed.policy.state.buckets.get(0).totalUsed / (dispatchers * jobs);
+            leastShare = Math.min(leastShare, share);
+            meanShare += share / dispatchers;
         }
-        assertTrue(sum > STATED_MEAN && least > STATED_LEAST, "known of all use: mean " + sum + ", least " + least);
+        assertTrue(meanShare > MIN_MEAN_SHARE && leastShare > MIN_LEAST_SHARE, "known of all use: mean " + meanShare + ", least " + leastShare);
     }
 
-    /** With a tenth of the messages lost, a dispatcher knows at least so much of the fleet's use of a tenant. */
-    private static final double STATED_MEAN = 0.45, STATED_LEAST = 0.3;
+    /** Share of the fleet's use of a tenant that dispatchers know with a tenth of the messages lost: mean and minimum. */
+    private static final double MIN_MEAN_SHARE = 0.45, MIN_LEAST_SHARE = 0.3;
 
     /**
-     * One connection gone silent made all workers of all classes hopeless: its lateness grew without bound, counted as work
-     * that siblings did not tell of, and who then sent nothing had no start to learn from.
+     * One silent connection made all requests of all classes fail the deadline check. Its delay grew without bound and
+     * counted as unreported load, and a dispatcher that then sent nothing had no start to correct it.
      */
     @Test
-    void aSilentTryIsNoQueue() {
+    void aSilentAttemptIsNoQueue() {
         TestBed bed = TestBed.inFleet(0, 2).withThreeWorkers();
         long silent = bed.request(TestBed.SAFE, 0, 100, 9_000);
         long worker = bed.lastWorker();
         for (int i = 0; i < 40; i++) {
             long id = bed.request(TestBed.SAFE, 1, 100, 9_000);
             long other = bed.request(TestBed.SAFE, 0, 100, 9_000);
-            assertEquals(0, bed.countActions("refuse"), "nothing but the silence of request " + silent + " is known");
+            assertEquals(0, bed.countActions("refuse"), "only request " + silent + " is silent");
             bed.policy.started(bed.now, id, 0);
             bed.policy.started(bed.now, other, 0);
             bed.advance(100);
@@ -277,12 +286,12 @@
             bed.request(TestBed.SAFE, 1, 100, 9_000);
         }
         assertEquals(0, bed.countActions("refuse"));
-        assertTrue(bed.sendTargets.lastIndexOf(worker) > 0, "its worker is tried again");
+        assertTrue(bed.sendTargets.lastIndexOf(worker) > 0, "its worker is used again");
     }
 
-    /** A later send to the same worker that has started shows at once that the first is not waiting. */
+    /** If a later attempt on the same worker has started, the earlier one is not waiting in a queue. */
     @Test
-    void whatWasOvertakenTellsOfNoQueue() {
+    void anOvertakenAttemptIndicatesNoQueue() {
         TestBed bed = TestBed.inFleet(0, 2).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         bed.request(TestBed.SAFE, 0, 100, 9_000);
         bed.advance(100);
@@ -295,9 +304,9 @@
         assertEquals(0, bed.countActions("refuse"));
     }
 
-    /** Without such a sign lateness tells of work that nobody told us of. */
+    /** Without such a start, the delay indicates load that nobody reported. */
     @Test
-    void whatWaitsUnheardTellsOfAQueue() {
+    void aWaitingAttemptIndicatesAQueue() {
         TestBed bed = TestBed.inFleet(0, 2).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         bed.request(TestBed.SAFE, 0, 100, 9_000);
         bed.advance(650);
--- a/src/test/java/granitefold/policy/SendConstraintsTest.java
+++ b/src/test/java/granitefold/policy/SendConstraintsTest.java
@@ -11,54 +11,54 @@
 import granitefold.Dispatcher.Worker;
 import org.junit.jupiter.api.Test;
 
-/** The four rules, each at its gate. */
+/** The rules that every send and every final answer must respect. */
 class SendConstraintsTest {
 
     @Test
-    void everyOutcomeAgainstEveryEffect() {
+    void repeatsPerOutcomeAndEffect() {
         for (Outcome outcome : Outcome.values()) {
-            for (int type = TestBed.SAFE; type <= TestBed.UNSAFE; type++) {
+            for (int jobClass = TestBed.SAFE; jobClass <= TestBed.UNSAFE; jobClass++) {
                 if (outcome == Outcome.SERVED) {
                     continue;
                 }
                 TestBed bed = new TestBed(1, false).withThreeWorkers();
-                long id = bed.request(type, 0, 100, 9_000);
+                long id = bed.request(jobClass, 0, 100, 9_000);
                 long first = bed.lastWorker();
                 bed.endAttempt(id, 0, outcome);
-                String what = outcome + " of class " + type;
-                if (type == TestBed.UNSAFE && !outcome.neverRan()) {
-                    assertEquals(1, bed.sendTargets.size(), what);
-                    assertEquals(1, bed.countActions("fail"), what);
-                    assertEquals(0, bed.countActions("refuse"), what);
+                String context = outcome + " of class " + jobClass;
+                if (jobClass == TestBed.UNSAFE && !outcome.neverRan()) {
+                    assertEquals(1, bed.sendTargets.size(), context);
+                    assertEquals(1, bed.countActions("fail"), context);
+                    assertEquals(0, bed.countActions("refuse"), context);
                     continue;
                 }
-                assertEquals(2, bed.sendTargets.size(), what);
-                if (!outcome.neverRan() && type == TestBed.KEYED_CELL) {
-                    assertEquals(first, bed.lastWorker(), what);
+                assertEquals(2, bed.sendTargets.size(), context);
+                if (!outcome.neverRan() && jobClass == TestBed.KEYED_CELL) {
+                    assertEquals(first, bed.lastWorker(), context);
                 }
-                if (!outcome.neverRan() && type == TestBed.KEYED_ZONE) {
-                    assertEquals(first == 12, bed.lastWorker() == 12, what);
+                if (!outcome.neverRan() && jobClass == TestBed.KEYED_ZONE) {
+                    assertEquals(first == 12, bed.lastWorker() == 12, context);
                 }
             }
         }
     }
 
     @Test
-    void keyedIsNotResentPastItsWindowAndThenFailsUnlessAnyoneMayRepeat() {
-        for (int type : new int[] {TestBed.KEYED_ALL, TestBed.KEYED_ZONE}) {
+    void keyedJobIsNotResentAfterItsWindowAndFailsUnlessAnyWorkerDeduplicatesIt() {
+        for (int jobClass : new int[] {TestBed.KEYED_ALL, TestBed.KEYED_ZONE}) {
             TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
-            long id = bed.request(type, 0, 100, 9_000);
+            long id = bed.request(jobClass, 0, 100, 9_000);
             bed.now += (TestBed.DEDUP_WINDOW_MS + 1) * 1000;
             bed.endAttempt(id, 0, Outcome.ERROR);
             bed.advance(9_000);
             assertEquals(1, bed.sendTargets.size());
-            assertEquals(type == TestBed.KEYED_ALL ? 1 : 0, bed.countActions("refuse"));
-            assertEquals(type == TestBed.KEYED_ALL ? 0 : 1, bed.countActions("fail"));
+            assertEquals(jobClass == TestBed.KEYED_ALL ? 1 : 0, bed.countActions("refuse"));
+            assertEquals(jobClass == TestBed.KEYED_ALL ? 0 : 1, bed.countActions("fail"));
         }
     }
 
     @Test
-    void attemptsNeverPassTheirCap() {
+    void attemptsNeverExceedTheirLimit() {
         TestBed bed = new TestBed(1, false).withThreeWorkers();
         long id = bed.request(TestBed.SAFE, 0, 100, 9_000);
         for (int i = 0; i < 4; i++) {
@@ -77,13 +77,13 @@
             bed.advance(1);
         }
         assertEquals(1, bed.countActions("refuse"));
-        assertTrue(bed.now <= before + 300_000, "in time");
+        assertTrue(bed.now <= before + 300_000, "before its deadline");
         bed.advance(1_000);
         assertEquals(1, bed.actions.stream().filter(l -> l.startsWith("refuse") || l.startsWith("fail")).count());
     }
 
     @Test
-    void requestWithNoTimeLeftIsAnsweredAtOnce() {
+    void requestWithoutTimeLeftIsAnsweredAtOnce() {
         TestBed bed = new TestBed(1, false).withThreeWorkers();
         bed.request(TestBed.SAFE, 0, 100, 1);
         assertEquals(1, bed.countActions("refuse"));
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void timeOutAtTheDeadlineFailsWhatMayHaveRun() {
+    void timeoutAtTheDeadlineFailsAJobThatMayHaveRun() {
         TestBed bed = new TestBed(1, false).withThreeWorkers();
         long id = bed.request(TestBed.UNSAFE, 0, 100, 500);
         bed.now += 500_000;
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void nothingGoesToADrainingOrGoneOrUnlistedWorker() {
+    void nothingIsSentToADrainingGoneOrUnlistedWorker() {
         TestBed bed = new TestBed(1, false).withThreeWorkers();
         bed.updateList(ListUpdate.CHANGES, new Worker(10, 1, State.DRAINING, 0, 0, 0, 0),
                 new Worker(11, 1, State.GONE, 0, 0, 1, 0));
@@ -122,11 +122,11 @@
     }
 
     @Test
-    void coldBudgetHoldsOverAnySpanForOneAndForManyDispatchers() {
+    void slowStartBudgetHoldsForOneAndForManyDispatchers() {
         double[] sent = new double[2];
         for (int many = 0; many < 2; many++) {
             TestBed bed = new TestBed(many == 0 ? 1 : 4, false);
-            // warm capacity as judged: 10 jobs a second x 50 ms = half a core
+            // estimated full capacity: 10 jobs per second x 50 ms = half a core
             bed.updateList(ListUpdate.WHOLE, new Worker(10, 1, State.READY, bed.now - 1, 0, 0, 0));
             for (int i = 0; i < 100; i++) {
                 bed.request(TestBed.SAFE, 0, 50, 9_000);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void rejectedSendsSpendTheColdBudgetUntilTheSpanIsOver() {
+    void rejectedSendsCountAgainstTheSlowStartBudgetUntilTheWindowHasPassed() {
         TestBed bed = new TestBed(1, false);
         bed.updateList(ListUpdate.WHOLE, new Worker(10, 1, State.READY, bed.now - 1, 0, 0, 0));
         for (int i = 0; i < 20; i++) {
@@ -152,11 +152,11 @@
         assertTrue(sent > 0 && sent * 50_000.0 <= 0.5e6, "sent " + sent);
         bed.advance(1_100);
         bed.request(TestBed.SAFE, 0, 50, 9_000);
-        assertEquals(sent + 1, bed.sendTargets.size(), "the span has passed");
+        assertEquals(sent + 1, bed.sendTargets.size(), "the window has passed");
     }
 
     @Test
-    void oneHeavyJobDoesNotGoToAColdWorker() {
+    void aHeavyJobIsNotSentToAWorkerInSlowStart() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         bed.request(TestBed.SAFE, 0, 50, 9_000);
         bed.updateList(ListUpdate.CHANGES, new Worker(20, 1, State.READY, bed.now - 1, 0, 0, 0));
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void workerThatCouldNotBeReachedIsTakenAsColdFromThen() {
+    void anUnreachableWorkerIsInSlowStartFromThen() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         long id = bed.request(TestBed.SAFE, 0, 50, 200);
         bed.endAttempt(id, 0, Outcome.UNREACHABLE);
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void fullConnectionTableIsNotTakenForARestart() {
+    void aFullConnectionTableIsNotTakenForARestart() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
         long running = bed.request(TestBed.SAFE, 0, 50, 9_000);
         long turnedAway = bed.request(TestBed.SAFE, 0, 50, 200);
@@ -190,11 +190,11 @@
         for (int i = 0; i < 13; i++) {
             bed.request(TestBed.SAFE, i % 2, 40, 9_000);
         }
-        assertEquals(13, bed.sendTargets.size() - before, "it went on with what it had, so it is warm");
+        assertEquals(13, bed.sendTargets.size() - before, "it finished its running job, so it did not restart");
     }
 
     @Test
-    void withoutSecondCopiesNoTwoAttemptsAreOut() {
+    void withoutSecondCopiesThereIsOneOpenAttempt() {
         for (boolean copies : new boolean[] {false, true}) {
             TestBed bed = new TestBed(1, false, copies, 7).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
                     TestBed.worker(11, 0, 0), TestBed.worker(12, 0, 0), TestBed.worker(13, 0, 0));
@@ -204,16 +204,16 @@
         }
     }
 
-    /** Two processes of one dispatcher, each with its whole part of a cold worker's budget, would push it over together. */
+    /** Two processes of one dispatcher that each used its whole part of a slow-start budget would overload the worker together. */
     @Test
-    void aRelievedProcessSendsNothingToAColdWorker() {
+    void aSupersededProcessSendsNothingToAWorkerInSlowStart() {
         TestBed bed = new TestBed(1, false);
         bed.updateList(ListUpdate.WHOLE, new Dispatcher.Worker(10, 1, Dispatcher.State.READY, bed.now - 1_000_000, 0, 0, 0),
                 TestBed.worker(11, 0, 0));
         for (int i = 0; i < 9 && !bed.sendTargets.contains(10L); i++) {
             bed.request(TestBed.SAFE, 0, 20, 9_000);
         }
-        assertTrue(bed.sendTargets.contains(10L), "else this test shows nothing");
+        assertTrue(bed.sendTargets.contains(10L), "precondition: the worker in slow start is used");
         bed.policy.superseded();
         bed.sendTargets.clear();
         for (int i = 0; i < 6; i++) {
