--- a/src/main/java/granitefold/policy/AdmissionProbe.java
+++ b/src/main/java/granitefold/policy/AdmissionProbe.java
@@ -8,8 +8,8 @@
  */
 final class AdmissionProbe {
     /**
-     * Minimum of consecutive refusals before a probe; up to twice as many, so that dispatchers probe out of
-     * step.
+     * Minimum number of consecutive refusals before a probe. The actual number varies up to twice that, so
+     * that dispatchers do not probe in step.
      */
     private static final int MIN_REFUSALS = 5;
     /**
--- a/src/main/java/granitefold/policy/Attempt.java
+++ b/src/main/java/granitefold/policy/Attempt.java
@@ -16,9 +16,9 @@
     final long expectedStartAt;
     /** Wait by the load known on the worker at the send. */
     final double knownWaitUs;
-    /** Last sign of life, the send included, and the time from which the next one is overdue. */
-    long lastSignAt;
-    long signDueAt;
+    /** Last signal, the send included, and the time from which the next one is overdue. */
+    long lastSignalAt;
+    long signalDueAt;
     long startedAt;
     double progress;
     /** Whether an attempt sent later, of a job no smaller, has started before this one. */
--- a/src/main/java/granitefold/policy/DispatchPolicy.java
+++ b/src/main/java/granitefold/policy/DispatchPolicy.java
@@ -76,8 +76,8 @@
         Attempt attempt = findAttempt(requestId, attemptNumber);
         if (attempt != null && attempt.startedAt == 0) {
             attempt.startedAt = Math.max(1, now);
-            attempt.worker.lastSignAt = now;
-            OutlierDetection.expectSign(attempt, waits.timeToNextSignUs(attempt, now), now);
+            attempt.worker.lastSignalAt = now;
+            OutlierDetection.expectSignal(attempt, waits.timeToNextSignalUs(attempt, now), now);
             waits.recordStart(attempt, now);
         }
     }
@@ -90,8 +90,8 @@
                 attempt.startedAt = Math.max(attempt.sentAt, now - state.settings.progressUs());
             }
             attempt.progress = share;
-            attempt.worker.lastSignAt = now;
-            OutlierDetection.expectSign(attempt, state.settings.progressUs(), now);
+            attempt.worker.lastSignalAt = now;
+            OutlierDetection.expectSignal(attempt, state.settings.progressUs(), now);
         }
     }
 
@@ -107,7 +107,7 @@
         job.openAttempts--;
         attempt.worker.openAttempts.remove(attempt);
         if (outcome != Outcome.TIMED_OUT && outcome != Outcome.CANCELLED && outcome != Outcome.MOOT) {
-            attempt.worker.lastSignAt = now;
+            attempt.worker.lastSignalAt = now;
         }
         waits.learn(job, attempt, outcome, report, now);
         OutlierDetection.recordOutcome(attempt.worker, attempt, now);
@@ -218,8 +218,8 @@
     private void send(Job job, TrackedWorker worker, long now) {
         long windowUs = constraints.repeatWindowUs(job, now);
         Attempt attempt = new Attempt(job, worker, now, worker.expectedWaitUs, waits.fetchUs(worker, job));
-        OutlierDetection.expectSign(attempt, worker.expectedWaitUs
-                + (state.settings.tellsStart() ? 0 : waits.timeToNextSignUs(attempt, now)), now);
+        OutlierDetection.expectSignal(attempt, worker.expectedWaitUs
+                + (state.settings.tellsStart() ? 0 : waits.timeToNextSignalUs(attempt, now)), now);
         job.attempts.add(attempt);
         probe.recordSend(now);
         job.openAttempts++;
--- a/src/main/java/granitefold/policy/OutlierDetection.java
+++ b/src/main/java/granitefold/policy/OutlierDetection.java
@@ -4,14 +4,11 @@
 import granitefold.Dispatcher.State;
 import java.util.List;
 
-/** Detects workers to avoid: those that refuse or fail at once, and those that give no sign of life. */
+/** Detects workers to avoid: those that refuse or fail at once, and those that send no signal. */
 final class OutlierDetection {
     /** How long a refusing worker is avoided; doubled for each refusal in a row, up to this many times. */
     static final long AVOID_US = 300_000, MAX_AVOID_DOUBLINGS = 3;
-    /**
-     * A worker is silent when a job's sign is this late, beyond a multiple of the time it was expected to
-     * take.
-     */
+    /** A worker is silent if a signal is missing this long after this multiple of its expected time. */
     static final double SILENCE_US = 700_000, SILENCE_FACTOR = 2;
     /** If a larger share of the workers is silent, load is the cause and no worker counts as silent. */
     static final double MAX_SILENT_SHARE = 0.5;
@@ -45,12 +42,10 @@
         }
     }
 
-    /**
-     * Sets the time from which an attempt's next sign of life, expected after {@code afterUs}, is overdue.
-     */
-    static void expectSign(Attempt attempt, double afterUs, long now) {
-        attempt.lastSignAt = now;
-        attempt.signDueAt = now + (long) (SILENCE_US + SILENCE_FACTOR * afterUs);
+    /** Sets the time from which an attempt's next signal, expected after {@code afterUs}, is overdue. */
+    static void expectSignal(Attempt attempt, double afterUs, long now) {
+        attempt.lastSignalAt = now;
+        attempt.signalDueAt = now + (long) (SILENCE_US + SILENCE_FACTOR * afterUs);
     }
 
     /**
@@ -62,8 +57,8 @@
         int ready = 0, silent = 0;
         for (TrackedWorker worker : state.workers.values()) {
             worker.silent = !worker.openAttempts.isEmpty()
-                    && worker.openAttempts.stream().anyMatch(attempt -> now > attempt.signDueAt
-                    && worker.lastSignAt <= attempt.lastSignAt);
+                    && worker.openAttempts.stream().anyMatch(attempt -> now > attempt.signalDueAt
+                    && worker.lastSignalAt <= attempt.lastSignalAt);
             ready += worker.state == State.READY ? 1 : 0;
             silent += worker.state == State.READY && worker.silent ? 1 : 0;
         }
--- a/src/main/java/granitefold/policy/PolicyState.java
+++ b/src/main/java/granitefold/policy/PolicyState.java
@@ -42,6 +42,7 @@
      */
     double meanWorkUs = Admission.DEFAULT_WORK_US;
     long hintsSeen;
+    /** Largest total size of the listed workers so far. */
     double maxTotalSize;
     /** Workers of our subset and those in slow start. */
     List<TrackedWorker> preferred = List.of();
--- a/src/main/java/granitefold/policy/TrackedWorker.java
+++ b/src/main/java/granitefold/policy/TrackedWorker.java
@@ -37,7 +37,7 @@
     long refusedAt;
     long avoidedUntil;
     /** Time of its last answer or progress note, and whether one is overdue. */
-    long lastSignAt;
+    long lastSignalAt;
     boolean silent;
     /** Last failed connection. It may have restarted since, which the worker list reports late or never. */
     long connectFailedAt;
--- a/src/main/java/granitefold/policy/WaitEstimator.java
+++ b/src/main/java/granitefold/policy/WaitEstimator.java
@@ -126,7 +126,7 @@
     static double startDelayUs(Attempt attempt, long now) {
         double due = attempt.sentAt + attempt.knownWaitUs;
         return attempt.startedAt != 0 ? attempt.startedAt - due
-                : Math.max(0, now - due) * decay(attempt.signDueAt, now);
+                : Math.max(0, now - due) * decay(attempt.signalDueAt, now);
     }
 
     /**
@@ -189,8 +189,8 @@
         }
     }
 
-    /** Returns the time from an attempt's start to its next sign of life: a progress note, or its end. */
-    double timeToNextSignUs(Attempt attempt, long now) {
+    /** Returns the time from an attempt's start to its next signal: a progress note, or its end. */
+    double timeToNextSignalUs(Attempt attempt, long now) {
         double runUs = runUs(attempt.worker, attempt.job, now);
         return state.settings.progressUs() > 0 ? Math.min(runUs, state.settings.progressUs()) : runUs;
     }
@@ -205,7 +205,7 @@
                 delayUs = startsWeight * waitErrorUs(now), weight = startsWeight;
         for (TrackedWorker worker : state.preferred) {
             for (Attempt attempt : worker.openAttempts) {
-                if (indicatesLoad(attempt) && (attempt.startedAt != 0 || now <= attempt.signDueAt
+                if (indicatesLoad(attempt) && (attempt.startedAt != 0 || now <= attempt.signalDueAt
                         || attempt.sentAt > state.latestStartedSentAt)) {
                     delayUs += startDelayUs(attempt, now);
                     weight++;
@@ -220,7 +220,7 @@
         state.latestStartedSentAt = Math.max(state.latestStartedSentAt, attempt.sentAt);
         // small jobs may overtake a large one for a while
         attempt.worker.openAttempts.stream().filter(other -> other.sentAt + MAX_REORDER_US < attempt.sentAt
-                && (other.job.slots <= attempt.job.slots || now > other.signDueAt))
+                && (other.job.slots <= attempt.job.slots || now > other.signalDueAt))
                 .forEach(other -> other.overtaken = true);
         state.waitErrorUs = waitErrorUs(now)
                 + WAIT_ERROR_WEIGHT * (startDelayUs(attempt, now) - waitErrorUs(now));
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -101,8 +101,7 @@
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
-            new Patch("policy/SlowStartBudget.java", "return isOwner(worker, now) && job.workUs + sentWorkUs(worker, now)\n"
-                    + "                <= budgetJobs(worker, now) * state.meanWorkUs / ownerCount(worker, now);",
+            new Patch("policy/SlowStartBudget.java", "return isOwner(worker, now) && job.workUs + sentWorkUs(worker, now)\n                <= budgetJobs(worker, now) * state.meanWorkUs / ownerCount(worker, now);",
                     "return job.workUs + sentWorkUs(worker, now) <= budgetJobs(worker, now) * state.meanWorkUs;")},
     };
 
