--- a/src/main/java/granitefold/availability/AvailabilitySettings.java
+++ b/src/main/java/granitefold/availability/AvailabilitySettings.java
@@ -1,30 +1,30 @@
 package granitefold.availability;
 
 /**
- * The figures of the machine; all are an operator's to set.
+ * Settings of the availability state machine; the operator can set all of them.
  *
- * @param intervalUs time between two evaluations that count
- * @param rise evaluations in a row for a better standing
- * @param fall evaluations in a row for a worse one
- * @param dwellUs shortest stay in a measured standing
- * @param stepUp most percent of weight gained in an evaluation
- * @param stepDown most percent of weight lost in an evaluation
- * @param floor least weight under overload, above 0: a fleet overloaded together must not empty itself
- * @param staleWeight most weight with a list that nothing has confirmed
- * @param staleAttempts attempts that must have reached workers to confirm a list without discovery
- * @param slowFrom weight at which service starts
- * @param slowUs time from there to full weight
- * @param silenceUs silence of discovery that degrades
- * @param rejects share of rejects that is overload
- * @param full share of ready workers that lately refused that is overload
- * @param waits wait, in multiples of the tightest class's allowance, that is overload
- * @param lagUs lag of the loop that is overload
- * @param room share of places, descriptors or heap in use that is overload
- * @param relief share of an overload at which it ends, and from which on the dispatcher is degraded
+ * @param intervalUs shortest time between two evaluations that count
+ * @param rise evaluations in a row that are required for a better status
+ * @param fall evaluations in a row that are required for a worse status
+ * @param dwellUs shortest time that a measured status lasts
+ * @param stepUp largest increase of the weight per evaluation, in percentage points
+ * @param stepDown largest decrease of the weight per evaluation, in percentage points
+ * @param minWeight lowest weight under overload; above 0, so that a fleet that is overloaded as a whole still takes traffic
+ * @param staleWeight highest weight while nothing has confirmed the worker list
+ * @param staleAttempts attempts that must have reached a worker to confirm the worker list without discovery
+ * @param slowStartWeight weight at which service starts
+ * @param slowStartUs time from there to full weight
+ * @param discoverySilenceUs silence of discovery after which the status is DEGRADED
+ * @param rejectShare share of rejected requests that counts as overload
+ * @param refusingWorkerShare share of ready workers with a recent refusal that counts as overload
+ * @param waitMultiple wait that counts as overload, as a multiple of the tightest allowance of a job class
+ * @param lagUs lag of the event loop that counts as overload
+ * @param resourceShare share of client connections, descriptors or heap in use that counts as overload
+ * @param reliefFactor part of an overload limit below which overload ends, and from which on the status is DEGRADED
  */
 public record AvailabilitySettings(long intervalUs, int rise, int fall, long dwellUs, int stepUp, int stepDown, int minWeight,
-        int staleWeight, int staleAttempts, int slowStartWeight, long slowStartUs, long discoverySilenceUs, double rejectShare, double refusingWorkerShare, double waitMultiple,
-        long lagUs, double resourceShare, double reliefFactor) {
+        int staleWeight, int staleAttempts, int slowStartWeight, long slowStartUs, long discoverySilenceUs, double rejectShare,
+        double refusingWorkerShare, double waitMultiple, long lagUs, double resourceShare, double reliefFactor) {
     public static final AvailabilitySettings DEFAULTS = new AvailabilitySettings(100_000, 5, 3, 1_000_000, 5, 20, 25, 30,
             50, 20, 5_000_000, 10_000_000, 0.5, 0.5, 2, 100_000, 0.95, 0.8);
 }
--- a/src/main/java/granitefold/availability/AvailabilityStateMachine.java
+++ b/src/main/java/granitefold/availability/AvailabilityStateMachine.java
@@ -1,28 +1,29 @@
 package granitefold.availability;
 
 /**
- * The machine: (state, signals, now) to the next state. A standing that follows from the phase or from an operator's
- * word holds at once. One that is measured needs several evaluations in a row and a least stay, and the weight moves
- * in bounded steps, since a balancer's answer to a change comes back as a change of load. Rise and fall are HAProxy's
- * terms (configuration manual, 5.2, "rise", "fall"), slow start too ("slowstart").
+ * Computes the next availability state from the current state, the signals and the time. A status that follows from the
+ * process phase or from an operator's request applies immediately. A measured status changes only after several
+ * evaluations in a row and a minimum dwell time, and the weight moves in bounded steps, because a balancer's reaction to
+ * a change comes back as a change of load. "Rise", "fall" and "slow start" have the meaning that HAProxy gives them
+ * (configuration manual, 5.2, "rise", "fall", "slowstart").
  */
 public final class AvailabilityStateMachine {
-    private static final int FULL = 100;
-    /** Of all attempts that came to an end, so many must have reached a worker for the list to be believed. */
-    private static final double BELIEVED = 0.9;
+    private static final int FULL_WEIGHT = 100;
+    /** Share of finished attempts that must have reached a worker for the worker list to be trusted. */
+    private static final double MIN_REACHED_SHARE = 0.9;
 
-    private final AvailabilitySettings set;
-    private final int connections;
+    private final AvailabilitySettings settings;
+    private final int maxConnections;
 
     /**
-     * What is remembered between evaluations.
+     * The state kept between evaluations.
      *
-     * @param since when this standing began
-     * @param at the last evaluation that counted
-     * @param serving when service last began: the slow start's zero
-     * @param candidate another standing that the last evaluations asked for, and {@code count} of them
-     * @param believed the list was confirmed once; it stays so for this life
-     * @param impaired something other than load is amiss
+     * @param statusSince when the current status began
+     * @param evaluatedAt time of the last evaluation that counted
+     * @param servingSince when service last began; the slow start is measured from here
+     * @param candidate a different status that the last {@code candidateCount} evaluations asked for, or null
+     * @param listTrusted whether the worker list was ever confirmed in this process; never reset
+     * @param impaired whether there is a problem other than load
      */
     public record State(AvailabilityStatus status, int weight, String reason, long statusSince, long evaluatedAt, long servingSince,
             AvailabilityStatus candidate, int candidateCount, boolean listTrusted, boolean impaired) {
@@ -31,130 +32,138 @@
         }
     }
 
-    /** What the measurements say, before counts, dwell and steps. */
-    private record Judgement(AvailabilityStatus standing, int ceiling, boolean impaired, String reason) { }
+    /** The result of the measurements alone, before evaluation counts, dwell time and weight steps are applied. */
+    private record Assessment(AvailabilityStatus status, int maxWeight, boolean impaired, String reason) { }
 
-    /** {@code connections}: places for client connections at full weight. */
-    public AvailabilityStateMachine(AvailabilitySettings set, int connections) {
-        this.set = set;
-        this.connections = connections;
+    /** Creates a state machine; {@code maxConnections} is the limit of client connections at full weight. */
+    public AvailabilityStateMachine(AvailabilitySettings settings, int maxConnections) {
+        this.settings = settings;
+        this.maxConnections = maxConnections;
     }
 
-    public AvailabilityReport report(State s) {
-        int share = s.status().acceptsTraffic() ? Math.max(s.weight(), 1) : 0;
-        return new AvailabilityReport(s.status(), s.weight(), Math.max(share > 0 ? 1 : 0, connections * share / FULL),
-                s.impaired(), s.reason());
+    /** Returns what balancers are told about a state. */
+    public AvailabilityReport report(State state) {
+        int share = state.status().acceptsTraffic() ? Math.max(state.weight(), 1) : 0;
+        return new AvailabilityReport(state.status(), state.weight(), Math.max(share > 0 ? 1 : 0, maxConnections * share / FULL_WEIGHT),
+                state.impaired(), state.reason());
     }
 
-    /** The state after an evaluation. A time before the last one counts as that one. */
-    public State next(State s, AvailabilitySignals in, long time) {
-        long now = Math.max(time, s.evaluatedAt());
-        boolean believed = s.listTrusted() || in.listConfirmed() || proven(in);
-        Judgement told = told(in);
-        if (told != null) {
-            boolean same = told.standing() == s.status();
-            return new State(told.standing(), 0, told.reason(), same ? s.statusSince() : now, now, now, null, 0, believed, true);
-        }
-        if (s.status().isSetDirectly()) {
-            Judgement j = judge(s, in, believed);
-            return new State(j.standing(), Math.min(set.slowStartWeight(), j.ceiling()), j.reason(), now, now, now, null, 0, believed,
-                    j.impaired());
-        }
-        if (now - s.evaluatedAt() < set.intervalUs()) {
-            return s;
-        }
-        return measured(s, judge(s, in, believed), believed, now);
+    /** Returns the state after an evaluation at {@code time}; a time before the last evaluation counts as that one's. */
+    public State next(State state, AvailabilitySignals signals, long time) {
+        long now = Math.max(time, state.evaluatedAt());
+        boolean listTrusted = state.listTrusted() || signals.listConfirmed() || confirmedByAttempts(signals);
+        Assessment direct = directAssessment(signals);
+        if (direct != null) {
+            boolean same = direct.status() == state.status();
+            return new State(direct.status(), 0, direct.reason(), same ? state.statusSince() : now, now, now, null, 0, listTrusted, true);
+        }
+        if (state.status().isSetDirectly()) {
+            Assessment assessment = assess(state, signals, listTrusted);
+            return new State(assessment.status(), Math.min(settings.slowStartWeight(), assessment.maxWeight()), assessment.reason(), now,
+                    now, now, null, 0, listTrusted, assessment.impaired());
+        }
+        if (now - state.evaluatedAt() < settings.intervalUs()) {
+            return state;
+        }
+        return nextMeasured(state, assess(state, signals, listTrusted), listTrusted, now);
     }
 
-    private State measured(State s, Judgement j, boolean believed, long now) {
-        AvailabilityStatus standing = s.status();
-        AvailabilityStatus candidate = j.standing() == standing ? null : j.standing();
-        int count = candidate == null ? 0 : candidate == s.candidate() ? s.candidateCount() + 1 : 1;
-        long since = s.statusSince();
-        int wanted = candidate != null && candidate.compareTo(standing) > 0 && candidate != AvailabilityStatus.READY
-                ? set.fall() : set.rise();
-        if (candidate != null && count >= wanted && now - since >= set.dwellUs()) {
-            standing = candidate;
+    private State nextMeasured(State state, Assessment assessment, boolean listTrusted, long now) {
+        AvailabilityStatus status = state.status();
+        AvailabilityStatus candidate = assessment.status() == status ? null : assessment.status();
+        int count = candidate == null ? 0 : candidate == state.candidate() ? state.candidateCount() + 1 : 1;
+        long since = state.statusSince();
+        int requiredCount = candidate != null && candidate.compareTo(status) > 0 && candidate != AvailabilityStatus.READY
+                ? settings.fall() : settings.rise();
+        if (candidate != null && count >= requiredCount && now - since >= settings.dwellUs()) {
+            status = candidate;
             since = now;
             candidate = null;
             count = 0;
         }
-        long slow = now - s.servingSince();
-        int ceiling = slow >= set.slowStartUs() ? j.ceiling()
-                : (int) Math.min(j.ceiling(), set.slowStartWeight() + (FULL - set.slowStartWeight()) * slow / set.slowStartUs());
-        int weight = s.weight() + Math.max(-set.stepDown(), Math.min(set.stepUp(), ceiling - s.weight()));
-        if (!believed) {
-            // steps smooth what is measured; that the list is not known to be right is no measurement
-            weight = Math.min(weight, ceiling);
-        }
-        Judgement holds = standing == j.standing() ? j : new Judgement(standing, 0, s.impaired(), s.reason());
-        return new State(standing, Math.max(1, weight), holds.reason(), since, now, s.servingSince(), candidate, count, believed,
-                holds.impaired());
+        long servingUs = now - state.servingSince();
+        int maxWeight = servingUs >= settings.slowStartUs() ? assessment.maxWeight()
+                : (int) Math.min(assessment.maxWeight(), settings.slowStartWeight()
+                        + (FULL_WEIGHT - settings.slowStartWeight()) * servingUs / settings.slowStartUs());
+        int weight = state.weight() + Math.max(-settings.stepDown(), Math.min(settings.stepUp(), maxWeight - state.weight()));
+        if (!listTrusted) {
+            // Steps smooth measured values. An unconfirmed worker list is not a measured value, so its limit applies at once.
+            weight = Math.min(weight, maxWeight);
+        }
+        Assessment effective = status == assessment.status() ? assessment : new Assessment(status, 0, state.impaired(), state.reason());
+        return new State(status, Math.max(1, weight), effective.reason(), since, now, state.servingSince(), candidate, count, listTrusted,
+                effective.impaired());
     }
 
-    /** What needs no measuring, or null. The end of the process goes before an operator's word. */
-    private static Judgement told(AvailabilitySignals in) {
-        if (in.processPhase() == ProcessPhase.SHUT_DOWN) {
-            return new Judgement(AvailabilityStatus.STOPPED, 0, true, "the process ends");
+    /** Returns the status that needs no measurement, or null. The end of the process takes precedence over an operator's request. */
+    private static Assessment directAssessment(AvailabilitySignals signals) {
+        if (signals.processPhase() == ProcessPhase.SHUT_DOWN) {
+            return new Assessment(AvailabilityStatus.STOPPED, 0, true, "the process ends");
         }
-        if (in.processPhase() == ProcessPhase.SHUTTING_DOWN) {
-            return new Judgement(AvailabilityStatus.DRAINING, 0, true, "the process is to end");
+        if (signals.processPhase() == ProcessPhase.SHUTTING_DOWN) {
+            return new Assessment(AvailabilityStatus.DRAINING, 0, true, "the process is to end");
         }
-        if (in.requestedMode() == RequestedMode.MAINT) {
-            return new Judgement(AvailabilityStatus.MAINT, 0, true, "an operator's word");
+        if (signals.requestedMode() == RequestedMode.MAINT) {
+            return new Assessment(AvailabilityStatus.MAINT, 0, true, "an operator's word");
         }
-        if (in.requestedMode() == RequestedMode.DRAIN) {
-            return new Judgement(AvailabilityStatus.DRAINING, 0, true, "an operator's word");
+        if (signals.requestedMode() == RequestedMode.DRAIN) {
+            return new Assessment(AvailabilityStatus.DRAINING, 0, true, "an operator's word");
         }
-        return in.processPhase() == ProcessPhase.STARTING ? new Judgement(AvailabilityStatus.STARTING, 0, true, "no word from discovery yet") : null;
+        return signals.processPhase() == ProcessPhase.STARTING
+                ? new Assessment(AvailabilityStatus.STARTING, 0, true, "no word from discovery yet") : null;
     }
 
-    /** Enough attempts have come to workers, and few have missed one: the list is right, whatever its age. */
-    private boolean proven(AvailabilitySignals in) {
-        return in.attemptsReached() >= set.staleAttempts() && in.attemptsReached() >= BELIEVED * (in.attemptsReached() + in.attemptsUnreachable());
+    /** Enough attempts have reached a worker and few have failed to: the worker list is correct, whatever its age. */
+    private boolean confirmedByAttempts(AvailabilitySignals signals) {
+        return signals.attemptsReached() >= settings.staleAttempts()
+                && signals.attemptsReached() >= MIN_REACHED_SHARE * (signals.attemptsReached() + signals.attemptsUnreachable());
     }
 
-    private Judgement judge(State s, AvailabilitySignals in, boolean believed) {
-        Judgement load = load(s, in);
-        if (!believed) {
-            int attempts = in.attemptsReached() + in.attemptsUnreachable();
-            double share = attempts == 0 ? 1 : (double) in.attemptsReached() / attempts;
-            int weight = Math.max(1, (int) (set.staleWeight() * share));
-            return new Judgement(AvailabilityStatus.STALE, Math.min(weight, load.ceiling()), true, in.attemptsUnreachable() > in.attemptsReached()
-                    ? "the saved list is wrong: " + in.attemptsUnreachable() + " of " + attempts + " attempts found no worker"
+    private Assessment assess(State state, AvailabilitySignals signals, boolean listTrusted) {
+        Assessment load = assessLoad(state, signals);
+        if (!listTrusted) {
+            int attempts = signals.attemptsReached() + signals.attemptsUnreachable();
+            double share = attempts == 0 ? 1 : (double) signals.attemptsReached() / attempts;
+            int weight = Math.max(1, (int) (settings.staleWeight() * share));
+            return new Assessment(AvailabilityStatus.STALE, Math.min(weight, load.maxWeight()), true,
+                    signals.attemptsUnreachable() > signals.attemptsReached()
+                    ? "the saved list is wrong: " + signals.attemptsUnreachable() + " of " + attempts + " attempts found no worker"
                     : "the saved list is not confirmed");
         }
-        if (load.standing() == AvailabilityStatus.OVERLOADED) {
+        if (load.status() == AvailabilityStatus.OVERLOADED) {
             return load;
         }
-        if (in.readyWorkers() == 0) {
-            return new Judgement(AvailabilityStatus.DEGRADED, set.minWeight(), true, "no worker is ready");
+        if (signals.readyWorkers() == 0) {
+            return new Assessment(AvailabilityStatus.DEGRADED, settings.minWeight(), true, "no worker is ready");
         }
-        if (in.discoverySilenceUs() >= set.discoverySilenceUs()) {
-            // all dispatchers may have lost discovery: what is known still serves
-            return new Judgement(AvailabilityStatus.DEGRADED, load.ceiling(), true, "discovery is silent");
+        if (signals.discoverySilenceUs() >= settings.discoverySilenceUs()) {
+            // The weight stays: all dispatchers may have lost discovery, and the last known list is still usable.
+            return new Assessment(AvailabilityStatus.DEGRADED, load.maxWeight(), true, "discovery is silent");
         }
         return load;
     }
 
-    /** The one measure that is nearest to its limit decides, as a multiple of that limit. */
-    private Judgement load(State s, AvailabilitySignals in) {
-        double most = 0;
-        String what = "";
-        double[] load = {in.rejectShare() / set.rejectShare(), in.refusingWorkerShare() / set.refusingWorkerShare(), in.waitMultiple() / set.waitMultiple(), (double) in.lagUs() / set.lagUs(),
-            in.clientConnectionShare() / set.resourceShare(), in.descriptorShare() / set.resourceShare(), in.heapShare() / set.resourceShare()};
-        String[] names = {"requests are rejected", "workers refuse", "workers are behind", "the loop lags", "places for clients run short",
+    /** Assesses the load by the one measurement that is the highest in proportion to its limit. */
+    private Assessment assessLoad(State state, AvailabilitySignals signals) {
+        double highest = 0;
+        String reason = "";
+        double[] ratios = {signals.rejectShare() / settings.rejectShare(), signals.refusingWorkerShare() / settings.refusingWorkerShare(),
+            signals.waitMultiple() / settings.waitMultiple(), (double) signals.lagUs() / settings.lagUs(),
+            signals.clientConnectionShare() / settings.resourceShare(), signals.descriptorShare() / settings.resourceShare(),
+            signals.heapShare() / settings.resourceShare()};
+        String[] reasons = {"requests are rejected", "workers refuse", "workers are behind", "the loop lags", "places for clients run short",
             "descriptors run short", "memory runs short"};
-        for (int i = 0; i < load.length; i++) {
-            if (load[i] > most) {
-                most = load[i];
-                what = names[i];
+        for (int i = 0; i < ratios.length; i++) {
+            if (ratios[i] > highest) {
+                highest = ratios[i];
+                reason = reasons[i];
             }
         }
-        if (most >= (s.status() == AvailabilityStatus.OVERLOADED ? set.reliefFactor() : 1)) {
-            return new Judgement(AvailabilityStatus.OVERLOADED, (int) Math.max(set.minWeight(), Math.min(FULL, FULL / most)), false, what);
+        if (highest >= (state.status() == AvailabilityStatus.OVERLOADED ? settings.reliefFactor() : 1)) {
+            return new Assessment(AvailabilityStatus.OVERLOADED,
+                    (int) Math.max(settings.minWeight(), Math.min(FULL_WEIGHT, FULL_WEIGHT / highest)), false, reason);
         }
-        return most >= set.reliefFactor() ? new Judgement(AvailabilityStatus.DEGRADED, FULL, false, what)
-                : new Judgement(AvailabilityStatus.READY, FULL, false, "all is well");
+        return highest >= settings.reliefFactor() ? new Assessment(AvailabilityStatus.DEGRADED, FULL_WEIGHT, false, reason)
+                : new Assessment(AvailabilityStatus.READY, FULL_WEIGHT, false, "all is well");
     }
 }
--- a/src/main/java/granitefold/availability/AvailabilityStatus.java
+++ b/src/main/java/granitefold/availability/AvailabilityStatus.java
@@ -1,36 +1,39 @@
 package granitefold.availability;
 
-/** Where a dispatcher stands towards its balancers, from nothing yet to nothing any more. */
+/** Availability of a dispatcher to its balancers, in order from the start of the process to its end. */
 public enum AvailabilityStatus {
     /** No worker is known yet. */
     STARTING(true),
-    /** It serves from a list of a former life, which nothing has confirmed. */
+    /** The worker list was saved by a previous process, and nothing has confirmed it. */
     STALE(false),
     READY(false),
-    /** It serves as before, but something that it needs is amiss or running short. */
+    /** All traffic is served, but a dependency has failed or a resource runs short. */
     DEGRADED(false),
-    /** It is asked for more than it can do; it takes less, but never nothing. */
+    /** The load exceeds the capacity; the weight is lowered, but never to 0. */
     OVERLOADED(false),
-    /** No new traffic, by an operator's word or since the process ends. */
+    /** No new traffic, because an operator asked for it or the process shuts down. */
     DRAINING(true),
-    /** Taken out by an operator. */
+    /** Taken out of service by an operator. */
     MAINT(true),
     /** The listener is closed. */
     STOPPED(true);
 
-    private final boolean isSetDirectly;
+    private final boolean setDirectly;
 
-    AvailabilityStatus(boolean told) {
-        this.isSetDirectly = told;
+    AvailabilityStatus(boolean setDirectly) {
+        this.setDirectly = setDirectly;
     }
 
-    /** Whether it follows from a phase or a word and not from a measurement: it takes no counts and no dwell. */
+    /**
+     * Whether the status follows from a process phase or an operator's request and not from measurements. Such a status needs
+     * no evaluation count and no dwell time.
+     */
     public boolean isSetDirectly() {
-        return isSetDirectly;
+        return setDirectly;
     }
 
     /** Whether balancers may send new traffic. */
     public boolean acceptsTraffic() {
-        return !isSetDirectly;
+        return !setDirectly;
     }
 }
--- a/src/main/java/granitefold/availability/ProcessPhase.java
+++ b/src/main/java/granitefold/availability/ProcessPhase.java
@@ -1,4 +1,4 @@
 package granitefold.availability;
 
-/** The process's own phase, as far as balancers are concerned. */
+/** The phase of the dispatcher process, in the detail that balancers need. */
 public enum ProcessPhase { STARTING, SERVING, SHUTTING_DOWN, SHUT_DOWN }
--- a/src/main/java/granitefold/availability/RequestedMode.java
+++ b/src/main/java/granitefold/availability/RequestedMode.java
@@ -1,4 +1,4 @@
 package granitefold.availability;
 
-/** What an operator has asked for; it stands until another wish. */
+/** The mode that an operator has requested; it applies until another one is requested. */
 public enum RequestedMode { READY, DRAIN, MAINT }
--- a/src/main/java/granitefold/availability/package-info.java
+++ b/src/main/java/granitefold/availability/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How much traffic this dispatcher should get: one pure machine, (state, signals, now) to the next state. No I/O, no
- * clock, no threads; what says it to balancers is in {@code granitefold.net.checks}.
+ * Decides how much traffic this dispatcher should get: a pure state machine, from state, signals and time to the next
+ * state, without I/O, clock or threads. {@code granitefold.net.checks} reports its result to balancers.
  */
 package granitefold.availability;
--- a/src/main/java/granitefold/figures/MetricsCollector.java
+++ b/src/main/java/granitefold/figures/MetricsCollector.java
@@ -6,51 +6,51 @@
 import java.util.Map;
 
 /**
- * Counts what becomes of jobs and attempts. An answer counts once its last byte is written; of a client that leaves
- * before that, nothing counts.
+ * Counts the outcomes of jobs and the attempts sent to workers. A reply counts once its last byte is written; a reply to a
+ * client that disconnects before that does not count.
  */
 public final class MetricsCollector {
     /** How a job ended for its client. */
     public enum ReplyOutcome { SUCCESS, OVERLOAD, ERROR }
 
-    private record Answer(int jobClass, ReplyOutcome end) { }
+    private record PendingReply(int jobClass, ReplyOutcome outcome) { }
 
     private final MetricsSnapshot.Replies[] replies;
-    /** Answers on their way out, by client connection: each has one at a time. */
-    private final Map<Long, Answer> writing = new HashMap<>();
+    /** Replies that are being written, by client connection; a connection has at most one. */
+    private final Map<Long, PendingReply> pendingReplies = new HashMap<>();
     private long dispatches;
 
-    /** For so many classes. */
-    public MetricsCollector(int classes) {
-        replies = new MetricsSnapshot.Replies[classes];
+    /** Creates a collector for the given number of job classes. */
+    public MetricsCollector(int classCount) {
+        replies = new MetricsSnapshot.Replies[classCount];
         Arrays.fill(replies, MetricsSnapshot.Replies.NONE);
     }
 
-    /** A job of this class has its final answer, which is being written to this client connection. */
-    public void replyStarted(long client, int jobClass, ReplyOutcome end) {
-        writing.put(client, new Answer(jobClass, end));
+    /** Records that the final answer of a job is being written to a client connection. */
+    public void replyStarted(long client, int jobClass, ReplyOutcome outcome) {
+        pendingReplies.put(client, new PendingReply(jobClass, outcome));
     }
 
-    /** What was being written to the client is out. */
+    /** Counts the reply to the client whose last byte is now written. */
     public void replyWritten(long client) {
-        Answer a = writing.remove(client);
-        if (a != null) {
-            replies[a.jobClass()] = replies[a.jobClass()].plus(a.end());
+        PendingReply reply = pendingReplies.remove(client);
+        if (reply != null) {
+            replies[reply.jobClass()] = replies[reply.jobClass()].plus(reply.outcome());
         }
     }
 
-    /** The client connection is gone. */
+    /** Drops the pending reply of a closed client connection. */
     public void clientClosed(long client) {
-        writing.remove(client);
+        pendingReplies.remove(client);
     }
 
-    /** An attempt's request was written whole. */
+    /** Counts an attempt whose request was written completely. */
     public void attemptDispatched() {
         dispatches++;
     }
 
-    /** The figures now, with what others count: requests owed an answer, and workers. */
-    public MetricsSnapshot snapshot(int owed, int targets, int targetsDisabled, boolean serves) {
-        return new MetricsSnapshot(List.of(replies), dispatches, owed + writing.size(), targets, targetsDisabled, serves);
+    /** Returns the metrics now, completed by what others count: requests without an answer, and workers. */
+    public MetricsSnapshot snapshot(int unanswered, int targets, int targetsDisabled, boolean ready) {
+        return new MetricsSnapshot(List.of(replies), dispatches, unanswered + pendingReplies.size(), targets, targetsDisabled, ready);
     }
 }
--- a/src/main/java/granitefold/figures/MetricsSnapshot.java
+++ b/src/main/java/granitefold/figures/MetricsSnapshot.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * The figures of one process at one moment; all counts start at 0 with the process.
+ * The metrics of one process at one moment; all counts start at 0 with the process.
  *
- * @param replies final answers by class, in the order of the settings, counted when their last byte is written
- * @param dispatches attempts whose request was written whole to a worker
- * @param concurrent requests taken that have no written answer yet
- * @param targets workers in the list, those told to drain included
- * @param targetsDisabled of them, those that no job is sent to while others have room
- * @param serves the process can serve: discovery has spoken or the wait for it is over, and no end was asked for
+ * @param replies final answers by job class, in the order of the settings, each counted when its last byte is written
+ * @param dispatches attempts whose request was written completely to a worker
+ * @param concurrent accepted requests without a fully written answer
+ * @param targets workers in the list, including those that drain
+ * @param targetsDisabled number of those that get no job while others have free slots
+ * @param ready whether the process can serve: discovery has answered or the wait for it is over, and no shutdown was requested
  */
 public record MetricsSnapshot(List<Replies> replies, long dispatches, int concurrent, int targets, int targetsDisabled,
         boolean ready) {
 
-    /** Answers of one class: jobs served, rejected, and failed. */
+    /** Final answers of one job class: served, rejected and failed jobs. */
     public record Replies(long success, long overload, long error) {
         static final Replies NONE = new Replies(0, 0, 0);
 
-        Replies plus(MetricsCollector.ReplyOutcome end) {
-            return switch (end) {
+        Replies plus(MetricsCollector.ReplyOutcome outcome) {
+            return switch (outcome) {
                 case SUCCESS -> new Replies(success + 1, overload, error);
                 case OVERLOAD -> new Replies(success, overload + 1, error);
                 case ERROR -> new Replies(success, overload, error + 1);
--- a/src/main/java/granitefold/figures/package-info.java
+++ b/src/main/java/granitefold/figures/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What this process has done since its start, counted once, and how it stands: one pure value, so that dispatchers can be
- * compared by it. No I/O, no clock, no threads; who asks for it is in {@code granitefold.net.checks}.
+ * Metrics of this process since its start, as one pure value by which dispatchers can be compared. No I/O, no clock, no
+ * threads; {@code granitefold.net.checks} answers requests for them.
  */
 package granitefold.figures;
--- a/src/main/java/granitefold/health/WorkerHealthTracker.java
+++ b/src/main/java/granitefold/health/WorkerHealthTracker.java
@@ -10,74 +10,80 @@
 import java.util.SplittableRandom;
 
 /**
- * The workers that discovery calls ready, and what is known of each. Active checks after HAProxy's rise and fall and
- * Envoy's health checker (jittered intervals, panic threshold); passive ejection after Envoy's outlier detection
- * (consecutive failures, growing ejection time, most share ejected).
+ * Tracks the health of the workers that discovery marks as ready. Active checks follow HAProxy's rise and fall and Envoy's
+ * health checker (jittered intervals, panic threshold); passive ejection follows Envoy's outlier detection (consecutive
+ * failures, growing ejection time, maximum share of ejected workers).
  */
 public final class WorkerHealthTracker {
-    /** How a worker looks. */
+    /** Health of a worker as probes and attempts show it. */
     public enum Health { UP, DOWN, EJECTED }
 
-    /** A change of what the module is to be told of a worker; {@code since}: when it came back, 0 if it did not. */
+    /**
+     * A change that the dispatch policy has to be notified of.
+     *
+     * @param usable whether the worker may get new jobs
+     * @param recoveredAt when the worker recovered, or 0 if it did not; it is then treated as just started
+     */
     public record Change(long worker, boolean usable, long recoveredAt, Health health, String reason) { }
 
-    private static final class Entry {
+    private static final class WorkerEntry {
         final long id;
         Health health = Health.UP;
-        /** What the module was told last. */
-        boolean usable = true;
-        /** Probes in a row that spoke against the present health. */
-        int against;
-        boolean probing;
-        long probeAt;
-        /** Attempts in a row that failed, ejections so far, and until when the present one lasts. */
-        int failures;
+        /** Whether the worker was last reported as usable. */
+        boolean reportedUsable = true;
+        /** Probes in a row whose result contradicts the current health. */
+        int contradictingProbes;
+        boolean probeInFlight;
+        long nextProbeAt;
+        /** Failed attempts in a row. */
+        int consecutiveFailures;
+        /** Number of ejections so far; the ejection time grows with it. */
         int ejections;
         long ejectedUntil;
-        long since;
+        long healthSince;
         String reason = "";
 
-        Entry(long id) {
+        WorkerEntry(long id) {
             this.id = id;
         }
     }
 
-    private final HealthSettings set;
+    private final HealthSettings settings;
     private final SplittableRandom random;
-    private final Map<Long, Entry> entries = new LinkedHashMap<>();
-    private int probing;
+    private final Map<Long, WorkerEntry> entries = new LinkedHashMap<>();
+    private int probesInFlight;
     private boolean inPanicMode;
 
-    public WorkerHealthTracker(HealthSettings set, long seed) {
-        this.set = set;
+    public WorkerHealthTracker(HealthSettings settings, long seed) {
+        this.settings = settings;
         random = new SplittableRandom(seed);
     }
 
-    /** Discovery's list of ready workers, whole. One that left and comes again starts anew. */
+    /** Replaces the list of ready workers. A worker that leaves the list and returns starts without history. */
     public List<Change> updateWorkers(Collection<Long> ready, long now) {
-        Map<Long, Entry> old = new HashMap<>(entries);
+        Map<Long, WorkerEntry> previous = new HashMap<>(entries);
         entries.clear();
         for (long id : ready) {
-            Entry e = old.remove(id);
+            WorkerEntry e = previous.remove(id);
             if (e == null) {
-                e = new Entry(id);
-                // the first probes are spread too: many dispatchers hear of a list at the same moment
-                e.probeAt = now + (long) (random.nextDouble() * set.intervalUs());
+                e = new WorkerEntry(id);
+                // Spread the first probes too, because many dispatchers receive a new list at the same moment.
+                e.nextProbeAt = now + (long) (random.nextDouble() * settings.intervalUs());
             }
             entries.put(id, e);
         }
-        old.values().forEach(e -> probing -= e.probing ? 1 : 0);
-        return changes(now);
+        previous.values().forEach(e -> probesInFlight -= e.probeInFlight ? 1 : 0);
+        return collectChanges(now);
     }
 
-    /** Workers to be probed now; each is answered for by {@link #onProbeResult}. */
+    /** Returns the workers to probe now; the caller reports each result to {@link #onProbeResult}. */
     public List<Long> takeDueProbes(long now) {
         List<Long> due = new ArrayList<>();
-        if (set.probesEnabled()) {
-            for (Entry e : entries.values()) {
-                if (!e.probing && e.probeAt <= now && probing < set.maxConcurrentProbes()) {
-                    e.probing = true;
-                    probing++;
+        if (settings.probesEnabled()) {
+            for (WorkerEntry e : entries.values()) {
+                if (!e.probeInFlight && e.nextProbeAt <= now && probesInFlight < settings.maxConcurrentProbes()) {
+                    e.probeInFlight = true;
+                    probesInFlight++;
                     due.add(e.id);
                 }
             }
@@ -85,71 +91,71 @@
         return due;
     }
 
-    /** When to look again: a probe falls due, or an ejection ends. */
+    /** Returns the time of the next due probe or the next end of an ejection, whichever is first. */
     public long nextWakeUpAt(long now) {
-        long at = Long.MAX_VALUE;
-        for (Entry e : entries.values()) {
-            if (set.probesEnabled() && !e.probing && probing < set.maxConcurrentProbes()) {
-                at = Math.min(at, e.probeAt);
+        long wakeUpAt = Long.MAX_VALUE;
+        for (WorkerEntry e : entries.values()) {
+            if (settings.probesEnabled() && !e.probeInFlight && probesInFlight < settings.maxConcurrentProbes()) {
+                wakeUpAt = Math.min(wakeUpAt, e.nextProbeAt);
             }
             if (e.health == Health.EJECTED) {
-                at = Math.min(at, e.ejectedUntil);
+                wakeUpAt = Math.min(wakeUpAt, e.ejectedUntil);
             }
         }
-        return at == Long.MAX_VALUE ? at : Math.max(now, at);
+        return wakeUpAt == Long.MAX_VALUE ? wakeUpAt : Math.max(now, wakeUpAt);
     }
 
-    /** A probe has come to its end. */
-    public List<Change> onProbeResult(long worker, boolean well, String reason, long now) {
-        Entry e = entries.get(worker);
-        if (e == null || !e.probing) {
+    /** Records the result of a probe. */
+    public List<Change> onProbeResult(long worker, boolean succeeded, String reason, long now) {
+        WorkerEntry e = entries.get(worker);
+        if (e == null || !e.probeInFlight) {
             return List.of();
         }
-        e.probing = false;
-        probing--;
-        e.probeAt = now + (long) (set.intervalUs() * (1 + set.jitter() * (2 * random.nextDouble() - 1)));
+        e.probeInFlight = false;
+        probesInFlight--;
+        e.nextProbeAt = now + (long) (settings.intervalUs() * (1 + settings.jitter() * (2 * random.nextDouble() - 1)));
         boolean down = e.health == Health.DOWN;
-        if (well == down) {
-            if (++e.against >= (down ? set.rise() : set.fall())) {
-                turn(e, down ? Health.UP : Health.DOWN, down ? "probes answered" : reason, now);
+        if (succeeded == down) {
+            if (++e.contradictingProbes >= (down ? settings.rise() : settings.fall())) {
+                setHealth(e, down ? Health.UP : Health.DOWN, down ? "probes answered" : reason, now);
             }
         } else {
-            e.against = 0;
+            e.contradictingProbes = 0;
         }
-        return changes(now);
+        return collectChanges(now);
     }
 
-    /** A real attempt has come to its end. What a worker turned away or failed by itself shows that it is there. */
+    /** Records the outcome of a real attempt. A worker that refuses a job, or answers that it failed, is alive. */
     public List<Change> onAttemptOutcome(long worker, Outcome outcome, long now) {
-        Entry e = entries.get(worker);
-        if (e == null || set.ejectAfterFailures() == 0 || outcome == Outcome.CANCELLED || outcome == Outcome.MOOT) {
+        WorkerEntry e = entries.get(worker);
+        if (e == null || settings.ejectAfterFailures() == 0 || outcome == Outcome.CANCELLED || outcome == Outcome.MOOT) {
             return List.of();
         }
         boolean failed = outcome == Outcome.UNREACHABLE || outcome == Outcome.BROKEN || outcome == Outcome.TIMED_OUT;
-        e.failures = failed ? e.failures + 1 : 0;
-        if (!failed && e.ejections > 0 && e.health == Health.UP && now - e.since > set.maxEjectUs()) {
+        e.consecutiveFailures = failed ? e.consecutiveFailures + 1 : 0;
+        if (!failed && e.ejections > 0 && e.health == Health.UP && now - e.healthSince > settings.maxEjectUs()) {
             e.ejections = 0;
         }
-        if (e.failures >= set.ejectAfterFailures() && e.health == Health.UP && mayEject()) {
+        if (e.consecutiveFailures >= settings.ejectAfterFailures() && e.health == Health.UP && canEject()) {
             e.ejections++;
-            e.ejectedUntil = now + Math.min(set.maxEjectUs(), set.ejectUs() * e.ejections);
-            turn(e, Health.EJECTED, e.failures + " attempts in a row failed, the last " + outcome, now);
-            e.failures = 0;
+            e.ejectedUntil = now + Math.min(settings.maxEjectUs(), settings.ejectUs() * e.ejections);
+            setHealth(e, Health.EJECTED, e.consecutiveFailures + " attempts in a row failed, the last " + outcome, now);
+            e.consecutiveFailures = 0;
         }
-        return changes(now);
+        return collectChanges(now);
     }
 
-    /** Time has passed. */
+    /** Ends the ejections whose time is over. */
     public List<Change> expireEjections(long now) {
-        for (Entry e : entries.values()) {
+        for (WorkerEntry e : entries.values()) {
             if (e.health == Health.EJECTED && e.ejectedUntil <= now) {
-                turn(e, Health.UP, "its ejection is over", now);
+                setHealth(e, Health.UP, "its ejection is over", now);
             }
         }
-        return changes(now);
+        return collectChanges(now);
     }
 
-    /** So many ready workers look dead that none is taken to be. */
+    /** Whether so many ready workers look dead that health is ignored and all of them are used. */
     public boolean inPanicMode() {
         return inPanicMode;
     }
@@ -166,29 +172,29 @@
         return (int) entries.values().stream().filter(e -> e.health == health).count();
     }
 
-    private boolean mayEject() {
-        int most = Math.max(1, (int) (set.maxEjectedShare() * entries.size()));
-        return entries.size() > 1 && count(Health.EJECTED) < most;
+    private boolean canEject() {
+        int maxEjected = Math.max(1, (int) (settings.maxEjectedShare() * entries.size()));
+        return entries.size() > 1 && count(Health.EJECTED) < maxEjected;
     }
 
-    private static void turn(Entry e, Health to, String reason, long now) {
-        e.health = to;
-        e.against = 0;
-        e.since = now;
+    private static void setHealth(WorkerEntry e, Health health, String reason, long now) {
+        e.health = health;
+        e.contradictingProbes = 0;
+        e.healthSince = now;
         e.reason = reason;
     }
 
-    /** What the module is to be told now and was not yet. */
-    private List<Change> changes(long now) {
-        inPanicMode = entries.size() > 0 && unhealthyCount() > set.panicShare() * entries.size();
+    /** Returns the changes since the last report and marks them as reported. */
+    private List<Change> collectChanges(long now) {
+        inPanicMode = entries.size() > 0 && unhealthyCount() > settings.panicShare() * entries.size();
         List<Change> changes = new ArrayList<>();
-        for (Entry e : entries.values()) {
+        for (WorkerEntry e : entries.values()) {
             boolean usable = inPanicMode || e.health == Health.UP;
-            if (usable != e.usable) {
-                e.usable = usable;
-                // one that is used only in a panic did not come back
-                boolean back = usable && e.health == Health.UP && set.slowStart();
-                changes.add(new Change(e.id, usable, back ? now : 0, e.health, e.reason));
+            if (usable != e.reportedUsable) {
+                e.reportedUsable = usable;
+                // A worker that is used only because of panic mode has not recovered.
+                boolean recovered = usable && e.health == Health.UP && settings.slowStart();
+                changes.add(new Change(e.id, usable, recovered ? now : 0, e.health, e.reason));
             }
         }
         return changes;
--- a/src/main/java/granitefold/health/package-info.java
+++ b/src/main/java/granitefold/health/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which workers look dead, from probes where they are allowed and from the outcomes of real attempts. Pure: (state, event,
- * now) to decisions; chance comes from a seed. The module hears of it only through the list of workers.
+ * Detects workers that are down, from probes where they are allowed and from the outcomes of real attempts. Pure: from
+ * state, event and time to decisions; randomness comes from a seed. The dispatch policy learns of the results only
+ * through the list of workers.
  */
 package granitefold.health;
--- a/src/main/java/granitefold/operator/ConfigSection.java
+++ b/src/main/java/granitefold/operator/ConfigSection.java
@@ -22,20 +22,20 @@
  */
 public final class ConfigSection {
     /** A word this far from a known key, or nearer, is taken for a slip of the pen. */
-    private static final int NEAR = 4;
+    private static final int MAX_TYPO_DISTANCE = 4;
 
     private final String path;
-    private final Config here;
-    private final Notes notes;
-    private final Set<String> known = new TreeSet<>();
+    private final Config config;
+    private final Diagnostics diagnostics;
+    private final Set<String> knownKeys = new TreeSet<>();
 
     /** What reading has found: problems by line, and the values that hold. */
-    static final class Notes {
+    static final class Diagnostics {
         final String file;
         final Map<String, String> effective = new TreeMap<>();
         private final TreeMap<Integer, List<String>> problems = new TreeMap<>();
 
-        Notes(String file) {
+        Diagnostics(String file) {
             this.file = file;
         }
 
@@ -49,47 +49,47 @@
         }
     }
 
-    ConfigSection(String path, Config here, Notes notes) {
+    ConfigSection(String path, Config here, Diagnostics notes) {
         this.path = path;
-        this.here = here;
-        this.notes = notes;
+        this.config = here;
+        this.diagnostics = notes;
     }
 
     /** The section below a key; without it one that has no keys. */
     public ConfigSection section(String key) {
-        known.add(key);
-        ConfigValue v = value(key);
+        knownKeys.add(key);
+        ConfigValue v = rawValue(key);
         if (v != null && v.valueType() != ConfigValueType.OBJECT) {
-            wrong(key, v, "a section: " + key + " { ... }");
+            addInvalidValue(key, v, "a section: " + key + " { ... }");
             v = null;
         }
         return new ConfigSection(path(key), v == null ? com.typesafe.config.ConfigFactory.empty() : ((ConfigObject) v).toConfig(),
-                notes);
+                diagnostics);
     }
 
     /** The named sections below a key, in the order of the file. */
     public Map<String, ConfigSection> named(String key) {
         ConfigSection all = section(key);
         Map<String, ConfigSection> found = new LinkedHashMap<>();
-        all.here.root().entrySet().stream().sorted(java.util.Comparator.comparingInt(e -> e.getValue().origin().lineNumber()))
+        all.config.root().entrySet().stream().sorted(java.util.Comparator.comparingInt(e -> e.getValue().origin().lineNumber()))
                 .forEach(e -> found.put(e.getKey(), all.section(e.getKey())));
         return found;
     }
 
     /** The sections of a list. */
     public List<ConfigSection> sections(String key) {
-        known.add(key);
-        ConfigValue v = value(key);
+        knownKeys.add(key);
+        ConfigValue v = rawValue(key);
         List<ConfigSection> found = new ArrayList<>();
         if (v != null && v.valueType() != ConfigValueType.LIST) {
-            wrong(key, v, "a list of sections: " + key + " = [ { ... } ]");
+            addInvalidValue(key, v, "a list of sections: " + key + " = [ { ... } ]");
         } else if (v != null) {
             for (ConfigValue one : (com.typesafe.config.ConfigList) v) {
                 String at = path(key) + "[" + found.size() + "]";
                 if (one.valueType() == ConfigValueType.OBJECT) {
-                    found.add(new ConfigSection(at, ((ConfigObject) one).toConfig(), notes));
+                    found.add(new ConfigSection(at, ((ConfigObject) one).toConfig(), diagnostics));
                 } else {
-                    notes.add(one.origin().lineNumber(), at + ": " + one.unwrapped() + " is not a section");
+                    diagnostics.add(one.origin().lineNumber(), at + ": " + one.unwrapped() + " is not a section");
                 }
             }
         }
@@ -98,30 +98,30 @@
 
     /** Notes that a key's value does not do, for a reason that shows only beside others. */
     public void reject(String key, String why) {
-        ConfigValue v = value(key);
-        notes.add(v == null ? here.root().origin().lineNumber() : v.origin().lineNumber(), path(key) + ": " + why);
+        ConfigValue v = rawValue(key);
+        diagnostics.add(v == null ? config.root().origin().lineNumber() : v.origin().lineNumber(), path(key) + ": " + why);
     }
 
     /** Whether a key is there. */
     public boolean has(String key) {
-        known.add(key);
-        return value(key) != null;
+        knownKeys.add(key);
+        return rawValue(key) != null;
     }
 
     /** Whether it holds nothing. */
     public boolean isEmpty() {
-        return here.isEmpty();
+        return config.isEmpty();
     }
 
     /** True or false. */
     public boolean bool(String key, boolean absent) {
-        return read(key, absent, "true or false", () -> here.getBoolean(key));
+        return read(key, absent, "true or false", () -> config.getBoolean(key));
     }
 
     /** A whole number within bounds. */
     public int integer(String key, int absent, int least, int most) {
         return read(key, absent, "a whole number from " + least + " to " + most, () -> {
-            double v = here.getDouble(key);
+            double v = config.getDouble(key);
             return v == Math.rint(v) && v >= least && v <= most ? (int) v : null;
         });
     }
@@ -129,7 +129,7 @@
     /** A number within bounds. */
     public double number(String key, double absent, double least, double most) {
         return read(key, absent, "a number from " + least + " to " + most, () -> {
-            double v = here.getDouble(key);
+            double v = config.getDouble(key);
             return v >= least && v <= most ? v : null;
         });
     }
@@ -138,10 +138,10 @@
     public long durationUs(String key, long absentUs, long leastMs, long mostMs) {
         return read(key, absentUs, "a time from " + leastMs + "ms to " + mostMs + "ms, with its unit", () -> {
             // a bare number would be milliseconds, which nobody can see
-            if (here.getValue(key).valueType() != ConfigValueType.STRING) {
+            if (config.getValue(key).valueType() != ConfigValueType.STRING) {
                 return null;
             }
-            long us = here.getDuration(key, TimeUnit.MICROSECONDS);
+            long us = config.getDuration(key, TimeUnit.MICROSECONDS);
             return us >= leastMs * 1000 && us <= mostMs * 1000 ? us : null;
         });
     }
@@ -149,7 +149,7 @@
     /** A text that a test finds good; {@code allowed} says what that is. */
     public String string(String key, String absent, String allowed, java.util.function.Predicate<String> good) {
         return read(key, absent, allowed, () -> {
-            String v = here.getString(key);
+            String v = config.getString(key);
             return good.test(v) ? v : null;
         });
     }
@@ -162,7 +162,7 @@
     /** A list of texts that a test finds good, each. */
     public List<String> strings(String key, String allowed, java.util.function.Predicate<String> good) {
         return read(key, List.of(), allowed, () -> {
-            List<String> all = here.getStringList(key);
+            List<String> all = config.getStringList(key);
             return all.stream().allMatch(good) ? all : null;
         });
     }
@@ -181,13 +181,13 @@
         return found[0];
     }
 
-    private interface Reading<T> {
+    private interface ValueReader<T> {
         T get();
     }
 
-    private <T> T read(String key, T absent, String allowed, Reading<T> reading) {
-        known.add(key);
-        ConfigValue v = value(key);
+    private <T> T read(String key, T absent, String allowed, ValueReader<T> reading) {
+        knownKeys.add(key);
+        ConfigValue v = rawValue(key);
         T found = null;
         if (v != null) {
             try {
@@ -196,21 +196,21 @@
                 // told below
             }
             if (found == null) {
-                wrong(key, v, allowed);
+                addInvalidValue(key, v, allowed);
             }
         }
         T holds = found == null ? absent : found;
-        notes.effective.put(path(key), String.valueOf(holds));
+        diagnostics.effective.put(path(key), String.valueOf(holds));
         return holds;
     }
 
-    private void wrong(String key, ConfigValue v, String allowed) {
-        notes.add(v.origin().lineNumber(), path(key) + ": " + v.unwrapped() + " is not allowed; allowed is " + allowed);
+    private void addInvalidValue(String key, ConfigValue v, String allowed) {
+        diagnostics.add(v.origin().lineNumber(), path(key) + ": " + v.unwrapped() + " is not allowed; allowed is " + allowed);
     }
 
-    private ConfigValue value(String key) {
+    private ConfigValue rawValue(String key) {
         // a key may hold dots only in quotes, which none of ours needs
-        return here.root().get(key);
+        return config.root().get(key);
     }
 
     private String path(String key) {
@@ -219,13 +219,13 @@
 
     /** Names what is there and unknown, each with the known key that it is most like. */
     public void reportUnknownKeys() {
-        for (Map.Entry<String, ConfigValue> e : here.root().entrySet()) {
-            if (!known.contains(e.getKey())) {
+        for (Map.Entry<String, ConfigValue> e : config.root().entrySet()) {
+            if (!knownKeys.contains(e.getKey())) {
                 LevenshteinDistance distance = new LevenshteinDistance();
-                String near = known.stream().min(java.util.Comparator.comparing(k -> distance.apply(k, e.getKey())))
-                        .filter(k -> distance.apply(k, e.getKey()) <= NEAR).orElse(null);
-                notes.add(e.getValue().origin().lineNumber(), path(e.getKey()) + ": unknown key"
-                        + (near == null ? "; known are " + String.join(", ", known) : "; did you mean " + path(near) + "?"));
+                String near = knownKeys.stream().min(java.util.Comparator.comparing(k -> distance.apply(k, e.getKey())))
+                        .filter(k -> distance.apply(k, e.getKey()) <= MAX_TYPO_DISTANCE).orElse(null);
+                diagnostics.add(e.getValue().origin().lineNumber(), path(e.getKey()) + ": unknown key"
+                        + (near == null ? "; known are " + String.join(", ", knownKeys) : "; did you mean " + path(near) + "?"));
             }
         }
     }
--- a/src/main/java/granitefold/operator/HoconFile.java
+++ b/src/main/java/granitefold/operator/HoconFile.java
@@ -18,9 +18,9 @@
 /** Reads a file of ours in HOCON into checked values; whatever is wrong with it is told at once, with file, line and key. */
 public final class HoconFile {
     /** A longer file is a mistake. */
-    private static final long LENGTH_MOST = 256 * 1024;
+    private static final long MAX_LENGTH_BYTES = 256 * 1024;
     /** Brackets nested deeper than this are one too, and would use up the parser's stack. */
-    private static final int DEPTH_MOST = 32;
+    private static final int MAX_DEPTH = 32;
 
     /** A file that was read: what it says, and every key with the value that holds. */
     public record Read<T>(T value, Map<String, String> effective) { }
@@ -30,8 +30,8 @@
     /** Reads a file; {@code reader} asks the whole file's section for all that it may hold. */
     public static <T> Read<T> read(Path file, Function<ConfigSection, T> reader) throws InvalidFileException {
         try {
-            if (Files.size(file) > LENGTH_MOST) {
-                throw new InvalidFileException(List.of(file + ": longer than " + LENGTH_MOST + " bytes"));
+            if (Files.size(file) > MAX_LENGTH_BYTES) {
+                throw new InvalidFileException(List.of(file + ": longer than " + MAX_LENGTH_BYTES + " bytes"));
             }
             return read(file.toString(), Files.readString(file), reader);
         } catch (CharacterCodingException e) {
@@ -43,11 +43,11 @@
 
     /** Reads a text; {@code name} is what its problems are told by. */
     public static <T> Read<T> read(String name, String text, Function<ConfigSection, T> reader) throws InvalidFileException {
-        ConfigSection.Notes notes = new ConfigSection.Notes(name);
+        ConfigSection.Diagnostics notes = new ConfigSection.Diagnostics(name);
         T value = null;
         try {
-            if (deep(text)) {
-                throw new InvalidFileException(List.of(name + ": nested deeper than " + DEPTH_MOST));
+            if (isNestedTooDeep(text)) {
+                throw new InvalidFileException(List.of(name + ": nested deeper than " + MAX_DEPTH));
             }
             // an include would read other files, or addresses, that nobody has checked
             Config all = ConfigFactory.parseString(text, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.CONF)
@@ -59,7 +59,7 @@
             value = reader.apply(new ConfigSection("", all, notes));
         } catch (ConfigException | BadWire e) {
             ConfigException c = e instanceof ConfigException ce ? ce : null;
-            notes.add(c == null || c.origin() == null ? 0 : c.origin().lineNumber(), plain(e.getMessage(), name));
+            notes.add(c == null || c.origin() == null ? 0 : c.origin().lineNumber(), withoutPosition(e.getMessage(), name));
         }
         if (!notes.problems().isEmpty()) {
             throw new InvalidFileException(notes.problems());
@@ -79,12 +79,12 @@
         }
     }
 
-    private static boolean deep(String text) {
+    private static boolean isNestedTooDeep(String text) {
         int depth = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             depth += c == '{' || c == '[' ? 1 : c == '}' || c == ']' ? -1 : 0;
-            if (depth > DEPTH_MOST) {
+            if (depth > MAX_DEPTH) {
                 return true;
             }
         }
@@ -92,7 +92,7 @@
     }
 
     /** The library's words, without the place, which is told before them. */
-    private static String plain(String message, String name) {
+    private static String withoutPosition(String message, String name) {
         String text = message.lines().findFirst().orElse("").strip();
         int at = text.indexOf(name + ": ");
         text = at < 0 ? text : text.substring(at + name.length() + 2);
--- a/src/main/java/granitefold/recovery/package-info.java
+++ b/src/main/java/granitefold/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a dispatcher learned, as a value that outlives it, and how that ages. Pure: no file, no clock; reading and writing
- * is {@code granitefold.state}'s.
+ * What a dispatcher has learned, as a value that survives a restart, and how that value ages. Pure: no files, no clock;
+ * {@code granitefold.state} reads and writes it.
  */
 package granitefold.recovery;
--- a/src/main/java/granitefold/state/DirectoryStorage.java
+++ b/src/main/java/granitefold/state/DirectoryStorage.java
@@ -16,14 +16,14 @@
 
 /** A folder of the file system, this process's own. Links are never followed, files are for their owner only. */
 public final class DirectoryStorage implements Storage {
-    private static final FileAttribute<?> PRIVATE =
+    private static final FileAttribute<?> OWNER_ONLY =
             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"));
 
-    private final Path folder;
+    private final Path directory;
     private final FileChannel lock;
 
     private DirectoryStorage(Path folder, FileChannel lock) {
-        this.folder = folder;
+        this.directory = folder;
         this.lock = lock;
     }
 
@@ -40,7 +40,7 @@
             throw new IOException(folder + " belongs to " + owner);
         }
         FileChannel lock = FileChannel.open(folder.resolve("learned.lock"), Set.of(StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS), PRIVATE);
+                StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS), OWNER_ONLY);
         if (lock.tryLock() == null) {
             lock.close();
             throw new IOException(folder + " is held by another process");
@@ -55,7 +55,7 @@
 
     @Override
     public byte[] read(String name, int most) throws IOException {
-        Path file = folder.resolve(name);
+        Path file = directory.resolve(name);
         try {
             BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS);
             if (!a.isRegularFile()) {
@@ -78,9 +78,9 @@
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
-        try (FileChannel c = FileChannel.open(folder.resolve(name), Set.of(StandardOpenOption.CREATE_NEW,
-                StandardOpenOption.WRITE), PRIVATE)) {
+        Files.deleteIfExists(directory.resolve(name));
+        try (FileChannel c = FileChannel.open(directory.resolve(name), Set.of(StandardOpenOption.CREATE_NEW,
+                StandardOpenOption.WRITE), OWNER_ONLY)) {
             ByteBuffer all = ByteBuffer.wrap(bytes);
             while (all.hasRemaining()) {
                 c.write(all);
@@ -90,19 +90,19 @@
 
     @Override
     public void force(String name) throws IOException {
-        try (FileChannel c = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)) {
+        try (FileChannel c = FileChannel.open(directory.resolve(name), StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)) {
             c.force(true);
         }
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel c = FileChannel.open(folder, StandardOpenOption.READ)) {
+        try (FileChannel c = FileChannel.open(directory, StandardOpenOption.READ)) {
             c.force(true);
         }
     }
--- a/src/main/java/granitefold/state/StateFile.java
+++ b/src/main/java/granitefold/state/StateFile.java
@@ -25,8 +25,8 @@
     /** A file that says to be longer is refused before anything is taken for it. */
     public static final int MAX_LENGTH_BYTES = 16 * 1024 * 1024;
     static final byte[] MAGIC = "granfold".getBytes(StandardCharsets.US_ASCII);
-    private static final int HEAD = 32, SECTION_HEAD = 12;
-    private static final int ABOUT = 1, KINDS = 2, WORKERS = 3, BUCKETS = 4, KEYS = 5;
+    private static final int HEADER_BYTES = 32, SECTION_HEADER_BYTES = 12;
+    private static final int METADATA = 1, KINDS = 2, WORKERS = 3, BUCKETS = 4, KEYS = 5;
     private static final CBORFactory CBOR = new CBORFactory();
 
     /**
@@ -59,7 +59,7 @@
     private StateFile() { }
 
     // ---------------------------------------------------------------- writing
-    private interface Body {
+    private interface SectionBody {
         void write(JsonGenerator g) throws IOException;
     }
 
@@ -67,26 +67,26 @@
     public static byte[] encode(Content c) {
         LearnedState l = c.learned();
         List<byte[]> sections = new ArrayList<>();
-        sections.add(section(ABOUT, g -> {
+        sections.add(encodeSection(METADATA, g -> {
             g.writeStringField("name", c.name());
             g.writeStringField("settings", c.settings());
             g.writeNumberField("me", c.me());
             g.writeNumberField("siblings", c.siblings());
-            strings(g, "tenants", c.tenants());
-            strings(g, "kinds", c.kinds());
+            writeStrings(g, "tenants", c.tenants());
+            writeStrings(g, "kinds", c.kinds());
             g.writeNumberField("at", l.at());
             g.writeNumberField("fetch_us", l.fetchUs());
             g.writeNumberField("kept", l.kept());
             g.writeNumberField("mean_work", l.meanWork());
             g.writeNumberField("works", l.works());
         }));
-        sections.add(section(KINDS, g -> rows(g, l.kinds(), k -> {
+        sections.add(encodeSection(KINDS, g -> writeRows(g, l.kinds(), k -> {
             g.writeNumber(k.kind());
             g.writeNumber(k.sum());
             g.writeNumber(k.weight());
             g.writeNumber(k.slots());
         })));
-        sections.add(section(WORKERS, g -> rows(g, l.workers(), p -> {
+        sections.add(encodeSection(WORKERS, g -> writeRows(g, l.workers(), p -> {
             g.writeNumber(p.id());
             g.writeNumber(p.kind());
             g.writeNumber(p.startedAt());
@@ -95,27 +95,27 @@
             g.writeNumber(p.weight());
             g.writeNumber(p.slots());
             g.writeNumber(p.work());
-            longs(g, p.kept());
+            writeLongs(g, p.kept());
         })));
-        sections.add(section(BUCKETS, g -> rows(g, l.buckets(), b -> {
+        sections.add(encodeSection(BUCKETS, g -> writeRows(g, l.buckets(), b -> {
             g.writeNumber(b.tenant());
-            longs(g, b.used());
+            writeLongs(g, b.used());
             g.writeNumber(b.credited());
             g.writeNumber(b.refilledAt());
         })));
-        sections.add(section(KEYS, g -> rows(g, l.keys(), k -> {
+        sections.add(encodeSection(KEYS, g -> writeRows(g, l.keys(), k -> {
             g.writeNumber(k.key());
             g.writeNumber(k.until());
         })));
-        int length = HEAD + sections.stream().mapToInt(s -> s.length).sum();
+        int length = HEADER_BYTES + sections.stream().mapToInt(s -> s.length).sum();
         ByteBuffer file = ByteBuffer.allocate(length);
-        file.put(MAGIC).putShort((short) VERSION).putShort((short) sections.size()).putInt(length).position(HEAD - 4);
-        file.putInt(crc(file.array(), 0, HEAD - 4));
+        file.put(MAGIC).putShort((short) VERSION).putShort((short) sections.size()).putInt(length).position(HEADER_BYTES - 4);
+        file.putInt(crc(file.array(), 0, HEADER_BYTES - 4));
         sections.forEach(file::put);
         return file.array();
     }
 
-    private static byte[] section(int id, Body body) {
+    private static byte[] encodeSection(int id, SectionBody body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator g = CBOR.createGenerator(out)) {
             g.writeStartObject();
@@ -125,18 +125,18 @@
             throw new UncheckedIOException(e);
         }
         byte[] cbor = out.toByteArray();
-        ByteBuffer section = ByteBuffer.allocate(SECTION_HEAD + cbor.length);
-        section.putInt(id).putInt(cbor.length).position(SECTION_HEAD);
+        ByteBuffer section = ByteBuffer.allocate(SECTION_HEADER_BYTES + cbor.length);
+        section.putInt(id).putInt(cbor.length).position(SECTION_HEADER_BYTES);
         section.put(cbor);
-        section.putInt(SECTION_HEAD - 4, crc(section.array()));
+        section.putInt(SECTION_HEADER_BYTES - 4, crc(section.array()));
         return section.array();
     }
 
     /** A section's checksum covers all of it but the checksum itself. */
     private static int crc(byte[] section) {
         CRC32C crc = new CRC32C();
-        crc.update(section, 0, SECTION_HEAD - 4);
-        crc.update(section, SECTION_HEAD, section.length - SECTION_HEAD);
+        crc.update(section, 0, SECTION_HEADER_BYTES - 4);
+        crc.update(section, SECTION_HEADER_BYTES, section.length - SECTION_HEADER_BYTES);
         return (int) crc.getValue();
     }
 
@@ -146,11 +146,11 @@
         return (int) crc.getValue();
     }
 
-    private interface Row<T> {
+    private interface RowWriter<T> {
         void write(T value) throws IOException;
     }
 
-    private static <T> void rows(JsonGenerator g, List<T> all, Row<T> row) throws IOException {
+    private static <T> void writeRows(JsonGenerator g, List<T> all, RowWriter<T> row) throws IOException {
         g.writeArrayFieldStart("rows");
         for (T t : all) {
             g.writeStartArray();
@@ -160,7 +160,7 @@
         g.writeEndArray();
     }
 
-    private static void longs(JsonGenerator g, List<Long> all) throws IOException {
+    private static void writeLongs(JsonGenerator g, List<Long> all) throws IOException {
         g.writeStartArray();
         for (long v : all) {
             g.writeNumber(v);
@@ -168,7 +168,7 @@
         g.writeEndArray();
     }
 
-    private static void strings(JsonGenerator g, String name, List<String> all) throws IOException {
+    private static void writeStrings(JsonGenerator g, String name, List<String> all) throws IOException {
         g.writeArrayFieldStart(name);
         for (String v : all) {
             g.writeString(v);
@@ -180,12 +180,12 @@
     /** What a file holds, if it is whole. */
     public static Content decode(byte[] file) throws UnreadableFileException {
         ByteBuffer in = ByteBuffer.wrap(file);
-        if (file.length < HEAD || !ByteBuffer.wrap(MAGIC).equals(in.slice(0, MAGIC.length))) {
-            throw new UnreadableFileException(file.length < HEAD ? Fault.DAMAGED : Fault.FOREIGN, file.length < HEAD
+        if (file.length < HEADER_BYTES || !ByteBuffer.wrap(MAGIC).equals(in.slice(0, MAGIC.length))) {
+            throw new UnreadableFileException(file.length < HEADER_BYTES ? Fault.DAMAGED : Fault.FOREIGN, file.length < HEADER_BYTES
                     ? "at byte " + file.length + ": the head is cut off" : "at byte 0: not a state file");
         }
-        if (in.getInt(HEAD - 4) != crc(file, 0, HEAD - 4)) {
-            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + (HEAD - 4) + ": the head's checksum does not hold");
+        if (in.getInt(HEADER_BYTES - 4) != crc(file, 0, HEADER_BYTES - 4)) {
+            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + (HEADER_BYTES - 4) + ": the head's checksum does not hold");
         }
         int version = in.getShort(MAGIC.length) & 0xffff;
         if (version != VERSION) {
@@ -197,21 +197,21 @@
             throw new UnreadableFileException(Fault.DAMAGED, "at byte " + file.length + ": the file should have "
                     + in.getInt(MAGIC.length + 4) + " bytes");
         }
-        Builder b = new Builder();
-        int at = HEAD;
+        ContentBuilder b = new ContentBuilder();
+        int at = HEADER_BYTES;
         for (int i = 0; i < sections; i++) {
-            int left = file.length - at - SECTION_HEAD;
+            int left = file.length - at - SECTION_HEADER_BYTES;
             int length = left < 0 ? -1 : in.getInt(at + 4);
             if (length < 0 || length > left) {
                 throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " is cut off");
             }
-            byte[] section = new byte[SECTION_HEAD + length];
+            byte[] section = new byte[SECTION_HEADER_BYTES + length];
             in.get(at, section);
             if (crc(section) != in.getInt(at + 8)) {
                 throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": the checksum of section " + i + " does not hold");
             }
-            try (JsonParser p = CBOR.createParser(section, SECTION_HEAD, length)) {
-                b.section(in.getInt(at), p);
+            try (JsonParser p = CBOR.createParser(section, SECTION_HEADER_BYTES, length)) {
+                b.readSection(in.getInt(at), p);
             } catch (IOException | RuntimeException e) {
                 throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " makes no sense");
             }
@@ -220,11 +220,11 @@
         if (at != file.length || b.name == null) {
             throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": more than its sections, or none of whose it is");
         }
-        return b.content();
+        return b.build();
     }
 
     /** Gathers the sections; unknown ones and unknown fields are passed over, as a later version may add some. */
-    private static final class Builder {
+    private static final class ContentBuilder {
         private String name;
         /** Files of earlier versions do not say. */
         private String settings = "";
@@ -242,22 +242,22 @@
         private final List<LearnedState.Bucket> buckets = new ArrayList<>();
         private final List<LearnedState.Key> keys = new ArrayList<>();
 
-        Content content() {
+        Content build() {
             return new Content(name, settings, me, siblings, tenants, kindNames, new LearnedState(at, fetchUs, kept, meanWork, works,
                     List.copyOf(kinds), List.copyOf(workers), List.copyOf(buckets), List.copyOf(keys)));
         }
 
-        void section(int id, JsonParser p) throws IOException {
-            expect(p.nextToken() == JsonToken.START_OBJECT);
+        void readSection(int id, JsonParser p) throws IOException {
+            require(p.nextToken() == JsonToken.START_OBJECT);
             while (p.nextToken() != JsonToken.END_OBJECT) {
                 String field = p.currentName();
                 p.nextToken();
-                if (id == ABOUT) {
-                    about(field, p);
+                if (id == METADATA) {
+                    readMetadata(field, p);
                 } else if (field.equals("rows") && id <= KEYS) {
                     while (p.nextToken() != JsonToken.END_ARRAY) {
-                        expect(p.currentToken() == JsonToken.START_ARRAY);
-                        row(id, p);
+                        require(p.currentToken() == JsonToken.START_ARRAY);
+                        readRow(id, p);
                         while (p.nextToken() != JsonToken.END_ARRAY) {
                             p.skipChildren();
                         }
@@ -268,62 +268,62 @@
             }
         }
 
-        private void about(String field, JsonParser p) throws IOException {
+        private void readMetadata(String field, JsonParser p) throws IOException {
             switch (field) {
                 case "name" -> name = p.getText();
                 case "settings" -> settings = p.getText();
                 case "me" -> me = p.getIntValue();
                 case "siblings" -> siblings = p.getIntValue();
-                case "tenants" -> tenants = strings(p);
-                case "kinds" -> kindNames = strings(p);
+                case "tenants" -> tenants = readStrings(p);
+                case "kinds" -> kindNames = readStrings(p);
                 case "at" -> at = p.getLongValue();
-                case "fetch_us" -> fetchUs = figure(p.getDoubleValue());
-                case "kept" -> kept = figure(p.getDoubleValue());
-                case "mean_work" -> meanWork = figure(p.getDoubleValue());
+                case "fetch_us" -> fetchUs = finite(p.getDoubleValue());
+                case "kept" -> kept = finite(p.getDoubleValue());
+                case "mean_work" -> meanWork = finite(p.getDoubleValue());
                 case "works" -> works = p.getLongValue();
                 default -> p.skipChildren();
             }
         }
 
-        private void row(int id, JsonParser p) throws IOException {
+        private void readRow(int id, JsonParser p) throws IOException {
             switch (id) {
-                case KINDS -> kinds.add(new LearnedState.Kind(whole(p), number(p), number(p), whole(p)));
-                case WORKERS -> workers.add(new LearnedState.Worker(along(p), whole(p), along(p), along(p), number(p), number(p), whole(p),
-                        number(p), longs(p)));
-                case BUCKETS -> buckets.add(new LearnedState.Bucket(whole(p), longs(p), number(p), along(p)));
-                case KEYS -> keys.add(new LearnedState.Key(along(p), along(p)));
+                case KINDS -> kinds.add(new LearnedState.Kind(nextInt(p), nextDouble(p), nextDouble(p), nextInt(p)));
+                case WORKERS -> workers.add(new LearnedState.Worker(nextLong(p), nextInt(p), nextLong(p), nextLong(p), nextDouble(p), nextDouble(p), nextInt(p),
+                        nextDouble(p), readLongs(p)));
+                case BUCKETS -> buckets.add(new LearnedState.Bucket(nextInt(p), readLongs(p), nextDouble(p), nextLong(p)));
+                case KEYS -> keys.add(new LearnedState.Key(nextLong(p), nextLong(p)));
                 default -> { }
             }
         }
 
-        private static void expect(boolean holds) throws IOException {
+        private static void require(boolean holds) throws IOException {
             if (!holds) {
                 throw new IOException("not as expected");
             }
         }
 
-        private static double figure(double v) throws IOException {
-            expect(Double.isFinite(v));
+        private static double finite(double v) throws IOException {
+            require(Double.isFinite(v));
             return v;
         }
 
-        private static long along(JsonParser p) throws IOException {
+        private static long nextLong(JsonParser p) throws IOException {
             p.nextToken();
             return p.getLongValue();
         }
 
-        private static int whole(JsonParser p) throws IOException {
+        private static int nextInt(JsonParser p) throws IOException {
             p.nextToken();
             return p.getIntValue();
         }
 
-        private static double number(JsonParser p) throws IOException {
+        private static double nextDouble(JsonParser p) throws IOException {
             p.nextToken();
-            return figure(p.getDoubleValue());
+            return finite(p.getDoubleValue());
         }
 
-        private static List<Long> longs(JsonParser p) throws IOException {
-            expect(p.nextToken() == JsonToken.START_ARRAY);
+        private static List<Long> readLongs(JsonParser p) throws IOException {
+            require(p.nextToken() == JsonToken.START_ARRAY);
             List<Long> all = new ArrayList<>();
             while (p.nextToken() != JsonToken.END_ARRAY) {
                 all.add(p.getLongValue());
@@ -331,8 +331,8 @@
             return List.copyOf(all);
         }
 
-        private static List<String> strings(JsonParser p) throws IOException {
-            expect(p.currentToken() == JsonToken.START_ARRAY);
+        private static List<String> readStrings(JsonParser p) throws IOException {
+            require(p.currentToken() == JsonToken.START_ARRAY);
             List<String> all = new ArrayList<>();
             while (p.nextToken() != JsonToken.END_ARRAY) {
                 all.add(p.getText());
--- a/src/main/java/granitefold/state/StateStore.java
+++ b/src/main/java/granitefold/state/StateStore.java
@@ -13,31 +13,31 @@
  * read. A file of another program or a newer version is never written over: it is set aside first.
  */
 public final class StateStore {
-    static final String NAME = "learned.state", NEW = "learned.new", ASIDE = "learned.aside";
+    static final String CURRENT = "learned.state", NEW = "learned.new", SET_ASIDE = "learned.aside";
 
     private final Storage disk;
-    private final int keep;
-    private boolean looked;
+    private final int generations;
+    private boolean safeToWrite;
 
     /** {@code keep}: generations, the present one counted; at least 2. */
     public StateStore(Storage disk, int keep) {
         this.disk = disk;
-        this.keep = Math.max(2, keep);
+        this.generations = Math.max(2, keep);
     }
 
     /** What was found, null if nothing can be used, and what was wrong with newer ones. */
     public record LoadResult(Content content, List<String> problems) { }
 
-    static String generation(int n) {
-        return n == 0 ? NAME : NAME + "." + n;
+    static String generationName(int n) {
+        return n == 0 ? CURRENT : CURRENT + "." + n;
     }
 
     /** The newest generation that is whole. */
     public LoadResult load() {
         List<String> problems = new ArrayList<>();
-        looked = true;
-        for (int n = 0; n < keep; n++) {
-            String name = generation(n);
+        safeToWrite = true;
+        for (int n = 0; n < generations; n++) {
+            String name = generationName(n);
             try {
                 byte[] file = disk.read(name, StateFile.MAX_LENGTH_BYTES);
                 if (file != null) {
@@ -46,7 +46,7 @@
             } catch (UnreadableFileException e) {
                 problems.add(name + ": " + e.getMessage());
                 if (e.fault() != Fault.DAMAGED) {
-                    aside(name, problems);
+                    setAside(name, problems);
                 }
             } catch (IOException e) {
                 problems.add(name + ": " + e.getMessage());
@@ -55,30 +55,30 @@
         return new LoadResult(null, problems);
     }
 
-    private void aside(String name, List<String> problems) {
+    private void setAside(String name, List<String> problems) {
         try {
-            disk.rename(name, ASIDE);
+            disk.rename(name, SET_ASIDE);
             disk.forceDirectory();
         } catch (IOException e) {
             // then nothing is written at all, since that would take its place
             problems.add(name + ": cannot be set aside: " + e.getMessage());
-            looked = false;
+            safeToWrite = false;
         }
     }
 
     /** Writes another generation, whole or not at all. */
     public void save(Content content) throws IOException {
-        if (!looked) {
+        if (!safeToWrite) {
             throw new IOException("the folder holds a file that must not be written over");
         }
         disk.write(NEW, StateFile.encode(content));
         disk.force(NEW);
-        for (int n = keep - 2; n >= 0; n--) {
-            if (exists(generation(n))) {
-                disk.rename(generation(n), generation(n + 1));
+        for (int n = generations - 2; n >= 0; n--) {
+            if (exists(generationName(n))) {
+                disk.rename(generationName(n), generationName(n + 1));
             }
         }
-        disk.rename(NEW, NAME);
+        disk.rename(NEW, CURRENT);
         disk.forceDirectory();
     }
 
--- a/src/main/java/granitefold/state/StateWriter.java
+++ b/src/main/java/granitefold/state/StateWriter.java
@@ -14,18 +14,18 @@
  * costs the loop nothing, and is tried again with the next value.
  */
 public final class StateWriter {
-    private final Opener folder;
-    private final String name;
-    private final int submit;
-    private final StateIndexMapping places;
-    private final Consumer<LearnedState> recovered;
-    private LearnedState next;
-    private boolean ending;
-    private boolean idle;
-    private boolean failing;
+    private final StorageOpener storageOpener;
+    private final String storageName;
+    private final int generations;
+    private final StateIndexMapping mapping;
+    private final Consumer<LearnedState> onRecovered;
+    private LearnedState pending;
+    private boolean shuttingDown;
+    private boolean finished;
+    private boolean lastWriteFailed;
 
     /** Takes hold of the folder. */
-    interface Opener {
+    interface StorageOpener {
         Storage open() throws IOException;
     }
 
@@ -34,12 +34,12 @@
         this(folder.toString(), () -> DirectoryStorage.open(folder), keep, places, recovered);
     }
 
-    StateWriter(String name, Opener folder, int keep, StateIndexMapping places, Consumer<LearnedState> recovered) {
-        this.name = name;
-        this.folder = folder;
-        this.submit = keep;
-        this.places = places;
-        this.recovered = recovered;
+    StateWriter(String name, StorageOpener folder, int keep, StateIndexMapping places, Consumer<LearnedState> recovered) {
+        this.storageName = name;
+        this.storageOpener = folder;
+        this.generations = keep;
+        this.mapping = places;
+        this.onRecovered = recovered;
     }
 
     public void start() {
@@ -50,7 +50,7 @@
 
     /** Takes a newer value; from any thread. */
     public synchronized void submit(LearnedState learned) {
-        next = learned;
+        pending = learned;
         notifyAll();
     }
 
@@ -60,7 +60,7 @@
      */
     public void shutDown(long mostUs) {
         try {
-            if (!awaitLast(mostUs)) {
+            if (!awaitFinished(mostUs)) {
                 EventLog.log(LogEvent.STATE_PROBLEM, "the last value was not written before the end");
             }
         } catch (InterruptedException e) {
@@ -68,70 +68,70 @@
         }
     }
 
-    private synchronized boolean awaitLast(long mostUs) throws InterruptedException {
-        ending = true;
+    private synchronized boolean awaitFinished(long mostUs) throws InterruptedException {
+        shuttingDown = true;
         notifyAll();
         long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(mostUs);
-        while (!idle && until - System.nanoTime() > 0) {
+        while (!finished && until - System.nanoTime() > 0) {
             TimeUnit.NANOSECONDS.timedWait(this, until - System.nanoTime());
         }
-        return idle;
+        return finished;
     }
 
     private void run() {
-        try (Storage disk = folder.open()) {
-            StateStore store = new StateStore(disk, submit);
+        try (Storage disk = storageOpener.open()) {
+            StateStore store = new StateStore(disk, generations);
             recover(store.load());
-            for (LearnedState value = take(); value != null; value = take()) {
+            for (LearnedState value = awaitPending(); value != null; value = awaitPending()) {
                 write(store, value);
             }
         } catch (IOException e) {
             EventLog.log(LogEvent.STATE_PROBLEM, "nothing is kept: " + e.getMessage());
         } finally {
-            done();
+            markFinished();
         }
     }
 
     private void recover(StateStore.LoadResult found) {
         found.problems().forEach(p -> EventLog.log(LogEvent.STATE_PROBLEM, p));
-        LearnedState here = found.content() == null ? null : places.remap(found.content());
+        LearnedState here = found.content() == null ? null : mapping.remap(found.content());
         if (here != null) {
-            recovered.accept(here);
+            onRecovered.accept(here);
         } else if (found.content() != null) {
-            EventLog.log(LogEvent.STATE_PROBLEM, places.mismatchReason(found.content()));
+            EventLog.log(LogEvent.STATE_PROBLEM, mapping.mismatchReason(found.content()));
         } else {
-            EventLog.log(LogEvent.STATE_EMPTY, name);
+            EventLog.log(LogEvent.STATE_EMPTY, storageName);
         }
     }
 
     private void write(StateStore store, LearnedState value) {
         try {
-            store.save(places.toContent(value));
-            failing = false;
+            store.save(mapping.toContent(value));
+            lastWriteFailed = false;
         } catch (IOException e) {
-            if (!failing) {
-                failing = true;
+            if (!lastWriteFailed) {
+                lastWriteFailed = true;
                 EventLog.log(LogEvent.STATE_PROBLEM, "not written, tried again each time: " + e);
             }
         }
     }
 
-    private synchronized LearnedState take() {
+    private synchronized LearnedState awaitPending() {
         try {
-            while (next == null && !ending) {
+            while (pending == null && !shuttingDown) {
                 wait();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return null;
         }
-        LearnedState value = next;
-        next = null;
+        LearnedState value = pending;
+        pending = null;
         return value;
     }
 
-    private synchronized void done() {
-        idle = true;
+    private synchronized void markFinished() {
+        finished = true;
         notifyAll();
     }
 }
--- a/src/test/java/granitefold/availability/FleetTest.java
+++ b/src/test/java/granitefold/availability/FleetTest.java
@@ -11,34 +11,34 @@
  * is in question is the loop from weight to load and back, not any one request.
  */
 class FleetTest {
-    private static final int COUNT = 8;
+    private static final int DISPATCHERS = 8;
     private static final int STEPS = 1200;
     private static final double CAPACITY = 100;
     /** The balancer asks each agent every 2 s. */
-    private static final int POLL = 20;
+    private static final int POLL_STEPS = 20;
 
-    private record Outcome(double served, int changes, double busiest, double idlest) { }
+    private record Outcome(double served, int statusChanges, double maxLoad, double minLoad) { }
 
     /** Serves {@code load} for two minutes; each has this part of a full one's capacity. */
-    private static Outcome run(double load, double[] part, boolean checks, long seed) {
+    private static Outcome simulate(double load, double[] part, boolean checks, long seed) {
         AvailabilitySettings set = AvailabilitySettings.DEFAULTS;
         AvailabilityStateMachine machine = new AvailabilityStateMachine(set, 400);
         SplittableRandom random = new SplittableRandom(seed);
-        AvailabilityStateMachine.State[] states = new AvailabilityStateMachine.State[COUNT];
-        double[] weights = new double[COUNT];
-        double[] queue = new double[COUNT];
-        double[] total = new double[COUNT];
+        AvailabilityStateMachine.State[] states = new AvailabilityStateMachine.State[DISPATCHERS];
+        double[] weights = new double[DISPATCHERS];
+        double[] queue = new double[DISPATCHERS];
+        double[] total = new double[DISPATCHERS];
         Arrays.fill(weights, 100);
         double served = 0;
         int changes = 0;
-        int[] offset = random.ints(COUNT, 0, POLL).toArray();
-        for (int i = 0; i < COUNT; i++) {
+        int[] offset = random.ints(DISPATCHERS, 0, POLL_STEPS).toArray();
+        for (int i = 0; i < DISPATCHERS; i++) {
             states[i] = AvailabilityStateMachine.State.initial(0);
         }
         double dt = set.intervalUs() / 1e6;
         for (int step = 1; step <= STEPS; step++) {
             double sum = Arrays.stream(weights).sum();
-            for (int i = 0; i < COUNT; i++) {
+            for (int i = 0; i < DISPATCHERS; i++) {
                 double arrive = load * weights[i] / sum * dt * (0.8 + 0.4 * random.nextDouble());
                 double can = CAPACITY * part[i] * dt;
                 // what would wait for longer than two of the tightest allowances is rejected
@@ -55,7 +55,7 @@
                 // the first ones are the start's own
                 changes += next.status() != states[i].status() && step > 200 ? 1 : 0;
                 states[i] = next;
-                if (checks && step % POLL == offset[i]) {
+                if (checks && step % POLL_STEPS == offset[i]) {
                     weights[i] = Math.max(1, machine.report(next).weightPercent());
                 }
             }
@@ -63,36 +63,36 @@
         return new Outcome(served, changes, Arrays.stream(total).max().orElseThrow(), Arrays.stream(total).min().orElseThrow());
     }
 
-    private static double[] alike(double first) {
-        double[] part = new double[COUNT];
+    private static double[] capacityShares(double first) {
+        double[] part = new double[DISPATCHERS];
         Arrays.fill(part, 1);
         part[0] = first;
         return part;
     }
 
     @Test
-    void checksNeverServeLessAndDoNotFlap() {
+    void checksServeNoLessAndDoNotFlap() {
         for (long seed = 1; seed <= 5; seed++) {
             for (double load : new double[] {400, 780, 900, 1600, 4000}) {
                 for (double first : new double[] {1, 0.3}) {
-                    Outcome with = run(load, alike(first), true, seed);
-                    Outcome without = run(load, alike(first), false, seed);
+                    Outcome with = simulate(load, capacityShares(first), true, seed);
+                    Outcome without = simulate(load, capacityShares(first), false, seed);
                     String what = "load " + load + ", first " + first + ": " + with + " against " + without;
                     // half a percent: which noise meets which queue
                     assertTrue(with.served() >= 0.995 * without.served(), what);
                     // two minutes less the start: once in ten seconds each at the most
-                    assertTrue(with.changes() <= 10 * COUNT, what);
+                    assertTrue(with.statusChanges() <= 10 * DISPATCHERS, what);
                 }
             }
         }
     }
 
     @Test
-    void aWeakOneIsSparedAndTheOthersAreNotStormed() {
-        Outcome with = run(700, alike(0.3), true, 7);
-        Outcome without = run(700, alike(0.3), false, 7);
+    void slowDispatcherIsRelievedWithoutOverloadingOthers() {
+        Outcome with = simulate(700, capacityShares(0.3), true, 7);
+        Outcome without = simulate(700, capacityShares(0.3), false, 7);
         assertTrue(with.served() > 1.01 * without.served(), with + " against " + without);
-        assertTrue(with.busiest() < 1.3 * without.busiest(), "no herd on one: " + with);
-        assertTrue(with.idlest() > 0, "nobody is shut out");
+        assertTrue(with.maxLoad() < 1.3 * without.maxLoad(), "no herd on one: " + with);
+        assertTrue(with.minLoad() > 0, "nobody is shut out");
     }
 }
--- a/src/test/java/granitefold/health/WorkerHealthTrackerTest.java
+++ b/src/test/java/granitefold/health/WorkerHealthTrackerTest.java
@@ -20,15 +20,15 @@
 
 /** Rise and fall, caps, panic and ejection. */
 class WorkerHealthTrackerTest {
-    private static final HealthSettings SET = new HealthSettings(true, 1_000_000, 0.2, 500_000, 2, 3, 4, 0.5, true, 3,
+    private static final HealthSettings SETTINGS = new HealthSettings(true, 1_000_000, 0.2, 500_000, 2, 3, 4, 0.5, true, 3,
             10_000_000, 60_000_000, 0.1);
 
     private static List<Long> workers(int count) {
         return LongStream.range(0, count).boxed().toList();
     }
 
-    private static WorkerHealthTracker board(int count) {
-        WorkerHealthTracker b = new WorkerHealthTracker(SET, 1);
+    private static WorkerHealthTracker tracker(int count) {
+        WorkerHealthTracker b = new WorkerHealthTracker(SETTINGS, 1);
         assertTrue(b.updateWorkers(workers(count), 0).isEmpty());
         return b;
     }
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void aDeadWorkerIsTakenOutAfterItsFallAndComesBackAsJustStarted() {
-        WorkerHealthTracker b = board(5);
+    void deadWorkerIsRemovedAndReturnsAsNewlyStarted() {
+        WorkerHealthTracker b = tracker(5);
         List<Change> out = run(b, 0, 8_000_000, List.of(2L));
         assertEquals(List.of(new Change(2, false, 0, Health.DOWN, "no answer")), out);
         List<Change> back = run(b, 8_000_000, 16_000_000, List.of());
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void whereMostLookDeadNoneIsTakenToBe() {
-        WorkerHealthTracker b = board(5);
+    void panicModeUsesAllWorkersWhenMostLookDead() {
+        WorkerHealthTracker b = tracker(5);
         run(b, 0, 10_000_000, List.of(0L, 1L, 2L));
         assertTrue(b.inPanicMode());
         // in a panic all are used, and none is told to have come back
@@ -69,10 +69,10 @@
     }
 
     @Test
-    void probesAreSpreadAndCapped() {
-        WorkerHealthTracker b = new WorkerHealthTracker(SET, 3);
+    void probesAreSpreadAndLimited() {
+        WorkerHealthTracker b = new WorkerHealthTracker(SETTINGS, 3);
         b.updateWorkers(workers(1000), 0);
-        assertTrue(b.takeDueProbes(10_000_000).size() <= SET.maxConcurrentProbes());
+        assertTrue(b.takeDueProbes(10_000_000).size() <= SETTINGS.maxConcurrentProbes());
         WorkerHealthTracker spread = new WorkerHealthTracker(new HealthSettings(true, 1_000_000, 0.2, 500_000, 2, 3, 1000, 0.5, true, 0, 1, 1,
                 0.1), 3);
         spread.updateWorkers(workers(1000), 0);
@@ -81,8 +81,8 @@
     }
 
     @Test
-    void attemptsThatFailInARowEjectForLongerEachTimeAndOnlySoMany() {
-        WorkerHealthTracker b = board(20);
+    void consecutiveFailuresEjectForGrowingTimesUpToAShare() {
+        WorkerHealthTracker b = tracker(20);
         assertTrue(b.onAttemptOutcome(1, Outcome.BROKEN, 0).isEmpty());
         b.onAttemptOutcome(1, Outcome.UNREACHABLE, 0);
         b.onAttemptOutcome(1, Outcome.FULL, 0);
@@ -95,19 +95,19 @@
             }
         }
         assertEquals(2, b.unhealthyCount(), "a tenth of twenty");
-        assertTrue(b.expireEjections(SET.ejectUs() - 1).isEmpty());
-        assertEquals(2, b.expireEjections(SET.ejectUs()).size());
-        long now = SET.ejectUs();
+        assertTrue(b.expireEjections(SETTINGS.ejectUs() - 1).isEmpty());
+        assertEquals(2, b.expireEjections(SETTINGS.ejectUs()).size());
+        long now = SETTINGS.ejectUs();
         for (int i = 0; i < 3; i++) {
             b.onAttemptOutcome(1, Outcome.BROKEN, now);
         }
-        assertTrue(b.expireEjections(now + 2 * SET.ejectUs() - 1).isEmpty(), "the second lasts twice as long");
-        assertEquals(1, b.expireEjections(now + 2 * SET.ejectUs()).size());
+        assertTrue(b.expireEjections(now + 2 * SETTINGS.ejectUs() - 1).isEmpty(), "the second lasts twice as long");
+        assertEquals(1, b.expireEjections(now + 2 * SETTINGS.ejectUs()).size());
     }
 
     @Test
     void theOnlyWorkerIsNeverEjected() {
-        WorkerHealthTracker b = board(1);
+        WorkerHealthTracker b = tracker(1);
         for (int i = 0; i < 10; i++) {
             assertTrue(b.onAttemptOutcome(0, Outcome.BROKEN, i).isEmpty());
         }
@@ -115,8 +115,8 @@
 
     /** Whatever comes in whatever order, what was told adds up, and no more probes are out than may be. */
     @Property(tries = 300)
-    void whatWasToldAddsUp(@ForAll @Size(max = 200) List<@IntRange(max = 9_999) Integer> events) {
-        WorkerHealthTracker b = new WorkerHealthTracker(SET, 5);
+    void reportedChangesAreConsistent(@ForAll @Size(max = 200) List<@IntRange(max = 9_999) Integer> events) {
+        WorkerHealthTracker b = new WorkerHealthTracker(SETTINGS, 5);
         List<Long> ready = workers(6);
         b.updateWorkers(ready, 0);
         Map<Long, Boolean> told = new HashMap<>();
@@ -147,7 +147,7 @@
                 assertTrue(told.getOrDefault(c.worker(), true) != c.usable(), "only changes are told: " + c);
                 told.put(c.worker(), c.usable());
             }
-            assertTrue(out.size() <= SET.maxConcurrentProbes());
+            assertTrue(out.size() <= SETTINGS.maxConcurrentProbes());
             long usable = ready.stream().filter(p -> told.getOrDefault(p, true)).count();
             assertTrue(usable * 2 >= ready.size(), "never less than half are used");
             assertTrue(b.nextWakeUpAt(now) >= now);
--- a/src/test/java/granitefold/operator/OperatorFileTest.java
+++ b/src/test/java/granitefold/operator/OperatorFileTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void anEmptyFileTurnsNothingOn() throws InvalidFileException {
+    void emptyFileEnablesNothing() throws InvalidFileException {
         OperatorSettings o = OperatorFile.read("f.conf", "").settings();
         assertEquals(OperatorSettings.NONE.clients(), o.clients());
         assertFalse(o.publishesAvailability());
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theFileInDeployHoldsEveryKeyAndAllAreOff() throws Exception {
+    void deployedFileListsEveryKeyCommentedOut() throws Exception {
         String text = Files.readString(Path.of("deploy/operator.conf"));
         assertEquals(OperatorFile.read("d", "").effective(), OperatorFile.read("d", text).effective());
         String on = text.lines().filter(l -> l.matches("# [a-z-]+\\.[a-z.-]+ = .*")).map(l -> l.substring(2))
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void allProblemsAreToldAtOnceEachWithItsPlace() {
+    void allProblemsAreReportedWithTheirPositions() {
         List<String> all = problems("checks.agent {\n  lisen = \"127.0.0.1:1\"\n  connections = 0\n}\nlog.format = yaml\n"
                 + "probe { interval = 5, jitter = 2 }\nnonsense = 1\nclients = 7\n");
         assertEquals(7, all.size(), all.toString());
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void whatIsNoHoconIsOneLineWithItsPlace() {
+    void invalidHoconIsReportedInOneLineWithItsPosition() {
         assertTrue(problems("a = [1,\nb {").get(0).startsWith("f.conf:"));
         assertTrue(problems("checks.agent.listen = ${HOME}").get(0).contains("${...}"));
         assertTrue(problems("include \"other.conf\"").get(0).contains("include"));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void thePlatformForbidsProbesAndWins() throws InvalidFileException {
+    void platformSettingOverridesProbing() throws InvalidFileException {
         OperatorSettings o = OperatorFile.read("f", "probe.allowed = true").settings();
         assertTrue(o.extras(true).health().probesEnabled());
         assertNull(o.extras(false).health());
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void whatARunningProcessCannotTakeOverIsNamed() throws InvalidFileException {
+    void keysThatNeedARestartAreListed() throws InvalidFileException {
         OperatorSettings a = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:1\"").settings();
         OperatorSettings b = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:2\"\navailability.rise = 9").settings();
         assertEquals(List.of(), OperatorFile.keysNeedingRestart(a, b));
--- a/src/test/java/granitefold/recovery/LearnedStateAgingTest.java
+++ b/src/test/java/granitefold/recovery/LearnedStateAgingTest.java
@@ -13,26 +13,26 @@
 
 /** What time and a changed list leave of a file. */
 class LearnedStateAgingTest {
-    private static final long S = 1_000_000, AT = 1_000_000 * S;
-    private final LearnedStateAging ageing = new LearnedStateAging(LearnedStateAgingSettings.DEFAULTS);
-    private final LearnedState old = new LearnedState(AT, 3e5, 6, 4e5, 900, List.of(new LearnedState.Kind(0, 10, 40, 6)), List.of(
-            worker(1, 0, AT - 500 * S), worker(2, 0, 0), worker(3, 1, 0)), List.of(new LearnedState.Bucket(0, List.of(7L), 9, AT)),
-            List.of(new LearnedState.Key(5, AT + 12 * S)));
+    private static final long SECOND_US = 1_000_000, SAVED_AT_US = 1_000_000 * SECOND_US;
+    private final LearnedStateAging aging = new LearnedStateAging(LearnedStateAgingSettings.DEFAULTS);
+    private final LearnedState old = new LearnedState(SAVED_AT_US, 3e5, 6, 4e5, 900, List.of(new LearnedState.Kind(0, 10, 40, 6)), List.of(
+            worker(1, 0, SAVED_AT_US - 500 * SECOND_US), worker(2, 0, 0), worker(3, 1, 0)), List.of(new LearnedState.Bucket(0, List.of(7L), 9, SAVED_AT_US)),
+            List.of(new LearnedState.Key(5, SAVED_AT_US + 12 * SECOND_US)));
 
     private static LearnedState.Worker worker(long id, int kind, long startedAt) {
-        return new LearnedState.Worker(id, kind, startedAt, AT - S, 4, 8, 6, 1e5, List.of(11L, 12L));
+        return new LearnedState.Worker(id, kind, startedAt, SAVED_AT_US - SECOND_US, 4, 8, 6, 1e5, List.of(11L, 12L));
     }
 
     private static Worker worker(long id, int kind, long startedAt, State state) {
         return new Worker(id, 1, state, startedAt, 0, 0, kind);
     }
 
-    private static final List<Worker> LIST = List.of(worker(1, 0, AT - 500 * S, State.READY), worker(2, 0, 0, State.READY),
+    private static final List<Worker> LIST = List.of(worker(1, 0, SAVED_AT_US - 500 * SECOND_US, State.READY), worker(2, 0, 0, State.READY),
             worker(3, 1, 0, State.READY));
 
     @Test
-    void aFewSecondsLeaveAlmostAll() {
-        LearnedStateAging.Result a = ageing.apply(old, LIST, AT + 5 * S);
+    void fewSecondsKeepAlmostEverything() {
+        LearnedStateAging.Result a = aging.apply(old, LIST, SAVED_AT_US + 5 * SECOND_US);
         assertEquals(List.of(), a.dropReasons());
         assertEquals(8 * Math.exp(-5.0 / 60), a.state().workers().get(0).weight(), 1e-9);
         assertEquals(4 / 8.0, a.state().workers().get(0).sum() / a.state().workers().get(0).weight(), 1e-9, "the mean stays");
@@ -41,19 +41,19 @@
     }
 
     @Test
-    void daysLeaveKindsAndCountsAlone() {
-        LearnedStateAging.Result a = ageing.apply(old, LIST, AT + 2 * 86_400 * S);
+    void daysKeepOnlyKindsAndBucketCounts() {
+        LearnedStateAging.Result a = aging.apply(old, LIST, SAVED_AT_US + 2 * 86_400 * SECOND_US);
         assertTrue(a.state().workers().stream().allMatch(p -> p.weight() == 0 && p.kept().isEmpty()));
         assertEquals(0, a.state().works());
         assertEquals(List.of(), a.state().keys());
         assertEquals(List.of(7L), a.state().buckets().get(0).used(), "a count that only grows is never too old");
         assertTrue(a.state().kinds().get(0).weight() > 0);
-        assertTrue(ageing.apply(old, LIST, AT + 6 * 86_400 * S).state().kinds().isEmpty());
+        assertTrue(aging.apply(old, LIST, SAVED_AT_US + 6 * 86_400 * SECOND_US).state().kinds().isEmpty());
     }
 
     @Test
-    void workersThatRestartedLeftOrAreOthersLoseWhatTheyLose() {
-        LearnedStateAging.Result a = ageing.apply(old, List.of(worker(1, 0, AT + S, State.READY), worker(3, 0, 0, State.READY)), AT + 2 * S);
+    void restartedRemovedAndReplacedWorkersLoseTheirState() {
+        LearnedStateAging.Result a = aging.apply(old, List.of(worker(1, 0, SAVED_AT_US + SECOND_US, State.READY), worker(3, 0, 0, State.READY)), SAVED_AT_US + 2 * SECOND_US);
         LearnedState.Worker restarted = a.state().workers().get(0);
         assertEquals(List.of(), restarted.kept());
         assertTrue(restarted.weight() > 0 && restarted.slots() == 6, "the machine is what it was");
@@ -66,15 +66,15 @@
 
     /** Whenever the clock is, what guards the rules is never weaker than it was, and nothing gains weight. */
     @Property(tries = 500)
-    void ageingErrsToTheSafeSide(@ForAll @LongRange(min = -100_000_000, max = 100_000_000) long later) {
-        LearnedState a = ageing.apply(old, LIST, AT + later).state();
+    void agingNeverWeakensSafetyLimits(@ForAll @LongRange(min = -100_000_000, max = 100_000_000) long later) {
+        LearnedState a = aging.apply(old, LIST, SAVED_AT_US + later).state();
         for (LearnedState.Worker p : a.workers()) {
             assertEquals(1e5, p.work());
             assertTrue(p.weight() <= 8);
         }
         assertEquals(3, a.workers().size());
-        long left = a.keys().stream().mapToLong(k -> k.until() - (AT + later)).sum();
-        assertTrue(left >= Math.min(12 * S, Math.max(0, 12 * S - later)), "the window that is left: " + left);
-        assertTrue(later <= 0 || left <= 12 * S);
+        long left = a.keys().stream().mapToLong(k -> k.until() - (SAVED_AT_US + later)).sum();
+        assertTrue(left >= Math.min(12 * SECOND_US, Math.max(0, 12 * SECOND_US - later)), "the window that is left: " + left);
+        assertTrue(later <= 0 || left <= 12 * SECOND_US);
     }
 }
--- a/src/test/java/granitefold/state/FaultyStorage.java
+++ b/src/test/java/granitefold/state/FaultyStorage.java
@@ -27,42 +27,42 @@
         }
     }
 
-    private interface Change {
-        void on(Map<String, Inode> names);
+    private interface NameChange {
+        void applyTo(Map<String, Inode> names);
     }
 
     private final SplittableRandom random;
-    private Map<String, Inode> names = new HashMap<>();
-    private Map<String, Inode> durable = new HashMap<>();
-    private final List<Change> unforced = new ArrayList<>();
+    private Map<String, Inode> files = new HashMap<>();
+    private Map<String, Inode> durableFiles = new HashMap<>();
+    private final List<NameChange> unforcedChanges = new ArrayList<>();
     /** Steps until the power goes, -1: it stays. */
-    int powerFor = -1;
+    int stepsToPowerLoss = -1;
     /** Steps until a call fails, -1: none does. */
-    int failAt = -1;
-    int steps;
+    int stepsToFailure = -1;
+    int stepCount;
 
     FaultyStorage(long seed) {
         random = new SplittableRandom(seed);
     }
 
     private void step() throws IOException {
-        steps++;
-        if (powerFor >= 0 && powerFor-- == 0) {
+        stepCount++;
+        if (stepsToPowerLoss >= 0 && stepsToPowerLoss-- == 0) {
             throw new PowerLoss();
         }
-        if (failAt >= 0 && failAt-- == 0) {
+        if (stepsToFailure >= 0 && stepsToFailure-- == 0) {
             throw new IOException("No space left on device");
         }
     }
 
-    private void change(Change c) {
-        c.on(names);
-        unforced.add(c);
+    private void change(NameChange c) {
+        c.applyTo(files);
+        unforcedChanges.add(c);
     }
 
     @Override
     public byte[] read(String name, int most) {
-        Inode i = names.get(name);
+        Inode i = files.get(name);
         return i == null ? null : i.bytes.clone();
     }
 
@@ -78,7 +78,7 @@
     @Override
     public void force(String name) throws IOException {
         step();
-        Inode i = names.get(name);
+        Inode i = files.get(name);
         if (i == null) {
             throw new IOException("missing");
         }
@@ -88,10 +88,10 @@
     @Override
     public void rename(String from, String to) throws IOException {
         step();
-        if (!names.containsKey(from)) {
+        if (!files.containsKey(from)) {
             throw new IOException("missing");
         }
-        Inode i = names.get(from);
+        Inode i = files.get(from);
         change(n -> {
             if (n.get(from) == i) {
                 n.remove(from);
@@ -103,20 +103,20 @@
     @Override
     public void forceDirectory() throws IOException {
         step();
-        durable = new HashMap<>(names);
-        unforced.clear();
+        durableFiles = new HashMap<>(files);
+        unforcedChanges.clear();
     }
 
     /** What is there after the power has come back. */
-    void powerBack() {
-        Map<String, Inode> left = new HashMap<>(durable);
+    void restorePower() {
+        Map<String, Inode> left = new HashMap<>(durableFiles);
         // journals write names in order or not: any of the changes may have made it
-        for (Change c : unforced) {
+        for (NameChange c : unforcedChanges) {
             if (random.nextBoolean()) {
-                c.on(left);
+                c.applyTo(left);
             }
         }
-        unforced.clear();
+        unforcedChanges.clear();
         Map<String, Inode> after = new HashMap<>();
         left.forEach((name, i) -> {
             boolean all = i.durable.length == i.bytes.length && Arrays.equals(i.durable, i.bytes);
@@ -134,16 +134,16 @@
             n.durable = bytes;
             after.put(name, n);
         });
-        names = after;
-        durable = new HashMap<>(after);
-        powerFor = -1;
-        failAt = -1;
+        files = after;
+        durableFiles = new HashMap<>(after);
+        stepsToPowerLoss = -1;
+        stepsToFailure = -1;
     }
 
     void put(String name, byte[] bytes) {
         Inode i = new Inode(bytes);
         i.durable = bytes;
-        names.put(name, i);
-        durable.put(name, i);
+        files.put(name, i);
+        durableFiles.put(name, i);
     }
 }
--- a/src/test/java/granitefold/state/KillIT.java
+++ b/src/test/java/granitefold/state/KillIT.java
@@ -16,7 +16,7 @@
     private static final int CYCLES = Integer.getInteger("kill.cycles", 25);
 
     @Test
-    public void aKillAtAnyMomentLosesNoSaveThatCameBack() throws Exception {
+    public void killAtAnyMomentLosesNoCompletedSave() throws Exception {
         Path folder = Files.createTempDirectory("kill");
         SplittableRandom random = new SplittableRandom(1);
         long saved = 0;
--- a/src/test/java/granitefold/state/StateFileTest.java
+++ b/src/test/java/granitefold/state/StateFileTest.java
@@ -39,21 +39,21 @@
     }
 
     @Property(tries = 200)
-    void whatIsWrittenIsRead(@ForAll long seed, @ForAll @IntRange(max = 40) int workers) throws UnreadableFileException {
+    void decodingReturnsTheEncodedContent(@ForAll long seed, @ForAll @IntRange(max = 40) int workers) throws UnreadableFileException {
         Content c = content(workers, seed);
         assertEquals(c, StateFile.decode(StateFile.encode(c)));
     }
 
     /** A file that version 0.1.0 wrote. */
     @Test
-    void aFileOfTheVersionBeforeIsRead() throws Exception {
+    void fileOfVersion010IsRead() throws Exception {
         byte[] golden = java.nio.file.Files.readAllBytes(java.nio.file.Path.of("src/test/resources/golden/learned-1.state"));
         assertEquals(content(5, 42, ""), StateFile.decode(golden), "it does not say what its settings were, and is nobody's");
     }
 
     /** Every prefix and every flipped bit of a real file. */
     @Test
-    void noPrefixAndNoFlippedBitIsTakenForAFile() {
+    void truncatedAndCorruptedFilesAreRejected() {
         byte[] file = StateFile.encode(content(12, 3));
         int refused = 0;
         for (int n = 0; n < file.length; n++) {
@@ -72,17 +72,17 @@
     }
 
     @Test
-    void anotherVersionOrProgramIsToldApart() {
+    void otherVersionsAndForeignFilesAreDistinguished() {
         byte[] file = StateFile.encode(content(2, 1));
-        assertEquals(Fault.NEWER, fault(version(file, StateFile.VERSION + 1)));
-        assertEquals(Fault.FOREIGN, fault(version(file, StateFile.VERSION - 1)), "there was no version 0");
+        assertEquals(Fault.NEWER, fault(withVersion(file, StateFile.VERSION + 1)));
+        assertEquals(Fault.FOREIGN, fault(withVersion(file, StateFile.VERSION - 1)), "there was no version 0");
         byte[] foreign = file.clone();
         foreign[0] = 'G';
         assertEquals(Fault.FOREIGN, fault(foreign));
         assertEquals(Fault.DAMAGED, fault(new byte[0]));
     }
 
-    static byte[] version(byte[] file, int version) {
+    static byte[] withVersion(byte[] file, int version) {
         byte[] other = file.clone();
         ByteBuffer.wrap(other).putShort(StateFile.MAGIC.length, (short) version);
         CRC32C crc = new CRC32C();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void tenThousandWorkersStayUnderTheirBound() {
+    void tenThousandWorkersFitIntoFourMebibytes() {
         SplittableRandom r = new SplittableRandom(5);
         List<LearnedState.Worker> workers = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void placesFollowTheirNamesAndAnothersFileIsNotOurs() {
+    void indicesFollowNamesAndForeignFilesAreRejected() {
         Content c = content(3, 9);
         StateIndexMapping turned = new StateIndexMapping(c.name(), c.settings(), 0, 2, List.of("dulce-tarde", "cocina-de-casa"), List.of("viejo-6n"));
         LearnedState here = turned.remap(c);
--- a/src/test/java/granitefold/state/StateStoreTest.java
+++ b/src/test/java/granitefold/state/StateStoreTest.java
@@ -27,7 +27,7 @@
 
     /** 4 steps of power loss within each of 3 saves, 500 outcomes of each: what is found was written whole and is not older. */
     @Test
-    void aPowerLossAtAnyStepLeavesTheLastSaveOrTheOneInHand() throws IOException {
+    void powerLossAtAnyStepKeepsTheLastOrCurrentSave() throws IOException {
         int runs = 0;
         for (int keep = 2; keep <= 4; keep++) {
             for (int step = 0; step < 8; step++) {
@@ -38,7 +38,7 @@
                     store.save(numbered(1));
                     store.save(numbered(2));
                     store.save(numbered(3));
-                    disk.powerFor = step;
+                    disk.stepsToPowerLoss = step;
                     long told = 3;
                     try {
                         store.save(numbered(4));
@@ -46,7 +46,7 @@
                     } catch (FaultyStorage.PowerLoss e) {
                         // nothing was promised
                     }
-                    disk.powerBack();
+                    disk.restorePower();
                     long found = load(disk, keep);
                     assertTrue(found == told || found == 4, "keep " + keep + " step " + step + " seed " + seed + ": " + found);
                     // and the next life writes on
@@ -62,14 +62,14 @@
     }
 
     @Test
-    void aFullDiskAtAnyStepLosesNothingThatWasThereAndIsTriedAgain() throws IOException {
+    void fullDiskAtAnyStepKeepsSavedDataAndAllowsRetry() throws IOException {
         for (int step = 0; step < 6; step++) {
             FaultyStorage disk = new FaultyStorage(step);
             StateStore store = new StateStore(disk, 2);
             store.load();
             store.save(numbered(1));
             store.save(numbered(2));
-            disk.failAt = step;
+            disk.stepsToFailure = step;
             boolean failed = false;
             try {
                 store.save(numbered(3));
@@ -77,47 +77,47 @@
                 failed = true;
             }
             assertTrue(load(disk, 2) >= 2, "step " + step);
-            assertTrue(failed || step >= 5, "step " + step + " of " + disk.steps);
-            disk.failAt = -1;
+            assertTrue(failed || step >= 5, "step " + step + " of " + disk.stepCount);
+            disk.stepsToFailure = -1;
             store.save(numbered(4));
             assertEquals(4, load(disk, 2));
         }
     }
 
     @Test
-    void aNewerFileIsSetAsideUntouchedAndAnOlderGenerationIsTaken() throws IOException {
+    void newerFileIsSetAsideAndOlderGenerationIsLoaded() throws IOException {
         FaultyStorage disk = new FaultyStorage(1);
-        byte[] newer = StateFileTest.version(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
-        disk.put(StateStore.NAME, newer);
-        disk.put(StateStore.generation(1), StateFile.encode(numbered(8)));
+        byte[] newer = StateFileTest.withVersion(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
+        disk.put(StateStore.CURRENT, newer);
+        disk.put(StateStore.generationName(1), StateFile.encode(numbered(8)));
         StateStore store = new StateStore(disk, 2);
         StateStore.LoadResult found = store.load();
         assertEquals(8, found.content().learned().at());
         assertEquals(1, found.problems().size());
         store.save(numbered(10));
         store.save(numbered(11));
-        assertArrayEquals(newer, disk.read(StateStore.ASIDE, StateFile.MAX_LENGTH_BYTES));
+        assertArrayEquals(newer, disk.read(StateStore.SET_ASIDE, StateFile.MAX_LENGTH_BYTES));
     }
 
     @Test
-    void whereItCannotBeSetAsideNothingIsWritten() throws IOException {
+    void nothingIsWrittenIfSettingAsideFails() throws IOException {
         FaultyStorage disk = new FaultyStorage(1);
-        byte[] newer = StateFileTest.version(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
-        disk.put(StateStore.NAME, newer);
-        disk.failAt = 0;
+        byte[] newer = StateFileTest.withVersion(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
+        disk.put(StateStore.CURRENT, newer);
+        disk.stepsToFailure = 0;
         StateStore store = new StateStore(disk, 2);
         assertNull(store.load().content());
         assertThrows(IOException.class, () -> store.save(numbered(10)));
-        assertArrayEquals(newer, disk.read(StateStore.NAME, StateFile.MAX_LENGTH_BYTES));
+        assertArrayEquals(newer, disk.read(StateStore.CURRENT, StateFile.MAX_LENGTH_BYTES));
     }
 
     @Test
-    void aDamagedFileIsToldAndTheOneBeforeIsTaken() throws IOException {
+    void damagedFileIsReportedAndPreviousGenerationIsLoaded() throws IOException {
         FaultyStorage disk = new FaultyStorage(1);
         byte[] damaged = StateFile.encode(numbered(2));
         damaged[40] ^= 4;
-        disk.put(StateStore.NAME, damaged);
-        disk.put(StateStore.generation(1), StateFile.encode(numbered(1)));
+        disk.put(StateStore.CURRENT, damaged);
+        disk.put(StateStore.generationName(1), StateFile.encode(numbered(1)));
         StateStore.LoadResult found = new StateStore(disk, 2).load();
         assertEquals(1, found.content().learned().at());
         assertTrue(found.problems().get(0).startsWith("learned.state: at byte "), found.problems().get(0));
--- a/src/test/java/granitefold/state/StateWriterTest.java
+++ b/src/test/java/granitefold/state/StateWriterTest.java
@@ -12,12 +12,12 @@
 
 /** What a planned end leaves behind, on a disk that takes its time. */
 class StateWriterTest {
-    private static final long PATIENCE_US = 30_000_000;
-    private static final long OWN_BOUND_MS = 200;
+    private static final long TIMEOUT_US = 30_000_000;
+    private static final long EARLY_END_MS = 200;
     private final FaultyStorage memory = new FaultyStorage(1);
     /** A value is being forced; it may be through. */
-    private final CountDownLatch forcing = new CountDownLatch(1), through = new CountDownLatch(1);
-    private final Storage slow = new Storage() {
+    private final CountDownLatch forceStarted = new CountDownLatch(1), forceAllowed = new CountDownLatch(1);
+    private final Storage slowStorage = new Storage() {
         @Override
         public byte[] read(String name, int most) {
             return memory.read(name, most);
@@ -30,9 +30,9 @@
 
         @Override
         public void force(String name) throws IOException {
-            forcing.countDown();
+            forceStarted.countDown();
             try {
-                through.await();
+                forceAllowed.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -49,7 +49,7 @@
             memory.forceDirectory();
         }
     };
-    private final StateWriter keeper = new StateWriter("slow", () -> slow, 2,
+    private final StateWriter writer = new StateWriter("slow", () -> slowStorage, 2,
             new StateIndexMapping("n0", "s", 0, 1, List.of("acme"), List.of("m")), learned -> { });
 
     private static LearnedState learned(long at) {
@@ -62,28 +62,28 @@
     }
 
     @Test
-    void thePlannedEndWaitsForTheLastValueForAsLongAsItMay() throws Exception {
-        keeper.start();
-        keeper.submit(learned(1));
-        forcing.await();
-        keeper.submit(learned(2));
-        Thread ends = new Thread(() -> keeper.shutDown(PATIENCE_US));
+    void shutdownWaitsForTheLastValue() throws Exception {
+        writer.start();
+        writer.submit(learned(1));
+        forceStarted.await();
+        writer.submit(learned(2));
+        Thread ends = new Thread(() -> writer.shutDown(TIMEOUT_US));
         ends.start();
         // an end that had a bound of its own, shorter than the time there is, would be over
-        ends.join(OWN_BOUND_MS);
+        ends.join(EARLY_END_MS);
         assertTrue(ends.isAlive(), "it ended before the disk had the last value");
-        through.countDown();
-        ends.join(TimeUnit.MICROSECONDS.toMillis(PATIENCE_US));
+        forceAllowed.countDown();
+        ends.join(TimeUnit.MICROSECONDS.toMillis(TIMEOUT_US));
         assertEquals(2, newest());
     }
 
     @Test
-    void aDiskThatTakesLongerThanTheEndMayDoesNotHoldIt() throws Exception {
-        keeper.start();
-        keeper.submit(learned(1));
-        forcing.await();
-        keeper.shutDown(1);
+    void slowStorageDoesNotDelayShutdownBeyondItsLimit() throws Exception {
+        writer.start();
+        writer.submit(learned(1));
+        forceStarted.await();
+        writer.shutDown(1);
         assertEquals(0, newest(), "what was not forced has no name that is read");
-        through.countDown();
+        forceAllowed.countDown();
     }
 }
