--- a/src/main/java/granitefold/operator/ConfigSection.java
+++ b/src/main/java/granitefold/operator/ConfigSection.java
@@ -17,11 +17,11 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * One section of the file. Each key is asked for once, with what is allowed and what holds without it; what is wrong
- * is noted and reading goes on. At the end a key that nobody asked for is a problem too.
+ * One section of a file. Each key is read once, with its allowed values and its default. An invalid value is recorded as a
+ * problem and reading goes on. At the end, keys that were never read are reported as unknown.
  */
 public final class ConfigSection {
-    /** A word this far from a known key, or nearer, is taken for a slip of the pen. */
+    /** Largest edit distance at which an unknown key is taken for a misspelled known key. */
     private static final int MAX_TYPO_DISTANCE = 4;
 
     private final String path;
@@ -29,7 +29,7 @@
     private final Diagnostics diagnostics;
     private final Set<String> knownKeys = new TreeSet<>();
 
-    /** What reading has found: problems by line, and the values that hold. */
+    /** Findings while a file is read: problems by line, and the effective values. */
     static final class Diagnostics {
         final String file;
         final Map<String, String> effective = new TreeMap<>();
@@ -49,25 +49,25 @@
         }
     }
 
-    ConfigSection(String path, Config here, Diagnostics notes) {
+    ConfigSection(String path, Config config, Diagnostics diagnostics) {
         this.path = path;
-        this.config = here;
-        this.diagnostics = notes;
+        this.config = config;
+        this.diagnostics = diagnostics;
     }
 
-    /** The section below a key; without it one that has no keys. */
+    /** Returns the section under a key, or an empty one if the key is missing. */
     public ConfigSection section(String key) {
         knownKeys.add(key);
-        ConfigValue v = rawValue(key);
-        if (v != null && v.valueType() != ConfigValueType.OBJECT) {
-            addInvalidValue(key, v, "a section: " + key + " { ... }");
-            v = null;
+        ConfigValue found = rawValue(key);
+        if (found != null && found.valueType() != ConfigValueType.OBJECT) {
+            addInvalidValue(key, found, "a section: " + key + " { ... }");
+            found = null;
         }
-        return new ConfigSection(path(key), v == null ? com.typesafe.config.ConfigFactory.empty() : ((ConfigObject) v).toConfig(),
+        return new ConfigSection(path(key), found == null ? com.typesafe.config.ConfigFactory.empty() : ((ConfigObject) found).toConfig(),
                 diagnostics);
     }
 
-    /** The named sections below a key, in the order of the file. */
+    /** Returns the sections under a key by their names, in the order of the file. */
     public Map<String, ConfigSection> named(String key) {
         ConfigSection all = section(key);
         Map<String, ConfigSection> found = new LinkedHashMap<>();
@@ -76,103 +76,103 @@
         return found;
     }
 
-    /** The sections of a list. */
+    /** Returns the sections in the list under a key. */
     public List<ConfigSection> sections(String key) {
         knownKeys.add(key);
-        ConfigValue v = rawValue(key);
-        List<ConfigSection> found = new ArrayList<>();
-        if (v != null && v.valueType() != ConfigValueType.LIST) {
-            addInvalidValue(key, v, "a list of sections: " + key + " = [ { ... } ]");
-        } else if (v != null) {
-            for (ConfigValue one : (com.typesafe.config.ConfigList) v) {
-                String at = path(key) + "[" + found.size() + "]";
-                if (one.valueType() == ConfigValueType.OBJECT) {
-                    found.add(new ConfigSection(at, ((ConfigObject) one).toConfig(), diagnostics));
+        ConfigValue list = rawValue(key);
+        List<ConfigSection> sections = new ArrayList<>();
+        if (list != null && list.valueType() != ConfigValueType.LIST) {
+            addInvalidValue(key, list, "a list of sections: " + key + " = [ { ... } ]");
+        } else if (list != null) {
+            for (ConfigValue element : (com.typesafe.config.ConfigList) list) {
+                String elementPath = path(key) + "[" + sections.size() + "]";
+                if (element.valueType() == ConfigValueType.OBJECT) {
+                    sections.add(new ConfigSection(elementPath, ((ConfigObject) element).toConfig(), diagnostics));
                 } else {
-                    diagnostics.add(one.origin().lineNumber(), at + ": " + one.unwrapped() + " is not a section");
+                    diagnostics.add(element.origin().lineNumber(), elementPath + ": " + element.unwrapped() + " is not a section");
                 }
             }
         }
-        return found;
+        return sections;
     }
 
-    /** Notes that a key's value does not do, for a reason that shows only beside others. */
-    public void reject(String key, String why) {
-        ConfigValue v = rawValue(key);
-        diagnostics.add(v == null ? config.root().origin().lineNumber() : v.origin().lineNumber(), path(key) + ": " + why);
+    /** Records a problem of a value that is invalid only in combination with other values. */
+    public void reject(String key, String reason) {
+        ConfigValue found = rawValue(key);
+        diagnostics.add(found == null ? config.root().origin().lineNumber() : found.origin().lineNumber(), path(key) + ": " + reason);
     }
 
-    /** Whether a key is there. */
+    /** Whether a key is present. */
     public boolean has(String key) {
         knownKeys.add(key);
         return rawValue(key) != null;
     }
 
-    /** Whether it holds nothing. */
+    /** Whether the section has no keys. */
     public boolean isEmpty() {
         return config.isEmpty();
     }
 
-    /** True or false. */
-    public boolean bool(String key, boolean absent) {
-        return read(key, absent, "true or false", () -> config.getBoolean(key));
+    /** Reads a boolean. */
+    public boolean bool(String key, boolean defaultValue) {
+        return read(key, defaultValue, "true or false", () -> config.getBoolean(key));
     }
 
-    /** A whole number within bounds. */
-    public int integer(String key, int absent, int least, int most) {
-        return read(key, absent, "a whole number from " + least + " to " + most, () -> {
-            double v = config.getDouble(key);
-            return v == Math.rint(v) && v >= least && v <= most ? (int) v : null;
+    /** Reads an integer within bounds. */
+    public int integer(String key, int defaultValue, int min, int max) {
+        return read(key, defaultValue, "a whole number from " + min + " to " + max, () -> {
+            double value = config.getDouble(key);
+            return value == Math.rint(value) && value >= min && value <= max ? (int) value : null;
         });
     }
 
-    /** A number within bounds. */
-    public double number(String key, double absent, double least, double most) {
-        return read(key, absent, "a number from " + least + " to " + most, () -> {
-            double v = config.getDouble(key);
-            return v >= least && v <= most ? v : null;
+    /** Reads a number within bounds. */
+    public double number(String key, double defaultValue, double min, double max) {
+        return read(key, defaultValue, "a number from " + min + " to " + max, () -> {
+            double value = config.getDouble(key);
+            return value >= min && value <= max ? value : null;
         });
     }
 
-    /** A time in microseconds, written with its unit. */
-    public long durationUs(String key, long absentUs, long leastMs, long mostMs) {
-        return read(key, absentUs, "a time from " + leastMs + "ms to " + mostMs + "ms, with its unit", () -> {
-            // a bare number would be milliseconds, which nobody can see
+    /** Reads a duration in microseconds, which is written with its unit. */
+    public long durationUs(String key, long defaultUs, long minMs, long maxMs) {
+        return read(key, defaultUs, "a time from " + minMs + "ms to " + maxMs + "ms, with its unit", () -> {
+            // A number without a unit would silently mean milliseconds.
             if (config.getValue(key).valueType() != ConfigValueType.STRING) {
                 return null;
             }
-            long us = config.getDuration(key, TimeUnit.MICROSECONDS);
-            return us >= leastMs * 1000 && us <= mostMs * 1000 ? us : null;
+            long valueUs = config.getDuration(key, TimeUnit.MICROSECONDS);
+            return valueUs >= minMs * 1000 && valueUs <= maxMs * 1000 ? valueUs : null;
         });
     }
 
-    /** A text that a test finds good; {@code allowed} says what that is. */
-    public String string(String key, String absent, String allowed, java.util.function.Predicate<String> good) {
-        return read(key, absent, allowed, () -> {
-            String v = config.getString(key);
-            return good.test(v) ? v : null;
+    /** Reads a string that satisfies a predicate; {@code allowed} describes what it accepts. */
+    public String string(String key, String defaultValue, String allowed, java.util.function.Predicate<String> predicate) {
+        return read(key, defaultValue, allowed, () -> {
+            String value = config.getString(key);
+            return predicate.test(value) ? value : null;
         });
     }
 
-    /** One of these words. */
-    public String choice(String key, String absent, String... words) {
-        return string(key, absent, String.join(" or ", words), List.of(words)::contains);
+    /** Reads one of the given words. */
+    public String choice(String key, String defaultValue, String... choices) {
+        return string(key, defaultValue, String.join(" or ", choices), List.of(choices)::contains);
     }
 
-    /** A list of texts that a test finds good, each. */
-    public List<String> strings(String key, String allowed, java.util.function.Predicate<String> good) {
+    /** Reads a list of strings that all satisfy a predicate. */
+    public List<String> strings(String key, String allowed, java.util.function.Predicate<String> predicate) {
         return read(key, List.of(), allowed, () -> {
-            List<String> all = config.getStringList(key);
-            return all.stream().allMatch(good) ? all : null;
+            List<String> values = config.getStringList(key);
+            return values.stream().allMatch(predicate) ? values : null;
         });
     }
 
-    /** An address, or null. */
+    /** Reads an address; null if the key is missing. */
     public InetSocketAddress address(String key) {
         InetSocketAddress[] found = new InetSocketAddress[1];
-        string(key, "", "host:port with a literal address, as 127.0.0.1:9701", v -> {
+        string(key, "", "host:port with a literal address, as 127.0.0.1:9701", value -> {
             try {
-                found[0] = granitefold.wire.Address.of(v);
+                found[0] = granitefold.wire.Address.of(value);
                 return true;
             } catch (granitefold.wire.BadWire e) {
                 return false;
@@ -185,31 +185,31 @@
         T get();
     }
 
-    private <T> T read(String key, T absent, String allowed, ValueReader<T> reading) {
+    private <T> T read(String key, T defaultValue, String allowed, ValueReader<T> reader) {
         knownKeys.add(key);
-        ConfigValue v = rawValue(key);
+        ConfigValue present = rawValue(key);
         T found = null;
-        if (v != null) {
+        if (present != null) {
             try {
-                found = reading.get();
+                found = reader.get();
             } catch (ConfigException e) {
-                // told below
+                // Reported below.
             }
             if (found == null) {
-                addInvalidValue(key, v, allowed);
+                addInvalidValue(key, present, allowed);
             }
         }
-        T holds = found == null ? absent : found;
-        diagnostics.effective.put(path(key), String.valueOf(holds));
-        return holds;
+        T effective = found == null ? defaultValue : found;
+        diagnostics.effective.put(path(key), String.valueOf(effective));
+        return effective;
     }
 
-    private void addInvalidValue(String key, ConfigValue v, String allowed) {
-        diagnostics.add(v.origin().lineNumber(), path(key) + ": " + v.unwrapped() + " is not allowed; allowed is " + allowed);
+    private void addInvalidValue(String key, ConfigValue value, String allowed) {
+        diagnostics.add(value.origin().lineNumber(), path(key) + ": " + value.unwrapped() + " is not allowed; allowed is " + allowed);
     }
 
     private ConfigValue rawValue(String key) {
-        // a key may hold dots only in quotes, which none of ours needs
+        // Only a quoted key may contain dots, and no known key does.
         return config.root().get(key);
     }
 
@@ -217,15 +217,15 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Names what is there and unknown, each with the known key that it is most like. */
+    /** Reports the keys that are present but unknown, each with the most similar known key. */
     public void reportUnknownKeys() {
-        for (Map.Entry<String, ConfigValue> e : config.root().entrySet()) {
-            if (!knownKeys.contains(e.getKey())) {
+        for (Map.Entry<String, ConfigValue> entry : config.root().entrySet()) {
+            if (!knownKeys.contains(entry.getKey())) {
                 LevenshteinDistance distance = new LevenshteinDistance();
-                String near = knownKeys.stream().min(java.util.Comparator.comparing(k -> distance.apply(k, e.getKey())))
-                        .filter(k -> distance.apply(k, e.getKey()) <= MAX_TYPO_DISTANCE).orElse(null);
-                diagnostics.add(e.getValue().origin().lineNumber(), path(e.getKey()) + ": unknown key"
-                        + (near == null ? "; known are " + String.join(", ", knownKeys) : "; did you mean " + path(near) + "?"));
+                String nearest = knownKeys.stream().min(java.util.Comparator.comparing(known -> distance.apply(known, entry.getKey())))
+                        .filter(known -> distance.apply(known, entry.getKey()) <= MAX_TYPO_DISTANCE).orElse(null);
+                diagnostics.add(entry.getValue().origin().lineNumber(), path(entry.getKey()) + ": unknown key"
+                        + (nearest == null ? "; known are " + String.join(", ", knownKeys) : "; did you mean " + path(nearest) + "?"));
             }
         }
     }
--- a/src/main/java/granitefold/operator/HoconFile.java
+++ b/src/main/java/granitefold/operator/HoconFile.java
@@ -15,19 +15,19 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Reads a file of ours in HOCON into checked values; whatever is wrong with it is told at once, with file, line and key. */
+/** Reads a HOCON file into validated values and reports all its problems together, with file, line and key. */
 public final class HoconFile {
-    /** A longer file is a mistake. */
+    /** Limit of the file length; a longer file is taken for a mistake. */
     private static final long MAX_LENGTH_BYTES = 256 * 1024;
-    /** Brackets nested deeper than this are one too, and would use up the parser's stack. */
+    /** Limit of the nesting of brackets; deeper nesting could overflow the parser's stack. */
     private static final int MAX_DEPTH = 32;
 
-    /** A file that was read: what it says, and every key with the value that holds. */
+    /** The value read from a file, and every known key with its effective value. */
     public record Read<T>(T value, Map<String, String> effective) { }
 
     private HoconFile() { }
 
-    /** Reads a file; {@code reader} asks the whole file's section for all that it may hold. */
+    /** Reads a file; {@code reader} reads every allowed key from the section that stands for the whole file. */
     public static <T> Read<T> read(Path file, Function<ConfigSection, T> reader) throws InvalidFileException {
         try {
             if (Files.size(file) > MAX_LENGTH_BYTES) {
@@ -41,30 +41,30 @@
         }
     }
 
-    /** Reads a text; {@code name} is what its problems are told by. */
+    /** Reads a text; its problems are reported under {@code name}. */
     public static <T> Read<T> read(String name, String text, Function<ConfigSection, T> reader) throws InvalidFileException {
-        ConfigSection.Diagnostics notes = new ConfigSection.Diagnostics(name);
+        ConfigSection.Diagnostics diagnostics = new ConfigSection.Diagnostics(name);
         T value = null;
         try {
             if (isNestedTooDeep(text)) {
                 throw new InvalidFileException(List.of(name + ": nested deeper than " + MAX_DEPTH));
             }
-            // an include would read other files, or addresses, that nobody has checked
+            // An include could read other files or URLs that nobody has reviewed.
             Config all = ConfigFactory.parseString(text, ConfigParseOptions.defaults().setSyntax(ConfigSyntax.CONF)
                     .setOriginDescription(name).setIncluder(new NoIncludes()));
             if (!all.isResolved()) {
-                // a few lines of them can stand for a text that fills the memory
+                // A few lines of nested substitutions can expand to a text that exhausts the memory.
                 throw new InvalidFileException(List.of(name + ": ${...} is not taken: each key has its own value"));
             }
-            value = reader.apply(new ConfigSection("", all, notes));
+            value = reader.apply(new ConfigSection("", all, diagnostics));
         } catch (ConfigException | BadWire e) {
-            ConfigException c = e instanceof ConfigException ce ? ce : null;
-            notes.add(c == null || c.origin() == null ? 0 : c.origin().lineNumber(), withoutPosition(e.getMessage(), name));
+            ConfigException located = e instanceof ConfigException ce ? ce : null;
+            diagnostics.add(located == null || located.origin() == null ? 0 : located.origin().lineNumber(), withoutPosition(e.getMessage(), name));
         }
-        if (!notes.problems().isEmpty()) {
-            throw new InvalidFileException(notes.problems());
+        if (!diagnostics.problems().isEmpty()) {
+            throw new InvalidFileException(diagnostics.problems());
         }
-        return new Read<>(value, notes.effective);
+        return new Read<>(value, diagnostics.effective);
     }
 
     private static final class NoIncludes implements ConfigIncluder {
@@ -91,11 +91,11 @@
         return false;
     }
 
-    /** The library's words, without the place, which is told before them. */
+    /** Returns the library's message without the position, which is reported separately. */
     private static String withoutPosition(String message, String name) {
-        String text = message.lines().findFirst().orElse("").strip();
-        int at = text.indexOf(name + ": ");
-        text = at < 0 ? text : text.substring(at + name.length() + 2);
-        return text.replaceFirst("^\\d+: ", "");
+        String stripped = message.lines().findFirst().orElse("").strip();
+        int nameAt = stripped.indexOf(name + ": ");
+        stripped = nameAt < 0 ? stripped : stripped.substring(nameAt + name.length() + 2);
+        return stripped.replaceFirst("^\\d+: ", "");
     }
 }
--- a/src/main/java/granitefold/operator/InvalidFileException.java
+++ b/src/main/java/granitefold/operator/InvalidFileException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A file that cannot be used: all problems of it, each with file, line and key. */
+/** A configuration file is invalid; lists all its problems, each with file, line and key. */
 public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<String> problems;
--- a/src/main/java/granitefold/operator/OperatorFile.java
+++ b/src/main/java/granitefold/operator/OperatorFile.java
@@ -16,18 +16,18 @@
 public final class OperatorFile {
     private static final long MINUTE_MS = 60_000, HOUR_MS = 3_600_000;
 
-    /** A file that was read: the settings, and every key with the value that holds. */
+    /** The settings read from a file, and every known key with its effective value. */
     public record Read(OperatorSettings settings, Map<String, String> effective) { }
 
     private OperatorFile() { }
 
-    /** Reads and checks a file. */
+    /** Reads and validates a file. */
     public static Read read(Path file) throws InvalidFileException {
         HoconFile.Read<OperatorSettings> read = HoconFile.read(file, OperatorFile::read);
         return new Read(read.value(), read.effective());
     }
 
-    /** Reads and checks a text; {@code name} is what its problems are told by. */
+    /** Reads and validates a text; its problems are reported under {@code name}. */
     public static Read read(String name, String text) throws InvalidFileException {
         HoconFile.Read<OperatorSettings> read = HoconFile.read(name, text, OperatorFile::read);
         return new Read(read.value(), read.effective());
@@ -45,95 +45,99 @@
         ConfigSection probe = all.section("probe");
         ConfigSection eject = all.section("eject");
         ConfigSection state = all.section("state");
-        OperatorSettings operator = new OperatorSettings(new OperatorSettings.Log(log.choice("format", "text", "text", "json").equals("json"), log.bool("requests", false)),
+        OperatorSettings settings = new OperatorSettings(
+                new OperatorSettings.Log(log.choice("format", "text", "text", "json").equals("json"), log.bool("requests", false)),
                 agent(agent), http(http), control(control), clients(clients), availability(availability, overload),
                 health(probe, eject), probe(probe), state(state));
-        for (ConfigSection s : List.of(log, agent, http, checks, control, clients, overload, availability, probe, eject, state, all)) {
-            s.reportUnknownKeys();
+        for (ConfigSection section : List.of(log, agent, http, checks, control, clients, overload, availability, probe, eject, state, all)) {
+            section.reportUnknownKeys();
         }
-        return operator;
+        return settings;
     }
 
-    private static ListenerLimits bounds(ConfigSection s) {
-        return new ListenerLimits(s.integer("connections", 64, 1, 4096), s.integer("per-second", 1000, 1, 100_000),
-                s.durationUs("timeout", 2_000_000, 50, MINUTE_MS));
+    private static ListenerLimits limits(ConfigSection section) {
+        return new ListenerLimits(section.integer("connections", 64, 1, 4096), section.integer("per-second", 1000, 1, 100_000),
+                section.durationUs("timeout", 2_000_000, 50, MINUTE_MS));
     }
 
-    private static OperatorSettings.Agent agent(ConfigSection s) {
-        boolean on = s.has("listen");
-        OperatorSettings.Agent agent = new OperatorSettings.Agent(s.address("listen"), bounds(s),
-                s.durationUs("ready-for", 30_000_000, 0, HOUR_MS));
-        return on ? agent : null;
+    private static OperatorSettings.Agent agent(ConfigSection section) {
+        boolean enabled = section.has("listen");
+        OperatorSettings.Agent agent = new OperatorSettings.Agent(section.address("listen"), limits(section),
+                section.durationUs("ready-for", 30_000_000, 0, HOUR_MS));
+        return enabled ? agent : null;
     }
 
-    private static OperatorSettings.Http http(ConfigSection s) {
-        boolean on = s.has("listen");
-        OperatorSettings.Http http = new OperatorSettings.Http(s.address("listen"), bounds(s),
-                Integer.parseInt(s.choice("drain-status", "404", "404", "503")));
-        return on ? http : null;
+    private static OperatorSettings.Http http(ConfigSection section) {
+        boolean enabled = section.has("listen");
+        OperatorSettings.Http http = new OperatorSettings.Http(section.address("listen"), limits(section),
+                Integer.parseInt(section.choice("drain-status", "404", "404", "503")));
+        return enabled ? http : null;
     }
 
-    private static OperatorSettings.Control control(ConfigSection s) {
-        // the kernel's sun_path holds 108 bytes with the end mark, and a name for a moment is longer by a few
-        String path = s.string("socket", "", "an absolute path of at most 90 bytes", v -> v.startsWith("/")
+    private static OperatorSettings.Control control(ConfigSection section) {
+        // The kernel's sun_path holds 108 bytes including the terminating zero, and a temporary name is a few bytes longer.
+        String path = section.string("socket", "", "an absolute path of at most 90 bytes", v -> v.startsWith("/")
                 && v.indexOf('\0') < 0 && v.getBytes(java.nio.charset.StandardCharsets.UTF_8).length <= 90);
         return path.isEmpty() ? null : new OperatorSettings.Control(Path.of(path));
     }
 
-    private static OperatorSettings.Clients clients(ConfigSection s) {
+    private static OperatorSettings.Clients clients(ConfigSection section) {
         String allowed = "a list of literal addresses";
-        Set<InetAddress> from = new HashSet<>();
-        s.strings("proxy-from", allowed, v -> {
+        Set<InetAddress> sources = new HashSet<>();
+        section.strings("proxy-from", allowed, value -> {
             try {
-                from.add(granitefold.wire.Address.of((v.contains(":") ? "[" + v + "]" : v) + ":0").getAddress());
+                sources.add(granitefold.wire.Address.of((value.contains(":") ? "[" + value + "]" : value) + ":0").getAddress());
                 return true;
             } catch (BadWire e) {
                 return false;
             }
         });
-        return new OperatorSettings.Clients(s.choice("proxy-protocol", "off", "off", "required").equals("required"), Set.copyOf(from),
-                s.bool("envoy-headers", false), s.bool("load-metrics", false));
+        return new OperatorSettings.Clients(section.choice("proxy-protocol", "off", "off", "required").equals("required"), Set.copyOf(sources),
+                section.bool("envoy-headers", false), section.bool("load-metrics", false));
     }
 
-    private static AvailabilitySettings availability(ConfigSection s, ConfigSection overload) {
-        AvailabilitySettings d = AvailabilitySettings.DEFAULTS;
-        return new AvailabilitySettings(s.durationUs("interval", d.intervalUs(), 10, MINUTE_MS), s.integer("rise", d.rise(), 1, 1000),
-                s.integer("fall", d.fall(), 1, 1000), s.durationUs("dwell", d.dwellUs(), 0, HOUR_MS),
-                s.integer("step-up", d.stepUp(), 1, 100), s.integer("step-down", d.stepDown(), 1, 100),
-                s.integer("floor", d.minWeight(), 1, 100), s.integer("stale-weight", d.staleWeight(), 1, 99),
-                s.integer("stale-tries", d.staleAttempts(), 1, 1_000_000), s.integer("slow-start-from", d.slowStartWeight(), 1, 100),
-                s.durationUs("slow-start", d.slowStartUs(), 0, HOUR_MS), s.durationUs("silence", d.discoverySilenceUs(), 1000, HOUR_MS),
-                overload.number("rejects", d.rejectShare(), 0.01, 1),
-                overload.number("full", d.refusingWorkerShare(), 0.01, 1), overload.number("wait", d.waitMultiple(), 0.1, 1000),
-                overload.durationUs("lag", d.lagUs(), 1, MINUTE_MS), overload.number("room", d.resourceShare(), 0.1, 1),
-                overload.number("relief", d.reliefFactor(), 0.1, 0.99));
+    private static AvailabilitySettings availability(ConfigSection section, ConfigSection overload) {
+        AvailabilitySettings defaults = AvailabilitySettings.DEFAULTS;
+        return new AvailabilitySettings(section.durationUs("interval", defaults.intervalUs(), 10, MINUTE_MS),
+                section.integer("rise", defaults.rise(), 1, 1000), section.integer("fall", defaults.fall(), 1, 1000),
+                section.durationUs("dwell", defaults.dwellUs(), 0, HOUR_MS),
+                section.integer("step-up", defaults.stepUp(), 1, 100), section.integer("step-down", defaults.stepDown(), 1, 100),
+                section.integer("floor", defaults.minWeight(), 1, 100), section.integer("stale-weight", defaults.staleWeight(), 1, 99),
+                section.integer("stale-tries", defaults.staleAttempts(), 1, 1_000_000),
+                section.integer("slow-start-from", defaults.slowStartWeight(), 1, 100),
+                section.durationUs("slow-start", defaults.slowStartUs(), 0, HOUR_MS),
+                section.durationUs("silence", defaults.discoverySilenceUs(), 1000, HOUR_MS),
+                overload.number("rejects", defaults.rejectShare(), 0.01, 1),
+                overload.number("full", defaults.refusingWorkerShare(), 0.01, 1), overload.number("wait", defaults.waitMultiple(), 0.1, 1000),
+                overload.durationUs("lag", defaults.lagUs(), 1, MINUTE_MS), overload.number("room", defaults.resourceShare(), 0.1, 1),
+                overload.number("relief", defaults.reliefFactor(), 0.1, 0.99));
     }
 
     private static HealthSettings health(ConfigSection probe, ConfigSection eject) {
-        HealthSettings d = HealthSettings.DEFAULTS;
-        HealthSettings h = new HealthSettings(probe.bool("allowed", false), probe.durationUs("interval", d.intervalUs(), 50, HOUR_MS),
-                probe.number("jitter", d.jitter(), 0, 0.9), probe.durationUs("timeout", d.timeoutUs(), 10, MINUTE_MS),
-                probe.integer("rise", d.rise(), 1, 1000), probe.integer("fall", d.fall(), 1, 1000),
-                probe.integer("at-once", d.maxConcurrentProbes(), 1, 256), probe.number("panic", d.panicShare(), 0, 1),
-                probe.bool("slow-start", d.slowStart()), eject.integer("failures", d.ejectAfterFailures(), 0, 1000),
-                eject.durationUs("time", d.ejectUs(), 100, HOUR_MS), eject.durationUs("most", d.maxEjectUs(), 100, HOUR_MS),
-                eject.number("share", d.maxEjectedShare(), 0, 1));
-        return h.probesEnabled() || h.ejectAfterFailures() > 0 ? h : null;
+        HealthSettings defaults = HealthSettings.DEFAULTS;
+        HealthSettings settings = new HealthSettings(probe.bool("allowed", false), probe.durationUs("interval", defaults.intervalUs(), 50, HOUR_MS),
+                probe.number("jitter", defaults.jitter(), 0, 0.9), probe.durationUs("timeout", defaults.timeoutUs(), 10, MINUTE_MS),
+                probe.integer("rise", defaults.rise(), 1, 1000), probe.integer("fall", defaults.fall(), 1, 1000),
+                probe.integer("at-once", defaults.maxConcurrentProbes(), 1, 256), probe.number("panic", defaults.panicShare(), 0, 1),
+                probe.bool("slow-start", defaults.slowStart()), eject.integer("failures", defaults.ejectAfterFailures(), 0, 1000),
+                eject.durationUs("time", defaults.ejectUs(), 100, HOUR_MS), eject.durationUs("most", defaults.maxEjectUs(), 100, HOUR_MS),
+                eject.number("share", defaults.maxEjectedShare(), 0, 1));
+        return settings.probesEnabled() || settings.ejectAfterFailures() > 0 ? settings : null;
     }
 
-    private static OperatorSettings.State state(ConfigSection s) {
-        String dir = s.string("dir", "", "an absolute path", v -> v.startsWith("/") && v.indexOf('\0') < 0);
-        OperatorSettings.State state = new OperatorSettings.State(dir.isEmpty() ? null : Path.of(dir), s.durationUs("every", 1_000_000, 100, HOUR_MS),
-                s.integer("keep", 2, 2, 10));
-        return dir.isEmpty() ? null : state;
+    private static OperatorSettings.State state(ConfigSection section) {
+        String directory = section.string("dir", "", "an absolute path", v -> v.startsWith("/") && v.indexOf('\0') < 0);
+        OperatorSettings.State state = new OperatorSettings.State(directory.isEmpty() ? null : Path.of(directory),
+                section.durationUs("every", 1_000_000, 100, HOUR_MS), section.integer("keep", 2, 2, 10));
+        return directory.isEmpty() ? null : state;
     }
 
-    private static OperatorSettings.Probe probe(ConfigSection s) {
-        return new OperatorSettings.Probe(s.string("path", OperatorSettings.NONE.probe().path(), "a path of visible ASCII that begins with /",
+    private static OperatorSettings.Probe probe(ConfigSection section) {
+        return new OperatorSettings.Probe(section.string("path", OperatorSettings.NONE.probe().path(), "a path of visible ASCII that begins with /",
                 v -> v.matches("/[!-~]{0,200}")));
     }
 
-    /** Keys of {@code to} that a running process cannot take over from {@code from}. */
+    /** Returns the keys in which {@code to} differs from {@code from} and that a running process cannot change. */
     public static List<String> keysNeedingRestart(OperatorSettings from, OperatorSettings to) {
         List<String> keys = new java.util.ArrayList<>();
         if (from.log().json() != to.log().json()) {
--- a/src/main/java/granitefold/operator/package-info.java
+++ b/src/main/java/granitefold/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operator's file: HOCON, read once into typed, checked records. {@code OperatorSettings} alone is on the path of the
- * platform's start, where there is no such file; the reader and its library are loaded with a file only.
+ * The operator's file: HOCON, read once into typed, validated records. Where the platform starts the process there is no
+ * such file, and only {@code OperatorSettings} is loaded; the reader and its library are loaded only if there is one.
  */
 package granitefold.operator;
--- a/src/main/java/granitefold/state/DirectoryStorage.java
+++ b/src/main/java/granitefold/state/DirectoryStorage.java
@@ -14,7 +14,7 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.Set;
 
-/** A folder of the file system, this process's own. Links are never followed, files are for their owner only. */
+/** A directory of the file system that only this process uses. Symbolic links are never followed, and files are accessible to their owner only. */
 public final class DirectoryStorage implements Storage {
     private static final FileAttribute<?> OWNER_ONLY =
             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"));
@@ -22,53 +22,53 @@
     private final Path directory;
     private final FileChannel lock;
 
-    private DirectoryStorage(Path folder, FileChannel lock) {
-        this.directory = folder;
+    private DirectoryStorage(Path directory, FileChannel lock) {
+        this.directory = directory;
         this.lock = lock;
     }
 
-    /** Opens a folder, and makes it if it is missing; one that another process holds is refused. */
-    public static DirectoryStorage open(Path folder) throws IOException {
-        if (!Files.exists(folder, LinkOption.NOFOLLOW_LINKS)) {
-            Files.createDirectories(folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
+    /** Opens a directory and creates it if it is missing; fails if another process holds it. */
+    public static DirectoryStorage open(Path directory) throws IOException {
+        if (!Files.exists(directory, LinkOption.NOFOLLOW_LINKS)) {
+            Files.createDirectories(directory, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         }
-        if (!Files.isDirectory(folder, LinkOption.NOFOLLOW_LINKS)) {
-            throw new IOException(folder + " is not a folder");
+        if (!Files.isDirectory(directory, LinkOption.NOFOLLOW_LINKS)) {
+            throw new IOException(directory + " is not a directory");
         }
-        String owner = Files.getOwner(folder, LinkOption.NOFOLLOW_LINKS).getName();
+        String owner = Files.getOwner(directory, LinkOption.NOFOLLOW_LINKS).getName();
         if (!owner.equals(System.getProperty("user.name"))) {
-            throw new IOException(folder + " belongs to " + owner);
+            throw new IOException(directory + " belongs to " + owner);
         }
-        FileChannel lock = FileChannel.open(folder.resolve("learned.lock"), Set.of(StandardOpenOption.CREATE,
+        FileChannel lock = FileChannel.open(directory.resolve("learned.lock"), Set.of(StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS), OWNER_ONLY);
         if (lock.tryLock() == null) {
             lock.close();
-            throw new IOException(folder + " is held by another process");
+            throw new IOException(directory + " is held by another process");
         }
-        return new DirectoryStorage(folder, lock);
+        return new DirectoryStorage(directory, lock);
     }
 
-    /** For reading alone, beside whoever holds the folder. */
-    public static Storage readOnly(Path folder) {
-        return new DirectoryStorage(folder, null);
+    /** Opens a directory for reading only, even while another process holds it. */
+    public static Storage readOnly(Path directory) {
+        return new DirectoryStorage(directory, null);
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
+    public byte[] read(String name, int maxBytes) throws IOException {
         Path file = directory.resolve(name);
         try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS);
-            if (!a.isRegularFile()) {
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS);
+            if (!attributes.isRegularFile()) {
                 throw new IOException("not a file");
             }
-            try (FileChannel c = FileChannel.open(file, StandardOpenOption.READ, LinkOption.NOFOLLOW_LINKS)) {
-                // of the file that was opened: another may have taken the name since
-                long length = c.size();
-                if (length > most) {
-                    throw new IOException("longer than " + most + " bytes");
+            try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, LinkOption.NOFOLLOW_LINKS)) {
+                // The length of the opened file, because another file may have taken its name in the meantime.
+                long length = channel.size();
+                if (length > maxBytes) {
+                    throw new IOException("longer than " + maxBytes + " bytes");
                 }
                 ByteBuffer bytes = ByteBuffer.allocate((int) length);
-                while (bytes.hasRemaining() && c.read(bytes) >= 0) { }
+                while (bytes.hasRemaining() && channel.read(bytes) >= 0) { }
                 return java.util.Arrays.copyOf(bytes.array(), bytes.position());
             }
         } catch (NoSuchFileException e) {
@@ -79,19 +79,19 @@
     @Override
     public void write(String name, byte[] bytes) throws IOException {
         Files.deleteIfExists(directory.resolve(name));
-        try (FileChannel c = FileChannel.open(directory.resolve(name), Set.of(StandardOpenOption.CREATE_NEW,
+        try (FileChannel channel = FileChannel.open(directory.resolve(name), Set.of(StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE), OWNER_ONLY)) {
-            ByteBuffer all = ByteBuffer.wrap(bytes);
-            while (all.hasRemaining()) {
-                c.write(all);
+            ByteBuffer buffer = ByteBuffer.wrap(bytes);
+            while (buffer.hasRemaining()) {
+                channel.write(buffer);
             }
         }
     }
 
     @Override
     public void force(String name) throws IOException {
-        try (FileChannel c = FileChannel.open(directory.resolve(name), StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)) {
-            c.force(true);
+        try (FileChannel channel = FileChannel.open(directory.resolve(name), StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS)) {
+            channel.force(true);
         }
     }
 
@@ -102,8 +102,8 @@
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel c = FileChannel.open(directory, StandardOpenOption.READ)) {
-            c.force(true);
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
--- a/src/main/java/granitefold/state/StateFile.java
+++ b/src/main/java/granitefold/state/StateFile.java
@@ -15,14 +15,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of a state file, version 1. A head of 32 bytes (magic, version, number of sections, length of the whole,
- * reserved, checksum of the head), then sections, each with id, length, checksum of both and of what follows, and CBOR
- * (RFC 8949). Numbers are big-endian, checksums CRC-32C (RFC 3720, appendix B.4). Every bit is under a checksum, and the
- * length of the whole is under one too, so that neither a cut nor a longer file passes.
+ * Encodes and decodes state files of version 1. A file starts with a header of 32 bytes: magic, version, number of
+ * sections, length of the file, reserved bytes, checksum of the header. The sections follow; each has an id, a length, a
+ * checksum over both and the body, and the body in CBOR (RFC 8949). Numbers are big-endian, checksums are CRC-32C
+ * (RFC 3720, appendix B.4). Every bit is covered by a checksum, including the file length, so that truncated and extended
+ * files are rejected.
  */
 public final class StateFile {
     public static final int VERSION = 1;
-    /** A file that says to be longer is refused before anything is taken for it. */
+    /** Limit of the file length; a longer file is rejected before memory is allocated for it. */
     public static final int MAX_LENGTH_BYTES = 16 * 1024 * 1024;
     static final byte[] MAGIC = "granfold".getBytes(StandardCharsets.US_ASCII);
     private static final int HEADER_BYTES = 32, SECTION_HEADER_BYTES = 12;
@@ -30,24 +31,26 @@
     private static final CBORFactory CBOR = new CBORFactory();
 
     /**
-     * What a file holds: whose it is, the names that its places stand for, and what was learned.
+     * The content of a file: the dispatcher that it belongs to, the names behind the indices in the state, and the state.
      *
-     * @param name the dispatcher's
-     * @param settings the key of the settings that it was learned under
-     * @param me its number among its siblings, {@code siblings}: how many they were
+     * @param name name of the dispatcher
+     * @param settings key of the settings under which the state was learned
+     * @param me index of the dispatcher among all dispatchers
+     * @param siblings number of dispatchers, including this one
      */
-    public record Content(String name, String settings, int me, int siblings, List<String> tenants, List<String> kinds, LearnedState learned) { }
+    public record Content(String name, String settings, int me, int siblings, List<String> tenants, List<String> kinds,
+            LearnedState learned) { }
 
-    /** Why a file is not read. */
+    /** Why a file cannot be read. */
     public enum Fault { DAMAGED, NEWER, FOREIGN }
 
-    /** A file that is not read, with the place and the reason in one line. */
+    /** A file cannot be read; the message is one line with the position and the reason. */
     public static final class UnreadableFileException extends Exception {
         private static final long serialVersionUID = 1;
         private final Fault fault;
 
-        UnreadableFileException(Fault fault, String why) {
-            super(why, null, false, false);
+        UnreadableFileException(Fault fault, String message) {
+            super(message, null, false, false);
             this.fault = fault;
         }
 
@@ -63,30 +66,30 @@
         void write(JsonGenerator g) throws IOException;
     }
 
-    /** The bytes of a file. */
-    public static byte[] encode(Content c) {
-        LearnedState l = c.learned();
+    /** Returns the bytes of a file. */
+    public static byte[] encode(Content content) {
+        LearnedState learned = content.learned();
         List<byte[]> sections = new ArrayList<>();
         sections.add(encodeSection(METADATA, g -> {
-            g.writeStringField("name", c.name());
-            g.writeStringField("settings", c.settings());
-            g.writeNumberField("me", c.me());
-            g.writeNumberField("siblings", c.siblings());
-            writeStrings(g, "tenants", c.tenants());
-            writeStrings(g, "kinds", c.kinds());
-            g.writeNumberField("at", l.at());
-            g.writeNumberField("fetch_us", l.fetchUs());
-            g.writeNumberField("kept", l.kept());
-            g.writeNumberField("mean_work", l.meanWork());
-            g.writeNumberField("works", l.works());
+            g.writeStringField("name", content.name());
+            g.writeStringField("settings", content.settings());
+            g.writeNumberField("me", content.me());
+            g.writeNumberField("siblings", content.siblings());
+            writeStrings(g, "tenants", content.tenants());
+            writeStrings(g, "kinds", content.kinds());
+            g.writeNumberField("at", learned.at());
+            g.writeNumberField("fetch_us", learned.fetchUs());
+            g.writeNumberField("kept", learned.kept());
+            g.writeNumberField("mean_work", learned.meanWork());
+            g.writeNumberField("works", learned.works());
         }));
-        sections.add(encodeSection(KINDS, g -> writeRows(g, l.kinds(), k -> {
+        sections.add(encodeSection(KINDS, g -> writeRows(g, learned.kinds(), k -> {
             g.writeNumber(k.kind());
             g.writeNumber(k.sum());
             g.writeNumber(k.weight());
             g.writeNumber(k.slots());
         })));
-        sections.add(encodeSection(WORKERS, g -> writeRows(g, l.workers(), p -> {
+        sections.add(encodeSection(WORKERS, g -> writeRows(g, learned.workers(), p -> {
             g.writeNumber(p.id());
             g.writeNumber(p.kind());
             g.writeNumber(p.startedAt());
@@ -97,13 +100,13 @@
             g.writeNumber(p.work());
             writeLongs(g, p.kept());
         })));
-        sections.add(encodeSection(BUCKETS, g -> writeRows(g, l.buckets(), b -> {
+        sections.add(encodeSection(BUCKETS, g -> writeRows(g, learned.buckets(), b -> {
             g.writeNumber(b.tenant());
             writeLongs(g, b.used());
             g.writeNumber(b.credited());
             g.writeNumber(b.refilledAt());
         })));
-        sections.add(encodeSection(KEYS, g -> writeRows(g, l.keys(), k -> {
+        sections.add(encodeSection(KEYS, g -> writeRows(g, learned.keys(), k -> {
             g.writeNumber(k.key());
             g.writeNumber(k.until());
         })));
@@ -132,7 +135,7 @@
         return section.array();
     }
 
-    /** A section's checksum covers all of it but the checksum itself. */
+    /** Returns the checksum of a section, which covers all of it except the checksum itself. */
     private static int crc(byte[] section) {
         CRC32C crc = new CRC32C();
         crc.update(section, 0, SECTION_HEADER_BYTES - 4);
@@ -150,83 +153,83 @@
         void write(T value) throws IOException;
     }
 
-    private static <T> void writeRows(JsonGenerator g, List<T> all, RowWriter<T> row) throws IOException {
+    private static <T> void writeRows(JsonGenerator g, List<T> values, RowWriter<T> row) throws IOException {
         g.writeArrayFieldStart("rows");
-        for (T t : all) {
+        for (T value : values) {
             g.writeStartArray();
-            row.write(t);
+            row.write(value);
             g.writeEndArray();
         }
         g.writeEndArray();
     }
 
-    private static void writeLongs(JsonGenerator g, List<Long> all) throws IOException {
+    private static void writeLongs(JsonGenerator g, List<Long> values) throws IOException {
         g.writeStartArray();
-        for (long v : all) {
-            g.writeNumber(v);
+        for (long value : values) {
+            g.writeNumber(value);
         }
         g.writeEndArray();
     }
 
-    private static void writeStrings(JsonGenerator g, String name, List<String> all) throws IOException {
+    private static void writeStrings(JsonGenerator g, String name, List<String> values) throws IOException {
         g.writeArrayFieldStart(name);
-        for (String v : all) {
-            g.writeString(v);
+        for (String value : values) {
+            g.writeString(value);
         }
         g.writeEndArray();
     }
 
     // ---------------------------------------------------------------- reading
-    /** What a file holds, if it is whole. */
+    /** Returns the content of a file if it is intact. */
     public static Content decode(byte[] file) throws UnreadableFileException {
         ByteBuffer in = ByteBuffer.wrap(file);
         if (file.length < HEADER_BYTES || !ByteBuffer.wrap(MAGIC).equals(in.slice(0, MAGIC.length))) {
             throw new UnreadableFileException(file.length < HEADER_BYTES ? Fault.DAMAGED : Fault.FOREIGN, file.length < HEADER_BYTES
-                    ? "at byte " + file.length + ": the head is cut off" : "at byte 0: not a state file");
+                    ? "at byte " + file.length + ": the header is truncated" : "at byte 0: not a state file");
         }
         if (in.getInt(HEADER_BYTES - 4) != crc(file, 0, HEADER_BYTES - 4)) {
-            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + (HEADER_BYTES - 4) + ": the head's checksum does not hold");
+            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + (HEADER_BYTES - 4) + ": the checksum of the header does not match");
         }
         int version = in.getShort(MAGIC.length) & 0xffff;
         if (version != VERSION) {
             throw new UnreadableFileException(version > VERSION ? Fault.NEWER : Fault.FOREIGN, "at byte " + MAGIC.length + ": version "
                     + version + ", this program reads " + VERSION);
         }
-        int sections = in.getShort(MAGIC.length + 2) & 0xffff;
+        int sectionCount = in.getShort(MAGIC.length + 2) & 0xffff;
         if (in.getInt(MAGIC.length + 4) != file.length) {
             throw new UnreadableFileException(Fault.DAMAGED, "at byte " + file.length + ": the file should have "
                     + in.getInt(MAGIC.length + 4) + " bytes");
         }
-        ContentBuilder b = new ContentBuilder();
+        ContentBuilder builder = new ContentBuilder();
         int at = HEADER_BYTES;
-        for (int i = 0; i < sections; i++) {
+        for (int i = 0; i < sectionCount; i++) {
             int left = file.length - at - SECTION_HEADER_BYTES;
             int length = left < 0 ? -1 : in.getInt(at + 4);
             if (length < 0 || length > left) {
-                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " is cut off");
+                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " is truncated");
             }
             byte[] section = new byte[SECTION_HEADER_BYTES + length];
             in.get(at, section);
             if (crc(section) != in.getInt(at + 8)) {
-                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": the checksum of section " + i + " does not hold");
+                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": the checksum of section " + i + " does not match");
             }
             try (JsonParser p = CBOR.createParser(section, SECTION_HEADER_BYTES, length)) {
-                b.readSection(in.getInt(at), p);
+                builder.readSection(in.getInt(at), p);
             } catch (IOException | RuntimeException e) {
-                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": section " + i + " makes no sense");
+                throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": the body of section " + i + " is malformed");
             }
             at += section.length;
         }
-        if (at != file.length || b.name == null) {
-            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": more than its sections, or none of whose it is");
+        if (at != file.length || builder.name == null) {
+            throw new UnreadableFileException(Fault.DAMAGED, "at byte " + at + ": bytes after the last section, or no dispatcher name");
         }
-        return b.build();
+        return builder.build();
     }
 
-    /** Gathers the sections; unknown ones and unknown fields are passed over, as a later version may add some. */
+    /** Collects the sections; unknown sections and fields are skipped, because a later version may add some. */
     private static final class ContentBuilder {
         private String name;
-        /** Files of earlier versions do not say. */
+        /** Empty for files of earlier versions, which lack this field. */
         private String settings = "";
         private int me;
         private int siblings;
@@ -288,23 +291,23 @@
         private void readRow(int id, JsonParser p) throws IOException {
             switch (id) {
                 case KINDS -> kinds.add(new LearnedState.Kind(nextInt(p), nextDouble(p), nextDouble(p), nextInt(p)));
-                case WORKERS -> workers.add(new LearnedState.Worker(nextLong(p), nextInt(p), nextLong(p), nextLong(p), nextDouble(p), nextDouble(p), nextInt(p),
-                        nextDouble(p), readLongs(p)));
+                case WORKERS -> workers.add(new LearnedState.Worker(nextLong(p), nextInt(p), nextLong(p), nextLong(p), nextDouble(p),
+                        nextDouble(p), nextInt(p), nextDouble(p), readLongs(p)));
                 case BUCKETS -> buckets.add(new LearnedState.Bucket(nextInt(p), readLongs(p), nextDouble(p), nextLong(p)));
                 case KEYS -> keys.add(new LearnedState.Key(nextLong(p), nextLong(p)));
                 default -> { }
             }
         }
 
-        private static void require(boolean holds) throws IOException {
-            if (!holds) {
-                throw new IOException("not as expected");
+        private static void require(boolean condition) throws IOException {
+            if (!condition) {
+                throw new IOException("unexpected value");
             }
         }
 
-        private static double finite(double v) throws IOException {
-            require(Double.isFinite(v));
-            return v;
+        private static double finite(double value) throws IOException {
+            require(Double.isFinite(value));
+            return value;
         }
 
         private static long nextLong(JsonParser p) throws IOException {
@@ -324,20 +327,20 @@
 
         private static List<Long> readLongs(JsonParser p) throws IOException {
             require(p.nextToken() == JsonToken.START_ARRAY);
-            List<Long> all = new ArrayList<>();
+            List<Long> values = new ArrayList<>();
             while (p.nextToken() != JsonToken.END_ARRAY) {
-                all.add(p.getLongValue());
+                values.add(p.getLongValue());
             }
-            return List.copyOf(all);
+            return List.copyOf(values);
         }
 
         private static List<String> readStrings(JsonParser p) throws IOException {
             require(p.currentToken() == JsonToken.START_ARRAY);
-            List<String> all = new ArrayList<>();
+            List<String> values = new ArrayList<>();
             while (p.nextToken() != JsonToken.END_ARRAY) {
-                all.add(p.getText());
+                values.add(p.getText());
             }
-            return List.copyOf(all);
+            return List.copyOf(values);
         }
     }
 }
--- a/src/main/java/granitefold/state/StateIndexMapping.java
+++ b/src/main/java/granitefold/state/StateIndexMapping.java
@@ -5,57 +5,65 @@
 import java.util.List;
 
 /**
- * Takes a file's places over to those of the present settings: tenants and kinds by their names, a dispatcher's own use by
- * its number. What has no place any more is left out.
+ * Maps the indices of a stored state to those of the present settings: tenants and kinds by their names, and the
+ * dispatcher's own use by its index. Entries that have no index any more are left out.
+ *
+ * @param settingsKey key of the settings, by which a state of other settings is recognised
+ * @param dispatcherIndex index of this dispatcher among the dispatchers
  */
-public record StateIndexMapping(String dispatcherName, String settingsKey, int dispatcherIndex, int dispatcherCount, List<String> tenantNames, List<String> kindNames) {
+public record StateIndexMapping(String dispatcherName, String settingsKey, int dispatcherIndex, int dispatcherCount,
+        List<String> tenantNames, List<String> kindNames) {
 
+    /** Returns the content of a state file for a learned state. */
     public Content toContent(LearnedState learned) {
         return new Content(dispatcherName, settingsKey, dispatcherIndex, dispatcherCount, tenantNames, kindNames, learned);
     }
 
-    /** Why a file is not ours, in one line; null where it is. What was learned under other settings holds under those alone. */
-    public String mismatchReason(Content c) {
-        return !c.name().equals(dispatcherName) ? "the file is of " + c.name() + ", not " + dispatcherName
-                : !c.settings().equals(settingsKey) ? "the file is of other settings than ours, and not used" : null;
+    /**
+     * Returns in one line why a file is not for this dispatcher, or null if it is. A state that was learned under other
+     * settings is valid under those only.
+     */
+    public String mismatchReason(Content content) {
+        return !content.name().equals(dispatcherName) ? "the file is of " + content.name() + ", not " + dispatcherName
+                : !content.settings().equals(settingsKey) ? "the file is of other settings than ours, and not used" : null;
     }
 
-    /** What of a file is ours; null where it is another's. */
-    public LearnedState remap(Content c) {
-        if (mismatchReason(c) != null) {
+    /** Returns a file's state with the present indices, or null if the file is not for this dispatcher. */
+    public LearnedState remap(Content content) {
+        if (mismatchReason(content) != null) {
             return null;
         }
-        LearnedState l = c.learned();
-        return new LearnedState(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(),
-                l.kinds().stream().filter(k -> mapKind(c, k.kind()) != UNMAPPED)
-                        .map(k -> new LearnedState.Kind(mapKind(c, k.kind()), k.sum(), k.weight(), k.slots())).toList(),
-                l.workers().stream().filter(p -> mapKind(c, p.kind()) != UNMAPPED).map(p -> new LearnedState.Worker(p.id(),
-                        mapKind(c, p.kind()), p.startedAt(), p.lostAt(), p.sum(), p.weight(), p.slots(), p.work(), p.kept())).toList(),
-                l.buckets().stream().filter(b -> b.tenant() >= 0 && b.tenant() < c.tenants().size()
-                        && tenantNames.contains(c.tenants().get(b.tenant()))).map(b -> new LearnedState.Bucket(
-                        tenantNames.indexOf(c.tenants().get(b.tenant())), mapUsage(c, b.used()), b.credited(), b.refilledAt())).toList(),
-                l.keys());
+        LearnedState learned = content.learned();
+        return new LearnedState(learned.at(), learned.fetchUs(), learned.kept(), learned.meanWork(), learned.works(),
+                learned.kinds().stream().filter(k -> mapKind(content, k.kind()) != UNMAPPED)
+                        .map(k -> new LearnedState.Kind(mapKind(content, k.kind()), k.sum(), k.weight(), k.slots())).toList(),
+                learned.workers().stream().filter(p -> mapKind(content, p.kind()) != UNMAPPED).map(p -> new LearnedState.Worker(p.id(),
+                        mapKind(content, p.kind()), p.startedAt(), p.lostAt(), p.sum(), p.weight(), p.slots(), p.work(), p.kept())).toList(),
+                learned.buckets().stream().filter(b -> b.tenant() >= 0 && b.tenant() < content.tenants().size()
+                        && tenantNames.contains(content.tenants().get(b.tenant()))).map(b -> new LearnedState.Bucket(
+                        tenantNames.indexOf(content.tenants().get(b.tenant())), mapUsage(content, b.used()), b.credited(), b.refilledAt())).toList(),
+                learned.keys());
     }
 
     private static final int UNMAPPED = Integer.MIN_VALUE;
 
-    /** -1 stands for a kind that has no name, then as now. */
-    private int mapKind(Content c, int kind) {
+    /** Maps the index of a kind; -1 stands for a kind without a name and stays -1. */
+    private int mapKind(Content content, int kind) {
         if (kind == -1) {
             return -1;
         }
-        int here = kind < 0 || kind >= c.kinds().size() ? -1 : kindNames.indexOf(c.kinds().get(kind));
-        return here < 0 ? UNMAPPED : here;
+        int mapped = kind < 0 || kind >= content.kinds().size() ? -1 : kindNames.indexOf(content.kinds().get(kind));
+        return mapped < 0 ? UNMAPPED : mapped;
     }
 
-    /** The others' entries are theirs only while the numbers mean the same dispatchers. */
-    private List<Long> mapUsage(Content c, List<Long> old) {
-        if (c.siblings() == dispatcherCount && c.me() == dispatcherIndex && old.size() == dispatcherCount) {
+    /** Maps the use by each dispatcher; entries of the others are kept only if the indices still mean the same dispatchers. */
+    private List<Long> mapUsage(Content content, List<Long> old) {
+        if (content.siblings() == dispatcherCount && content.me() == dispatcherIndex && old.size() == dispatcherCount) {
             return old;
         }
         Long[] used = new Long[dispatcherCount];
         java.util.Arrays.fill(used, 0L);
-        used[dispatcherIndex] = c.me() >= 0 && c.me() < old.size() ? old.get(c.me()) : 0;
+        used[dispatcherIndex] = content.me() >= 0 && content.me() < old.size() ? old.get(content.me()) : 0;
         return List.of(used);
     }
 }
--- a/src/main/java/granitefold/state/StateStore.java
+++ b/src/main/java/granitefold/state/StateStore.java
@@ -8,38 +8,38 @@
 import java.util.List;
 
 /**
- * Generations of one state file in a folder. A new one is written under a name for a moment, forced, and takes its
- * place by renames, the folder forced after each; so at every moment at least one whole generation has a name that is
- * read. A file of another program or a newer version is never written over: it is set aside first.
+ * Stores generations of one state file in a directory. A new generation is written under a temporary name, forced to the
+ * disk and put in place by renames, and then the directory is forced; so at every moment at least one complete generation
+ * has a name that is read. A file of another program or of a newer version is never overwritten, but set aside first.
  */
 public final class StateStore {
     static final String CURRENT = "learned.state", NEW = "learned.new", SET_ASIDE = "learned.aside";
 
-    private final Storage disk;
+    private final Storage storage;
     private final int generations;
     private boolean safeToWrite;
 
-    /** {@code keep}: generations, the present one counted; at least 2. */
-    public StateStore(Storage disk, int keep) {
-        this.disk = disk;
-        this.generations = Math.max(2, keep);
+    /** Creates a store of at least 2 {@code generations}, including the current one. */
+    public StateStore(Storage storage, int generations) {
+        this.storage = storage;
+        this.generations = Math.max(2, generations);
     }
 
-    /** What was found, null if nothing can be used, and what was wrong with newer ones. */
+    /** The loaded content, null if there is none, and the problems of newer generations. */
     public record LoadResult(Content content, List<String> problems) { }
 
-    static String generationName(int n) {
-        return n == 0 ? CURRENT : CURRENT + "." + n;
+    static String generationName(int generation) {
+        return generation == 0 ? CURRENT : CURRENT + "." + generation;
     }
 
-    /** The newest generation that is whole. */
+    /** Loads the newest generation that is complete. */
     public LoadResult load() {
         List<String> problems = new ArrayList<>();
         safeToWrite = true;
-        for (int n = 0; n < generations; n++) {
-            String name = generationName(n);
+        for (int generation = 0; generation < generations; generation++) {
+            String name = generationName(generation);
             try {
-                byte[] file = disk.read(name, StateFile.MAX_LENGTH_BYTES);
+                byte[] file = storage.read(name, StateFile.MAX_LENGTH_BYTES);
                 if (file != null) {
                     return new LoadResult(StateFile.decode(file), problems);
                 }
@@ -57,32 +57,32 @@
 
     private void setAside(String name, List<String> problems) {
         try {
-            disk.rename(name, SET_ASIDE);
-            disk.forceDirectory();
+            storage.rename(name, SET_ASIDE);
+            storage.forceDirectory();
         } catch (IOException e) {
-            // then nothing is written at all, since that would take its place
+            // Write nothing from now on, because a write would replace this file.
             problems.add(name + ": cannot be set aside: " + e.getMessage());
             safeToWrite = false;
         }
     }
 
-    /** Writes another generation, whole or not at all. */
+    /** Writes a new generation, completely or not at all. */
     public void save(Content content) throws IOException {
         if (!safeToWrite) {
-            throw new IOException("the folder holds a file that must not be written over");
+            throw new IOException("the directory holds a file that must not be overwritten");
         }
-        disk.write(NEW, StateFile.encode(content));
-        disk.force(NEW);
-        for (int n = generations - 2; n >= 0; n--) {
-            if (exists(generationName(n))) {
-                disk.rename(generationName(n), generationName(n + 1));
+        storage.write(NEW, StateFile.encode(content));
+        storage.force(NEW);
+        for (int generation = generations - 2; generation >= 0; generation--) {
+            if (exists(generationName(generation))) {
+                storage.rename(generationName(generation), generationName(generation + 1));
             }
         }
-        disk.rename(NEW, CURRENT);
-        disk.forceDirectory();
+        storage.rename(NEW, CURRENT);
+        storage.forceDirectory();
     }
 
     private boolean exists(String name) throws IOException {
-        return disk.read(name, StateFile.MAX_LENGTH_BYTES) != null;
+        return storage.read(name, StateFile.MAX_LENGTH_BYTES) != null;
     }
 }
--- a/src/main/java/granitefold/state/StateWriter.java
+++ b/src/main/java/granitefold/state/StateWriter.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that touches the folder: it reads once while the dispatcher begins to serve, then writes the newest
- * value that it was given; ones that come while a write goes on replace each other. A disk that is slow, full or gone
- * costs the loop nothing, and is tried again with the next value.
+ * Reads and writes the state directory on a thread of its own. The thread reads once, while the dispatcher already begins
+ * to serve, and then writes the newest submitted value; values submitted during a write replace each other. A disk that
+ * is slow, full or missing does not delay the event loop, and the write is retried with the next value.
  */
 public final class StateWriter {
     private final StorageOpener storageOpener;
@@ -24,22 +24,23 @@
     private boolean finished;
     private boolean lastWriteFailed;
 
-    /** Takes hold of the folder. */
+    /** Opens the storage. */
     interface StorageOpener {
         Storage open() throws IOException;
     }
 
-    /** {@code recovered} is told, on this keeper's thread, what a former life left. */
-    public StateWriter(Path folder, int keep, StateIndexMapping places, Consumer<LearnedState> recovered) {
-        this(folder.toString(), () -> DirectoryStorage.open(folder), keep, places, recovered);
+    /** Creates a writer; its thread passes the state that a previous process saved to {@code onRecovered}. */
+    public StateWriter(Path directory, int generations, StateIndexMapping mapping, Consumer<LearnedState> onRecovered) {
+        this(directory.toString(), () -> DirectoryStorage.open(directory), generations, mapping, onRecovered);
     }
 
-    StateWriter(String name, StorageOpener folder, int keep, StateIndexMapping places, Consumer<LearnedState> recovered) {
-        this.storageName = name;
-        this.storageOpener = folder;
-        this.generations = keep;
-        this.mapping = places;
-        this.onRecovered = recovered;
+    StateWriter(String storageName, StorageOpener storageOpener, int generations, StateIndexMapping mapping,
+            Consumer<LearnedState> onRecovered) {
+        this.storageName = storageName;
+        this.storageOpener = storageOpener;
+        this.generations = generations;
+        this.mapping = mapping;
+        this.onRecovered = onRecovered;
     }
 
     public void start() {
@@ -48,19 +49,19 @@
         thread.start();
     }
 
-    /** Takes a newer value; from any thread. */
+    /** Submits a newer value to be written; may be called from any thread. */
     public synchronized void submit(LearnedState learned) {
         pending = learned;
         notifyAll();
     }
 
     /**
-     * Waits for the last value to be on the disk, for so long as a planned end has left; one that is not by then is lost, and
-     * that is told: the next life begins with an older one.
+     * Waits until the last value is written, for at most the time that is left of the graceful shutdown. A value that is not
+     * written by then is lost, which is logged: the next process starts with an older one.
      */
-    public void shutDown(long mostUs) {
+    public void shutDown(long maxWaitUs) {
         try {
-            if (!awaitFinished(mostUs)) {
+            if (!awaitFinished(maxWaitUs)) {
                 EventLog.log(LogEvent.STATE_PROBLEM, "the last value was not written before the end");
             }
         } catch (InterruptedException e) {
@@ -68,10 +69,10 @@
         }
     }
 
-    private synchronized boolean awaitFinished(long mostUs) throws InterruptedException {
+    private synchronized boolean awaitFinished(long maxWaitUs) throws InterruptedException {
         shuttingDown = true;
         notifyAll();
-        long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(mostUs);
+        long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(maxWaitUs);
         while (!finished && until - System.nanoTime() > 0) {
             TimeUnit.NANOSECONDS.timedWait(this, until - System.nanoTime());
         }
@@ -79,8 +80,8 @@
     }
 
     private void run() {
-        try (Storage disk = storageOpener.open()) {
-            StateStore store = new StateStore(disk, generations);
+        try (Storage storage = storageOpener.open()) {
+            StateStore store = new StateStore(storage, generations);
             recover(store.load());
             for (LearnedState value = awaitPending(); value != null; value = awaitPending()) {
                 write(store, value);
@@ -92,13 +93,13 @@
         }
     }
 
-    private void recover(StateStore.LoadResult found) {
-        found.problems().forEach(p -> EventLog.log(LogEvent.STATE_PROBLEM, p));
-        LearnedState here = found.content() == null ? null : mapping.remap(found.content());
-        if (here != null) {
-            onRecovered.accept(here);
-        } else if (found.content() != null) {
-            EventLog.log(LogEvent.STATE_PROBLEM, mapping.mismatchReason(found.content()));
+    private void recover(StateStore.LoadResult loaded) {
+        loaded.problems().forEach(problem -> EventLog.log(LogEvent.STATE_PROBLEM, problem));
+        LearnedState learned = loaded.content() == null ? null : mapping.remap(loaded.content());
+        if (learned != null) {
+            onRecovered.accept(learned);
+        } else if (loaded.content() != null) {
+            EventLog.log(LogEvent.STATE_PROBLEM, mapping.mismatchReason(loaded.content()));
         } else {
             EventLog.log(LogEvent.STATE_EMPTY, storageName);
         }
@@ -111,7 +112,7 @@
         } catch (IOException e) {
             if (!lastWriteFailed) {
                 lastWriteFailed = true;
-                EventLog.log(LogEvent.STATE_PROBLEM, "not written, tried again each time: " + e);
+                EventLog.log(LogEvent.STATE_PROBLEM, "not written, retried with the next value: " + e);
             }
         }
     }
--- a/src/main/java/granitefold/state/Storage.java
+++ b/src/main/java/granitefold/state/Storage.java
@@ -4,26 +4,26 @@
 import java.io.IOException;
 
 /**
- * The few things that a store asks of one folder, small enough that a double can do them wrong in every way that disks
- * do. Names are plain file names.
+ * The operations that a store needs on one directory, few enough that a test double can fail in every way that disks do.
+ * Names are plain file names.
  */
 public interface Storage extends Closeable {
-    /** A file's bytes, or null where there is none; one longer than {@code most} is an error. */
-    byte[] read(String name, int most) throws IOException;
+    /** Returns a file's bytes, or null if it does not exist; a file longer than {@code maxBytes} is an error. */
+    byte[] read(String name, int maxBytes) throws IOException;
 
-    /** Makes a file with these bytes, in place of one of that name. It lasts only once it was forced. */
+    /** Creates or replaces a file. It is durable only after {@link #force}. */
     void write(String name, byte[] bytes) throws IOException;
 
-    /** Makes a file's bytes last. */
+    /** Makes a file's content durable. */
     void force(String name) throws IOException;
 
-    /** Gives a file another name, in place of one that has it, at once or not at all. It lasts once the folder was forced. */
+    /** Renames a file atomically, replacing an existing one. It is durable only after {@link #forceDirectory}. */
     void rename(String from, String to) throws IOException;
 
-    /** Makes the folder's names last. */
+    /** Makes the names in the directory durable. */
     void forceDirectory() throws IOException;
 
-    /** Lets go of the folder. */
+    /** Releases the directory. */
     @Override
     default void close() throws IOException { }
 }
--- a/src/main/java/granitefold/state/package-info.java
+++ b/src/main/java/granitefold/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The file that what was learned is kept in: its format, its folder, and the thread that writes. Versioned, checked, never
- * half written. What ages and how is {@code granitefold.recovery}'s.
+ * Persists the learned state: the file format, the directory, and the thread that writes. Files are versioned and
+ * checksummed, and replaced atomically. How the state ages is decided by {@code granitefold.recovery}.
  */
 package granitefold.state;
