--- a/src/test/java/granitefold/availability/AvailabilityStateMachineTest.java
+++ b/src/test/java/granitefold/availability/AvailabilityStateMachineTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** What no order of events may bring about, and the hard cases one by one. */
+/** Checks invariants under random sequences of signals, and the transitions of single cases. */
 class AvailabilityStateMachineTest {
     private static final AvailabilitySettings SETTINGS = AvailabilitySettings.DEFAULTS;
     private static final int MAX_CONNECTIONS = 400;
@@ -21,13 +21,13 @@
 
     private final AvailabilityStateMachine machine = new AvailabilityStateMachine(SETTINGS, MAX_CONNECTIONS);
 
-    /** One evaluation: so much later, with these signals. */
+    /** One evaluation with these signals, {@code afterUs} after the one before. */
     record Step(long afterUs, AvailabilitySignals signals) { }
 
-    private static AvailabilitySignals signals(ProcessPhase life, RequestedMode wish, boolean confirmed, int reached, int missed, double rejects,
-            double waits, long silentUs) {
-        return new AvailabilitySignals(life, wish, confirmed, silentUs, silentUs, 5, reached, missed, rejects, 0, waits, 0.1, 0.1, 0.2,
-                0, 0);
+    private static AvailabilitySignals signals(ProcessPhase processPhase, RequestedMode requestedMode, boolean listConfirmed, int reached,
+            int unreachable, double rejectShare, double waitMultiple, long silenceUs) {
+        return new AvailabilitySignals(processPhase, requestedMode, listConfirmed, silenceUs, silenceUs, 5, reached, unreachable,
+                rejectShare, 0, waitMultiple, 0.1, 0.1, 0.2, 0, 0);
     }
 
     private static AvailabilitySignals healthySignals() {
@@ -36,11 +36,12 @@
 
     @Provide
     Arbitrary<List<Step>> steps() {
-        Arbitrary<AvailabilitySignals> signals = Combinators.combine(Arbitraries.of(ProcessPhase.values()), Arbitraries.of(RequestedMode.values()),
-                Arbitraries.of(true, false), Arbitraries.integers().between(0, 120), Arbitraries.integers().between(0, 60),
+        Arbitrary<AvailabilitySignals> signals = Combinators.combine(Arbitraries.of(ProcessPhase.values()),
+                Arbitraries.of(RequestedMode.values()), Arbitraries.of(true, false),
+                Arbitraries.integers().between(0, 120), Arbitraries.integers().between(0, 60),
                 Arbitraries.doubles().between(0, 1), Arbitraries.doubles().between(0, 6),
                 Arbitraries.longs().between(0, 20_000_000)).as(AvailabilityStateMachineTest::signals);
-        // back in time now and then, as a clock that steps
+        // Time sometimes goes back, as with a clock that is set.
         return Combinators.combine(Arbitraries.longs().between(-500_000, 2_000_000), signals).as(Step::new).list().ofMaxSize(80);
     }
 
@@ -57,11 +58,12 @@
     @Property(tries = 500)
     void weightStaysWithinStaleLimitUntilListIsConfirmed(@ForAll("steps") List<Step> steps) {
         List<AvailabilityStateMachine.State> states = states(steps);
-        boolean told = false;
+        boolean confirmed = false;
         for (int i = 0; i < steps.size(); i++) {
-            AvailabilitySignals in = steps.get(i).signals();
-            told |= in.listConfirmed() || in.attemptsReached() >= SETTINGS.staleAttempts() && in.attemptsReached() >= 9 * in.attemptsUnreachable();
-            if (!told) {
+            AvailabilitySignals signals = steps.get(i).signals();
+            confirmed |= signals.listConfirmed()
+                    || signals.attemptsReached() >= SETTINGS.staleAttempts() && signals.attemptsReached() >= 9 * signals.attemptsUnreachable();
+            if (!confirmed) {
                 assertTrue(states.get(i + 1).weight() <= SETTINGS.staleWeight(), states.get(i + 1).toString());
             }
         }
@@ -71,10 +73,10 @@
     void measuredStatusLastsAtLeastTheDwellTime(@ForAll("steps") List<Step> steps) {
         List<AvailabilityStateMachine.State> states = states(steps);
         for (int i = 1; i < states.size(); i++) {
-            AvailabilityStateMachine.State a = states.get(i - 1);
-            AvailabilityStateMachine.State b = states.get(i);
-            if (a.status() != b.status() && !a.status().isSetDirectly() && !b.status().isSetDirectly()) {
-                assertTrue(b.evaluatedAt() - a.statusSince() >= SETTINGS.dwellUs(), a + " then " + b);
+            AvailabilityStateMachine.State previous = states.get(i - 1);
+            AvailabilityStateMachine.State next = states.get(i);
+            if (previous.status() != next.status() && !previous.status().isSetDirectly() && !next.status().isSetDirectly()) {
+                assertTrue(next.evaluatedAt() - previous.statusSince() >= SETTINGS.dwellUs(), previous + " then " + next);
             }
         }
     }
@@ -83,13 +85,15 @@
     void operatorModesHoldAndShutdownTakesPrecedence(@ForAll("steps") List<Step> steps) {
         List<AvailabilityStateMachine.State> states = states(steps);
         for (int i = 0; i < steps.size(); i++) {
-            AvailabilitySignals in = steps.get(i).signals();
-            AvailabilityStatus s = states.get(i + 1).status();
-            assertEquals(in.processPhase() == ProcessPhase.SHUT_DOWN, s == AvailabilityStatus.STOPPED);
-            assertEquals(in.processPhase() == ProcessPhase.SHUTTING_DOWN || in.processPhase().compareTo(ProcessPhase.SHUTTING_DOWN) < 0 && in.requestedMode() == RequestedMode.DRAIN,
-                    s == AvailabilityStatus.DRAINING);
-            assertEquals(in.processPhase().compareTo(ProcessPhase.SHUTTING_DOWN) < 0 && in.requestedMode() == RequestedMode.MAINT, s == AvailabilityStatus.MAINT);
-            assertEquals(s.acceptsTraffic(), states.get(i + 1).weight() > 0, "a serving dispatcher is never down, one that is not is");
+            AvailabilitySignals signals = steps.get(i).signals();
+            AvailabilityStatus status = states.get(i + 1).status();
+            assertEquals(signals.processPhase() == ProcessPhase.SHUT_DOWN, status == AvailabilityStatus.STOPPED);
+            assertEquals(signals.processPhase() == ProcessPhase.SHUTTING_DOWN
+                    || signals.processPhase().compareTo(ProcessPhase.SHUTTING_DOWN) < 0 && signals.requestedMode() == RequestedMode.DRAIN,
+                    status == AvailabilityStatus.DRAINING);
+            assertEquals(signals.processPhase().compareTo(ProcessPhase.SHUTTING_DOWN) < 0 && signals.requestedMode() == RequestedMode.MAINT,
+                    status == AvailabilityStatus.MAINT);
+            assertEquals(status.acceptsTraffic(), states.get(i + 1).weight() > 0, "the weight is 0 exactly if no traffic is accepted");
         }
     }
 
@@ -97,21 +101,21 @@
     void weightChangesInBoundedSteps(@ForAll("steps") List<Step> steps) {
         List<AvailabilityStateMachine.State> states = states(steps);
         for (int i = 1; i < states.size(); i++) {
-            AvailabilityStateMachine.State a = states.get(i - 1);
-            AvailabilityStateMachine.State b = states.get(i);
-            if (a.status().acceptsTraffic() && b.status().acceptsTraffic()) {
-                assertTrue(b.weight() - a.weight() <= SETTINGS.stepUp(), a + " then " + b);
-                assertTrue(!b.listTrusted() || a.weight() - b.weight() <= SETTINGS.stepDown(), a + " then " + b);
-            } else if (b.status().acceptsTraffic()) {
-                assertTrue(b.weight() <= SETTINGS.slowStartWeight(), "service begins slowly: " + b);
+            AvailabilityStateMachine.State previous = states.get(i - 1);
+            AvailabilityStateMachine.State next = states.get(i);
+            if (previous.status().acceptsTraffic() && next.status().acceptsTraffic()) {
+                assertTrue(next.weight() - previous.weight() <= SETTINGS.stepUp(), previous + " then " + next);
+                assertTrue(!next.listTrusted() || previous.weight() - next.weight() <= SETTINGS.stepDown(), previous + " then " + next);
+            } else if (next.status().acceptsTraffic()) {
+                assertTrue(next.weight() <= SETTINGS.slowStartWeight(), "service begins with the slow-start weight: " + next);
             }
         }
     }
 
-    private AvailabilityStateMachine.State repeat(AvailabilityStateMachine.State s, AvailabilitySignals in, int times) {
-        AvailabilityStateMachine.State state = s;
+    private AvailabilityStateMachine.State repeat(AvailabilityStateMachine.State initial, AvailabilitySignals signals, int times) {
+        AvailabilityStateMachine.State state = initial;
         for (int i = 0; i < times; i++) {
-            state = machine.next(state, in, state.evaluatedAt() + INTERVAL_US);
+            state = machine.next(state, signals, state.evaluatedAt() + INTERVAL_US);
         }
         return state;
     }
@@ -122,43 +126,46 @@
 
     @Test
     void overloadLowersWeightToItsMinimumOnly() {
-        AvailabilityStateMachine.State s = repeat(serving(), signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 1, 50, 0), 100);
-        assertEquals(AvailabilityStatus.OVERLOADED, s.status());
-        assertEquals(SETTINGS.minWeight(), s.weight());
-        assertEquals(MAX_CONNECTIONS * SETTINGS.minWeight() / 100, machine.report(s).maxConnections());
-        // between relief and the limit it stays: the edge is where flapping begins
-        s = repeat(s, signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 0, 0.9 * SETTINGS.waitMultiple(), 0), 100);
-        assertEquals(AvailabilityStatus.OVERLOADED, s.status());
-        s = repeat(s, healthySignals(), 100);
-        assertEquals(AvailabilityStatus.READY, s.status());
-        assertEquals(100, s.weight());
+        AvailabilityStateMachine.State state = repeat(serving(), signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 1, 50, 0), 100);
+        assertEquals(AvailabilityStatus.OVERLOADED, state.status());
+        assertEquals(SETTINGS.minWeight(), state.weight());
+        assertEquals(MAX_CONNECTIONS * SETTINGS.minWeight() / 100, machine.report(state).maxConnections());
+        // Between the relief factor and the limit the status stays, so that it does not flap at the limit.
+        state = repeat(state, signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 0, 0.9 * SETTINGS.waitMultiple(), 0), 100);
+        assertEquals(AvailabilityStatus.OVERLOADED, state.status());
+        state = repeat(state, healthySignals(), 100);
+        assertEquals(AvailabilityStatus.READY, state.status());
+        assertEquals(100, state.weight());
     }
 
     @Test
     void fewerBadEvaluationsThanFallChangeNothing() {
-        AvailabilityStateMachine.State s = serving();
-        s = repeat(s, signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 1, 50, 0), SETTINGS.fall() - 1);
-        assertEquals(AvailabilityStatus.READY, s.status());
-        assertEquals(AvailabilityStatus.READY, repeat(s, healthySignals(), 1).status());
+        AvailabilityStateMachine.State state = serving();
+        state = repeat(state, signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 1, 50, 0), SETTINGS.fall() - 1);
+        assertEquals(AvailabilityStatus.READY, state.status());
+        assertEquals(AvailabilityStatus.READY, repeat(state, healthySignals(), 1).status());
     }
 
     @Test
     void unreachableSavedListLowersWeightAndReachableOneIsTrusted() {
-        AvailabilityStateMachine.State s = repeat(AvailabilityStateMachine.State.initial(0), signals(ProcessPhase.SERVING, RequestedMode.READY, false, 0, 40, 0.9, 0, 0), 100);
-        assertEquals(AvailabilityStatus.STALE, s.status());
-        assertEquals(1, s.weight());
-        assertTrue(s.reason().contains("wrong"), s.reason());
-        s = repeat(AvailabilityStateMachine.State.initial(0), signals(ProcessPhase.SERVING, RequestedMode.READY, false, SETTINGS.staleAttempts(), 2, 0, 0, 0), 300);
-        assertEquals(AvailabilityStatus.READY, s.status());
-        assertEquals(100, s.weight());
+        AvailabilityStateMachine.State state = repeat(AvailabilityStateMachine.State.initial(0),
+                signals(ProcessPhase.SERVING, RequestedMode.READY, false, 0, 40, 0.9, 0, 0), 100);
+        assertEquals(AvailabilityStatus.STALE, state.status());
+        assertEquals(1, state.weight());
+        assertTrue(state.reason().contains("wrong"), state.reason());
+        state = repeat(AvailabilityStateMachine.State.initial(0),
+                signals(ProcessPhase.SERVING, RequestedMode.READY, false, SETTINGS.staleAttempts(), 2, 0, 0, 0), 300);
+        assertEquals(AvailabilityStatus.READY, state.status());
+        assertEquals(100, state.weight());
     }
 
     @Test
     void discoverySilenceDegradesTemporarily() {
-        AvailabilityStateMachine.State s = repeat(serving(), signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 0, 0, 25_000_000), 100);
-        assertEquals(AvailabilityStatus.DEGRADED, s.status());
-        assertTrue(s.impaired());
-        assertEquals(100, s.weight(), "all may have lost it: nobody else would do better");
-        assertEquals(AvailabilityStatus.READY, repeat(s, healthySignals(), 100).status());
+        AvailabilityStateMachine.State state = repeat(serving(),
+                signals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 0, 0, 25_000_000), 100);
+        assertEquals(AvailabilityStatus.DEGRADED, state.status());
+        assertTrue(state.impaired());
+        assertEquals(100, state.weight(), "all dispatchers may have lost discovery, so the weight stays");
+        assertEquals(AvailabilityStatus.READY, repeat(state, healthySignals(), 100).status());
     }
 }
--- a/src/test/java/granitefold/availability/FleetTest.java
+++ b/src/test/java/granitefold/availability/FleetTest.java
@@ -7,27 +7,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Eight dispatchers behind a balancer that deals by their weights, in steps of virtual time: a fluid model, since what
- * is in question is the loop from weight to load and back, not any one request.
+ * Simulates eight dispatchers behind a balancer that distributes by their weights, in steps of virtual time. It is a fluid
+ * model without single requests, because it examines the feedback loop between weight and load.
  */
 class FleetTest {
     private static final int DISPATCHERS = 8;
     private static final int STEPS = 1200;
     private static final double CAPACITY = 100;
-    /** The balancer asks each agent every 2 s. */
+    /** The balancer polls each agent every 2 s. */
     private static final int POLL_STEPS = 20;
 
     private record Outcome(double served, int statusChanges, double maxLoad, double minLoad) { }
 
-    /** Serves {@code load} for two minutes; each has this part of a full one's capacity. */
-    private static Outcome simulate(double load, double[] part, boolean checks, long seed) {
-        AvailabilitySettings set = AvailabilitySettings.DEFAULTS;
-        AvailabilityStateMachine machine = new AvailabilityStateMachine(set, 400);
+    /** Serves {@code load} for two minutes; each dispatcher has the given share of the full capacity. */
+    private static Outcome simulate(double load, double[] capacityShare, boolean checksEnabled, long seed) {
+        AvailabilitySettings settings = AvailabilitySettings.DEFAULTS;
+        AvailabilityStateMachine machine = new AvailabilityStateMachine(settings, 400);
         SplittableRandom random = new SplittableRandom(seed);
         AvailabilityStateMachine.State[] states = new AvailabilityStateMachine.State[DISPATCHERS];
         double[] weights = new double[DISPATCHERS];
         double[] queue = new double[DISPATCHERS];
-        double[] total = new double[DISPATCHERS];
+        double[] totalLoad = new double[DISPATCHERS];
         Arrays.fill(weights, 100);
         double served = 0;
         int changes = 0;
@@ -35,39 +35,40 @@
         for (int i = 0; i < DISPATCHERS; i++) {
             states[i] = AvailabilityStateMachine.State.initial(0);
         }
-        double dt = set.intervalUs() / 1e6;
+        double stepS = settings.intervalUs() / 1e6;
         for (int step = 1; step <= STEPS; step++) {
-            double sum = Arrays.stream(weights).sum();
+            double weightSum = Arrays.stream(weights).sum();
             for (int i = 0; i < DISPATCHERS; i++) {
-                double arrive = load * weights[i] / sum * dt * (0.8 + 0.4 * random.nextDouble());
-                double can = CAPACITY * part[i] * dt;
-                // what would wait for longer than two of the tightest allowances is rejected
-                double room = Math.max(0, CAPACITY * part[i] * 0.6 - queue[i] + can);
-                double taken = Math.min(arrive, room);
-                double done = Math.min(queue[i] + taken, can);
-                queue[i] += taken - done;
-                served += done;
-                total[i] += arrive;
-                double share = arrive == 0 ? 0 : 1 - taken / arrive;
-                double wait = queue[i] / (CAPACITY * part[i]) / 0.3;
-                AvailabilityStateMachine.State next = machine.next(states[i], new AvailabilitySignals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 5, 0, 0,
-                        share, 0, wait, 0.1, 0.1, 0.1, 0, 0), step * set.intervalUs());
-                // the first ones are the start's own
+                double arriving = load * weights[i] / weightSum * stepS * (0.8 + 0.4 * random.nextDouble());
+                double capacity = CAPACITY * capacityShare[i] * stepS;
+                // Jobs that would wait for longer than twice the tightest allowance are rejected.
+                double room = Math.max(0, CAPACITY * capacityShare[i] * 0.6 - queue[i] + capacity);
+                double accepted = Math.min(arriving, room);
+                double completed = Math.min(queue[i] + accepted, capacity);
+                queue[i] += accepted - completed;
+                served += completed;
+                totalLoad[i] += arriving;
+                double rejectShare = arriving == 0 ? 0 : 1 - accepted / arriving;
+                double waitMultiple = queue[i] / (CAPACITY * capacityShare[i]) / 0.3;
+                AvailabilityStateMachine.State next = machine.next(states[i],
+                        new AvailabilitySignals(ProcessPhase.SERVING, RequestedMode.READY, true, 0, 0, 5, 0, 0, rejectShare,
+                                0, waitMultiple, 0.1, 0.1, 0.1, 0, 0), step * settings.intervalUs());
+                // Changes within the first 200 steps belong to the start.
                 changes += next.status() != states[i].status() && step > 200 ? 1 : 0;
                 states[i] = next;
-                if (checks && step % POLL_STEPS == offset[i]) {
+                if (checksEnabled && step % POLL_STEPS == offset[i]) {
                     weights[i] = Math.max(1, machine.report(next).weightPercent());
                 }
             }
         }
-        return new Outcome(served, changes, Arrays.stream(total).max().orElseThrow(), Arrays.stream(total).min().orElseThrow());
+        return new Outcome(served, changes, Arrays.stream(totalLoad).max().orElseThrow(), Arrays.stream(totalLoad).min().orElseThrow());
     }
 
     private static double[] capacityShares(double first) {
-        double[] part = new double[DISPATCHERS];
-        Arrays.fill(part, 1);
-        part[0] = first;
-        return part;
+        double[] shares = new double[DISPATCHERS];
+        Arrays.fill(shares, 1);
+        shares[0] = first;
+        return shares;
     }
 
     @Test
@@ -77,11 +78,11 @@
                 for (double first : new double[] {1, 0.3}) {
                     Outcome with = simulate(load, capacityShares(first), true, seed);
                     Outcome without = simulate(load, capacityShares(first), false, seed);
-                    String what = "load " + load + ", first " + first + ": " + with + " against " + without;
-                    // half a percent: which noise meets which queue
-                    assertTrue(with.served() >= 0.995 * without.served(), what);
-                    // two minutes less the start: once in ten seconds each at the most
-                    assertTrue(with.statusChanges() <= 10 * DISPATCHERS, what);
+                    String description = "load " + load + ", first " + first + ": " + with + " against " + without;
+                    // Half a percent allows for the noise of the queues.
+                    assertTrue(with.served() >= 0.995 * without.served(), description);
+                    // Two minutes without the start: at most one change of each dispatcher in ten seconds.
+                    assertTrue(with.statusChanges() <= 10 * DISPATCHERS, description);
                 }
             }
         }
@@ -92,7 +93,7 @@
         Outcome with = simulate(700, capacityShares(0.3), true, 7);
         Outcome without = simulate(700, capacityShares(0.3), false, 7);
         assertTrue(with.served() > 1.01 * without.served(), with + " against " + without);
-        assertTrue(with.maxLoad() < 1.3 * without.maxLoad(), "no herd on one: " + with);
-        assertTrue(with.minLoad() > 0, "nobody is shut out");
+        assertTrue(with.maxLoad() < 1.3 * without.maxLoad(), "traffic does not concentrate on one dispatcher: " + with);
+        assertTrue(with.minLoad() > 0, "every dispatcher gets traffic");
     }
 }
--- a/src/test/java/granitefold/operator/OperatorFileTest.java
+++ b/src/test/java/granitefold/operator/OperatorFileTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The operator's file, read, and broken in the ways that files get broken. */
+/** Reads valid operator's files, and files with the usual kinds of mistakes. */
 class OperatorFileTest {
     private static List<String> problems(String text) {
         return assertThrows(InvalidFileException.class, () -> OperatorFile.read("f.conf", text), text).problems();
@@ -23,23 +23,23 @@
 
     @Test
     void emptyFileEnablesNothing() throws InvalidFileException {
-        OperatorSettings o = OperatorFile.read("f.conf", "").settings();
-        assertEquals(OperatorSettings.NONE.clients(), o.clients());
-        assertFalse(o.publishesAvailability());
-        assertEquals(AvailabilitySettings.DEFAULTS, o.availability());
-        assertEquals(Extras.NONE, o.extras(true));
+        OperatorSettings settings = OperatorFile.read("f.conf", "").settings();
+        assertEquals(OperatorSettings.NONE.clients(), settings.clients());
+        assertFalse(settings.publishesAvailability());
+        assertEquals(AvailabilitySettings.DEFAULTS, settings.availability());
+        assertEquals(Extras.NONE, settings.extras(true));
     }
 
     @Test
     void deployedFileListsEveryKeyCommentedOut() throws Exception {
         String text = Files.readString(Path.of("deploy/operator.conf"));
         assertEquals(OperatorFile.read("d", "").effective(), OperatorFile.read("d", text).effective());
-        String on = text.lines().filter(l -> l.matches("# [a-z-]+\\.[a-z.-]+ = .*")).map(l -> l.substring(2))
+        String uncommented = text.lines().filter(l -> l.matches("# [a-z-]+\\.[a-z.-]+ = .*")).map(l -> l.substring(2))
                 .collect(Collectors.joining("\n"));
-        OperatorFile.Read all = OperatorFile.read("d", on);
-        assertEquals(new TreeSet<>(all.effective().keySet()), new TreeSet<>(on.lines().map(l -> l.substring(0, l.indexOf(' ')))
+        OperatorFile.Read all = OperatorFile.read("d", uncommented);
+        assertEquals(new TreeSet<>(all.effective().keySet()), new TreeSet<>(uncommented.lines().map(l -> l.substring(0, l.indexOf(' ')))
                 .toList()));
-        // what it calls the defaults are the defaults
+        // The values that the file gives as defaults are the defaults.
         assertEquals(AvailabilitySettings.DEFAULTS, all.settings().availability());
         assertTrue(all.settings().publishesAvailability());
     }
@@ -66,11 +66,11 @@
 
     @Test
     void platformSettingOverridesProbing() throws InvalidFileException {
-        OperatorSettings o = OperatorFile.read("f", "probe.allowed = true").settings();
-        assertTrue(o.extras(true).health().probesEnabled());
-        assertNull(o.extras(false).health());
-        o = OperatorFile.read("f", "probe.allowed = true\neject.failures = 5").settings();
-        assertFalse(o.extras(false).health().probesEnabled());
+        OperatorSettings settings = OperatorFile.read("f", "probe.allowed = true").settings();
+        assertTrue(settings.extras(true).health().probesEnabled());
+        assertNull(settings.extras(false).health());
+        settings = OperatorFile.read("f", "probe.allowed = true\neject.failures = 5").settings();
+        assertFalse(settings.extras(false).health().probesEnabled());
     }
 
     @Test
--- a/src/test/java/granitefold/state/FaultyStorage.java
+++ b/src/test/java/granitefold/state/FaultyStorage.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 
 /**
- * A folder in memory that does what disks do: what was not forced may be lost, torn or kept at a power loss, renames that
- * were not forced in any order, and each call may fail.
+ * A directory in memory that fails as disks do. At a power loss, content that was not forced may be lost, torn or kept, and
+ * renames that were not forced may each be lost or kept, in any combination. Each call may fail.
  */
 final class FaultyStorage implements Storage {
-    /** The power has gone: nothing after it happens. */
+    /** The power fails; nothing is executed after it. */
     static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
@@ -35,9 +35,9 @@
     private Map<String, Inode> files = new HashMap<>();
     private Map<String, Inode> durableFiles = new HashMap<>();
     private final List<NameChange> unforcedChanges = new ArrayList<>();
-    /** Steps until the power goes, -1: it stays. */
+    /** Steps until the power fails; -1: never. */
     int stepsToPowerLoss = -1;
-    /** Steps until a call fails, -1: none does. */
+    /** Steps until a call fails; -1: never. */
     int stepsToFailure = -1;
     int stepCount;
 
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public byte[] read(String name, int most) {
+    public byte[] read(String name, int maxBytes) {
         Inode i = files.get(name);
         return i == null ? null : i.bytes.clone();
     }
@@ -70,7 +70,7 @@
     public void write(String name, byte[] bytes) throws IOException {
         Inode i = new Inode(Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
         change(n -> n.put(name, i));
-        // a failure leaves a part of it
+        // A failure leaves a part of the content.
         step();
         i.bytes = bytes.clone();
     }
@@ -107,35 +107,35 @@
         unforcedChanges.clear();
     }
 
-    /** What is there after the power has come back. */
+    /** Replaces the directory by what a power loss leaves of it. */
     void restorePower() {
-        Map<String, Inode> left = new HashMap<>(durableFiles);
-        // journals write names in order or not: any of the changes may have made it
+        Map<String, Inode> remaining = new HashMap<>(durableFiles);
+        // File systems need not write renames in order, so any of the changes may have become durable.
         for (NameChange c : unforcedChanges) {
             if (random.nextBoolean()) {
-                c.applyTo(left);
+                c.applyTo(remaining);
             }
         }
         unforcedChanges.clear();
-        Map<String, Inode> after = new HashMap<>();
-        left.forEach((name, i) -> {
-            boolean all = i.durable.length == i.bytes.length && Arrays.equals(i.durable, i.bytes);
-            byte[] bytes = all ? i.bytes : switch (random.nextInt(3)) {
+        Map<String, Inode> restored = new HashMap<>();
+        remaining.forEach((name, i) -> {
+            boolean forced = i.durable.length == i.bytes.length && Arrays.equals(i.durable, i.bytes);
+            byte[] bytes = forced ? i.bytes : switch (random.nextInt(3)) {
                 case 0 -> i.durable;
                 case 1 -> i.bytes;
                 default -> {
-                    // as long as it was to be, with what was never written in it
+                    // The file has its full length, but its end was never written.
                     byte[] torn = Arrays.copyOf(i.bytes, i.bytes.length);
                     Arrays.fill(torn, random.nextInt(torn.length + 1), torn.length, (byte) 0);
                     yield torn;
                 }
             };
-            Inode n = new Inode(bytes);
-            n.durable = bytes;
-            after.put(name, n);
+            Inode inode = new Inode(bytes);
+            inode.durable = bytes;
+            restored.put(name, inode);
         });
-        files = after;
-        durableFiles = new HashMap<>(after);
+        files = restored;
+        durableFiles = new HashMap<>(restored);
         stepsToPowerLoss = -1;
         stepsToFailure = -1;
     }
--- a/src/test/java/granitefold/state/KillIT.java
+++ b/src/test/java/granitefold/state/KillIT.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Killed at random moments while it writes: what is found is what was last saved, or newer, and never broken. */
+/** Kills a writing process at random moments; the state found afterwards is intact and is the last save or a newer one. */
 public class KillIT {
     private static final int CYCLES = Integer.getInteger("kill.cycles", 25);
 
@@ -29,8 +29,8 @@
                 assertTrue(first.startsWith("found "), first);
                 long found = Long.parseLong(first.split(" ")[1]);
                 assertTrue(found >= saved && found <= saved + 1, "cycle " + cycle + ": saved " + saved + ", " + first);
-                assertEquals(first.substring(first.indexOf('[')), "[]", "no generation is broken");
-                // so many saves come back, and a moment of chance later it is killed
+                assertEquals(first.substring(first.indexOf('[')), "[]", "no generation is damaged");
+                // Kill the process a random time after a random number of completed saves.
                 int after = random.nextInt(1, 20);
                 for (int i = 0; i < after; i++) {
                     saved = Long.parseLong(out.readLine().split(" ")[1]);
--- a/src/test/java/granitefold/state/StateFileTest.java
+++ b/src/test/java/granitefold/state/StateFileTest.java
@@ -19,46 +19,46 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A file is read as it was written, or not at all. */
+/** A file is decoded exactly as it was encoded, or rejected. */
 class StateFileTest {
     static Content content(int workers, long seed) {
         return content(workers, seed, "s" + seed % 10);
     }
 
     private static Content content(int workers, long seed, String settings) {
-        SplittableRandom r = new SplittableRandom(seed);
-        List<LearnedState.Worker> ps = new ArrayList<>();
+        SplittableRandom random = new SplittableRandom(seed);
+        List<LearnedState.Worker> workerList = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
-            ps.add(new LearnedState.Worker(r.nextLong(1L << 42), r.nextInt(-1, 2), r.nextLong(1L << 50), r.nextLong(1L << 50),
-                    r.nextDouble(-9, 9), r.nextDouble(20), r.nextInt(9), r.nextDouble(1e6),
-                    r.longs(r.nextInt(20)).boxed().toList()));
+            workerList.add(new LearnedState.Worker(random.nextLong(1L << 42), random.nextInt(-1, 2), random.nextLong(1L << 50),
+                    random.nextLong(1L << 50), random.nextDouble(-9, 9), random.nextDouble(20), random.nextInt(9), random.nextDouble(1e6),
+                    random.longs(random.nextInt(20)).boxed().toList()));
         }
-        return new Content("n" + r.nextInt(9), settings, 1, 3, List.of("cocina-de-casa", "dulce-tarde"), List.of("nuevo-5n", "viejo-6n"),
-                new LearnedState(r.nextLong(1L << 50), 3e5, 6.5, 4e5, 900, List.of(new LearnedState.Kind(1, -0.3, 40, 6)), ps,
-                List.of(new LearnedState.Bucket(0, List.of(5L, 6L, 7L), 123.5, 99)), List.of(new LearnedState.Key(r.nextLong(), 77))));
+        return new Content("n" + random.nextInt(9), settings, 1, 3, List.of("cocina-de-casa", "dulce-tarde"), List.of("nuevo-5n", "viejo-6n"),
+                new LearnedState(random.nextLong(1L << 50), 3e5, 6.5, 4e5, 900, List.of(new LearnedState.Kind(1, -0.3, 40, 6)), workerList,
+                List.of(new LearnedState.Bucket(0, List.of(5L, 6L, 7L), 123.5, 99)), List.of(new LearnedState.Key(random.nextLong(), 77))));
     }
 
     @Property(tries = 200)
     void decodingReturnsTheEncodedContent(@ForAll long seed, @ForAll @IntRange(max = 40) int workers) throws UnreadableFileException {
-        Content c = content(workers, seed);
-        assertEquals(c, StateFile.decode(StateFile.encode(c)));
+        Content content = content(workers, seed);
+        assertEquals(content, StateFile.decode(StateFile.encode(content)));
     }
 
     /** A file that version 0.1.0 wrote. */
     @Test
     void fileOfVersion010IsRead() throws Exception {
         byte[] golden = java.nio.file.Files.readAllBytes(java.nio.file.Path.of("src/test/resources/golden/learned-1.state"));
-        assertEquals(content(5, 42, ""), StateFile.decode(golden), "it does not say what its settings were, and is nobody's");
+        assertEquals(content(5, 42, ""), StateFile.decode(golden), "the file has no settings key, so it matches no settings");
     }
 
-    /** Every prefix and every flipped bit of a real file. */
+    /** Tries every prefix of a file and every flip of one bit. */
     @Test
     void truncatedAndCorruptedFilesAreRejected() {
         byte[] file = StateFile.encode(content(12, 3));
         int refused = 0;
-        for (int n = 0; n < file.length; n++) {
-            byte[] cut = Arrays.copyOf(file, n);
-            assertThrows(UnreadableFileException.class, () -> StateFile.decode(cut));
+        for (int length = 0; length < file.length; length++) {
+            byte[] truncated = Arrays.copyOf(file, length);
+            assertThrows(UnreadableFileException.class, () -> StateFile.decode(truncated));
             refused++;
         }
         for (int bit = 0; bit < file.length * 8; bit++) {
@@ -97,30 +97,32 @@
 
     @Test
     void tenThousandWorkersFitIntoFourMebibytes() {
-        SplittableRandom r = new SplittableRandom(5);
+        SplittableRandom random = new SplittableRandom(5);
         List<LearnedState.Worker> workers = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
-            workers.add(new LearnedState.Worker(r.nextLong(1L << 42), 1, 0, 0, r.nextDouble(), 20, 6, 0, r.longs(12).boxed().toList()));
+            workers.add(new LearnedState.Worker(random.nextLong(1L << 42), 1, 0, 0, random.nextDouble(), 20, 6, 0,
+                    random.longs(12).boxed().toList()));
         }
         List<LearnedState.Bucket> buckets = new ArrayList<>();
         for (int i = 0; i < 4096; i++) {
-            buckets.add(new LearnedState.Bucket(i, List.of(r.nextLong(1L << 40), 0L, 0L), r.nextDouble(1e9), 1L << 50));
+            buckets.add(new LearnedState.Bucket(i, List.of(random.nextLong(1L << 40), 0L, 0L), random.nextDouble(1e9), 1L << 50));
         }
-        byte[] file = StateFile.encode(new Content("n", "s", 0, 3, List.of(), List.of(), new LearnedState(0, 1, 1, 1, 1, List.of(), workers,
-                buckets, List.of())));
+        byte[] file = StateFile.encode(new Content("n", "s", 0, 3, List.of(), List.of(),
+                new LearnedState(0, 1, 1, 1, 1, List.of(), workers, buckets, List.of())));
         assertTrue(file.length < 4 << 20, file.length + " bytes");
     }
 
     @Test
     void indicesFollowNamesAndForeignFilesAreRejected() {
-        Content c = content(3, 9);
-        StateIndexMapping turned = new StateIndexMapping(c.name(), c.settings(), 0, 2, List.of("dulce-tarde", "cocina-de-casa"), List.of("viejo-6n"));
-        LearnedState here = turned.remap(c);
-        assertEquals(0, here.kinds().get(0).kind());
-        assertEquals(1, here.buckets().get(0).tenant());
-        assertEquals(List.of(6L, 0L), here.buckets().get(0).used(), "our own use moves to our number, others' are unknown");
-        assertTrue(here.workers().stream().allMatch(p -> p.kind() == -1 || p.kind() == 0));
-        assertEquals(null, new StateIndexMapping("other", c.settings(), 0, 2, List.of(), List.of()).remap(c));
-        assertEquals(null, new StateIndexMapping(c.name(), "others", 0, 2, List.of(), List.of()).remap(c));
+        Content content = content(3, 9);
+        StateIndexMapping reordered = new StateIndexMapping(content.name(), content.settings(), 0, 2,
+                List.of("dulce-tarde", "cocina-de-casa"), List.of("viejo-6n"));
+        LearnedState remapped = reordered.remap(content);
+        assertEquals(0, remapped.kinds().get(0).kind());
+        assertEquals(1, remapped.buckets().get(0).tenant());
+        assertEquals(List.of(6L, 0L), remapped.buckets().get(0).used(), "the own use moves to the new index, the others' is unknown");
+        assertTrue(remapped.workers().stream().allMatch(p -> p.kind() == -1 || p.kind() == 0));
+        assertEquals(null, new StateIndexMapping("other", content.settings(), 0, 2, List.of(), List.of()).remap(content));
+        assertEquals(null, new StateIndexMapping(content.name(), "others", 0, 2, List.of(), List.of()).remap(content));
     }
 }
--- a/src/test/java/granitefold/state/StateStoreTest.java
+++ b/src/test/java/granitefold/state/StateStoreTest.java
@@ -12,48 +12,51 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Power loss and failing calls at every step of a save. */
+/** Checks saves with a power loss or a failing call at every step. */
 class StateStoreTest {
-    private static Content numbered(long n) {
-        return new Content("n0", "s", 0, 1, List.of(), List.of(), new LearnedState(n, 1, 1, 1, 1, List.of(), List.of(), List.of(),
+    private static Content numbered(long number) {
+        return new Content("n0", "s", 0, 1, List.of(), List.of(), new LearnedState(number, 1, 1, 1, 1, List.of(), List.of(), List.of(),
                 List.of()));
     }
 
-    /** A life: it loads, then saves; returns the number that the last save that came back had. */
-    private static long load(FaultyStorage disk, int keep) {
-        Content found = new StateStore(disk, keep).load().content();
+    /** Loads as a new process does; returns the number of the content, or 0 if there is none. */
+    private static long load(FaultyStorage storage, int keep) {
+        Content found = new StateStore(storage, keep).load().content();
         return found == null ? 0 : found.learned().at();
     }
 
-    /** 4 steps of power loss within each of 3 saves, 500 outcomes of each: what is found was written whole and is not older. */
+    /**
+     * A power loss at each of 8 steps of a save, with 2 to 4 generations and 500 random outcomes each. The content found
+     * afterwards is complete and not older than the last completed save.
+     */
     @Test
     void powerLossAtAnyStepKeepsTheLastOrCurrentSave() throws IOException {
         int runs = 0;
         for (int keep = 2; keep <= 4; keep++) {
             for (int step = 0; step < 8; step++) {
                 for (long seed = 0; seed < 500; seed++) {
-                    FaultyStorage disk = new FaultyStorage(seed);
-                    StateStore store = new StateStore(disk, keep);
+                    FaultyStorage storage = new FaultyStorage(seed);
+                    StateStore store = new StateStore(storage, keep);
                     store.load();
                     store.save(numbered(1));
                     store.save(numbered(2));
                     store.save(numbered(3));
-                    disk.stepsToPowerLoss = step;
-                    long told = 3;
+                    storage.stepsToPowerLoss = step;
+                    long saved = 3;
                     try {
                         store.save(numbered(4));
-                        told = 4;
+                        saved = 4;
                     } catch (FaultyStorage.PowerLoss e) {
-                        // nothing was promised
+                        // The save did not return, so it need not have been stored.
                     }
-                    disk.restorePower();
-                    long found = load(disk, keep);
-                    assertTrue(found == told || found == 4, "keep " + keep + " step " + step + " seed " + seed + ": " + found);
-                    // and the next life writes on
-                    StateStore next = new StateStore(disk, keep);
+                    storage.restorePower();
+                    long found = load(storage, keep);
+                    assertTrue(found == saved || found == 4, "keep " + keep + " step " + step + " seed " + seed + ": " + found);
+                    // The next process can save again.
+                    StateStore next = new StateStore(storage, keep);
                     next.load();
                     next.save(numbered(5));
-                    assertEquals(5, load(disk, keep));
+                    assertEquals(5, load(storage, keep));
                     runs++;
                 }
             }
@@ -64,61 +67,61 @@
     @Test
     void fullDiskAtAnyStepKeepsSavedDataAndAllowsRetry() throws IOException {
         for (int step = 0; step < 6; step++) {
-            FaultyStorage disk = new FaultyStorage(step);
-            StateStore store = new StateStore(disk, 2);
+            FaultyStorage storage = new FaultyStorage(step);
+            StateStore store = new StateStore(storage, 2);
             store.load();
             store.save(numbered(1));
             store.save(numbered(2));
-            disk.stepsToFailure = step;
+            storage.stepsToFailure = step;
             boolean failed = false;
             try {
                 store.save(numbered(3));
             } catch (IOException e) {
                 failed = true;
             }
-            assertTrue(load(disk, 2) >= 2, "step " + step);
-            assertTrue(failed || step >= 5, "step " + step + " of " + disk.stepCount);
-            disk.stepsToFailure = -1;
+            assertTrue(load(storage, 2) >= 2, "step " + step);
+            assertTrue(failed || step >= 5, "step " + step + " of " + storage.stepCount);
+            storage.stepsToFailure = -1;
             store.save(numbered(4));
-            assertEquals(4, load(disk, 2));
+            assertEquals(4, load(storage, 2));
         }
     }
 
     @Test
     void newerFileIsSetAsideAndOlderGenerationIsLoaded() throws IOException {
-        FaultyStorage disk = new FaultyStorage(1);
+        FaultyStorage storage = new FaultyStorage(1);
         byte[] newer = StateFileTest.withVersion(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
-        disk.put(StateStore.CURRENT, newer);
-        disk.put(StateStore.generationName(1), StateFile.encode(numbered(8)));
-        StateStore store = new StateStore(disk, 2);
+        storage.put(StateStore.CURRENT, newer);
+        storage.put(StateStore.generationName(1), StateFile.encode(numbered(8)));
+        StateStore store = new StateStore(storage, 2);
         StateStore.LoadResult found = store.load();
         assertEquals(8, found.content().learned().at());
         assertEquals(1, found.problems().size());
         store.save(numbered(10));
         store.save(numbered(11));
-        assertArrayEquals(newer, disk.read(StateStore.SET_ASIDE, StateFile.MAX_LENGTH_BYTES));
+        assertArrayEquals(newer, storage.read(StateStore.SET_ASIDE, StateFile.MAX_LENGTH_BYTES));
     }
 
     @Test
     void nothingIsWrittenIfSettingAsideFails() throws IOException {
-        FaultyStorage disk = new FaultyStorage(1);
+        FaultyStorage storage = new FaultyStorage(1);
         byte[] newer = StateFileTest.withVersion(StateFile.encode(numbered(9)), StateFile.VERSION + 1);
-        disk.put(StateStore.CURRENT, newer);
-        disk.stepsToFailure = 0;
-        StateStore store = new StateStore(disk, 2);
+        storage.put(StateStore.CURRENT, newer);
+        storage.stepsToFailure = 0;
+        StateStore store = new StateStore(storage, 2);
         assertNull(store.load().content());
         assertThrows(IOException.class, () -> store.save(numbered(10)));
-        assertArrayEquals(newer, disk.read(StateStore.CURRENT, StateFile.MAX_LENGTH_BYTES));
+        assertArrayEquals(newer, storage.read(StateStore.CURRENT, StateFile.MAX_LENGTH_BYTES));
     }
 
     @Test
     void damagedFileIsReportedAndPreviousGenerationIsLoaded() throws IOException {
-        FaultyStorage disk = new FaultyStorage(1);
+        FaultyStorage storage = new FaultyStorage(1);
         byte[] damaged = StateFile.encode(numbered(2));
         damaged[40] ^= 4;
-        disk.put(StateStore.CURRENT, damaged);
-        disk.put(StateStore.generationName(1), StateFile.encode(numbered(1)));
-        StateStore.LoadResult found = new StateStore(disk, 2).load();
+        storage.put(StateStore.CURRENT, damaged);
+        storage.put(StateStore.generationName(1), StateFile.encode(numbered(1)));
+        StateStore.LoadResult found = new StateStore(storage, 2).load();
         assertEquals(1, found.content().learned().at());
         assertTrue(found.problems().get(0).startsWith("learned.state: at byte "), found.problems().get(0));
     }
--- a/src/test/java/granitefold/state/StateWriterTest.java
+++ b/src/test/java/granitefold/state/StateWriterTest.java
@@ -10,17 +10,17 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What a planned end leaves behind, on a disk that takes its time. */
+/** Checks what a graceful shutdown saves when the storage is slow. */
 class StateWriterTest {
     private static final long TIMEOUT_US = 30_000_000;
     private static final long EARLY_END_MS = 200;
     private final FaultyStorage memory = new FaultyStorage(1);
-    /** A value is being forced; it may be through. */
+    /** Signals that a value is being forced, and allows that call to finish. */
     private final CountDownLatch forceStarted = new CountDownLatch(1), forceAllowed = new CountDownLatch(1);
     private final Storage slowStorage = new Storage() {
         @Override
-        public byte[] read(String name, int most) {
-            return memory.read(name, most);
+        public byte[] read(String name, int maxBytes) {
+            return memory.read(name, maxBytes);
         }
 
         @Override
@@ -67,13 +67,13 @@
         writer.submit(learned(1));
         forceStarted.await();
         writer.submit(learned(2));
-        Thread ends = new Thread(() -> writer.shutDown(TIMEOUT_US));
-        ends.start();
-        // an end that had a bound of its own, shorter than the time there is, would be over
-        ends.join(EARLY_END_MS);
-        assertTrue(ends.isAlive(), "it ended before the disk had the last value");
+        Thread shutdown = new Thread(() -> writer.shutDown(TIMEOUT_US));
+        shutdown.start();
+        // A shutdown with a limit of its own, shorter than the given time, would have ended by now.
+        shutdown.join(EARLY_END_MS);
+        assertTrue(shutdown.isAlive(), "the shutdown ended before the last value was stored");
         forceAllowed.countDown();
-        ends.join(TimeUnit.MICROSECONDS.toMillis(TIMEOUT_US));
+        shutdown.join(TimeUnit.MICROSECONDS.toMillis(TIMEOUT_US));
         assertEquals(2, newest());
     }
 
@@ -83,7 +83,7 @@
         writer.submit(learned(1));
         forceStarted.await();
         writer.shutDown(1);
-        assertEquals(0, newest(), "what was not forced has no name that is read");
+        assertEquals(0, newest(), "content that was not forced has no name that is read");
         forceAllowed.countDown();
     }
 }
