--- a/src/main/java/granitefold/core/Bookkeeper.java
+++ b/src/main/java/granitefold/core/FiguresPublisher.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Keeps the figures and publishes them at an interval. Where nobody may ask for them it does nothing. */
-final class Bookkeeper {
+final class FiguresPublisher {
     /** Figures may be half a second old when they are read. */
     static final long EVERY_US = 100_000;
 
@@ -15,7 +15,7 @@
     private final List<Effect> effects;
     private final MetricsCollector tally;
 
-    Bookkeeper(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
+    FiguresPublisher(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
         tally = on ? new MetricsCollector(classes) : null;
         this.reducer = reducer;
         this.timers = timers;
@@ -32,9 +32,9 @@
     /** Tells how things stand now, out of turn where something of weight has changed. */
     void publish() {
         if (tally != null) {
-            Dispatcher.Choice choice = reducer.choice();
-            MetricsSnapshot f = tally.snapshot(reducer.owed(), choice.listed(), choice.avoided(), reducer.ready());
-            effects.add(new Effect.Count(f));
+            Dispatcher.WorkerCounts counts = reducer.workerCounts();
+            MetricsSnapshot f = tally.snapshot(reducer.owed(), counts.listed(), counts.avoided(), reducer.ready());
+            effects.add(new Effect.PublishFigures(f));
         }
     }
 
--- a/src/main/java/granitefold/net/Loop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -13,10 +13,10 @@
 import granitefold.operator.OperatorSettings;
 import granitefold.recovery.LearnedState;
 import granitefold.wire.Address;
-import granitefold.wire.BadWire;
 import granitefold.wire.Config;
 import granitefold.wire.HttpMessages;
-import granitefold.wire.Vocabulary;
+import granitefold.wire.InvalidInputException;
+import granitefold.wire.NamedSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -37,7 +37,7 @@
  * The one loop: it brings events to the reducer and does what that asks for. All but the methods marked so runs on
  * the selector's thread.
  */
-public final class Loop implements Sockets.Host {
+public final class EventLoop implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 1024;
     private static final long AFTER_ERROR_US = 10_000;
     /**
@@ -54,7 +54,7 @@
 
     private final Config config;
     private final Clock clock = new Clock();
-    private final Sockets sockets = new Sockets("dispatcher", this);
+    private final SelectorThread sockets = new SelectorThread("dispatcher", this);
     private final Reducer reducer;
     private final Reducer.Bounds bounds;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
@@ -69,41 +69,41 @@
     private long lastClient;
     private long heldBytes;
     /** What the operator's file adds; null where no part of it needs the loop. */
-    private final Insight insight;
+    private final StatusReporter insight;
     private final OperatorSettings operator;
     private Consumer<LearnedState> keeper;
-    private final Links links;
+    private final OutboundConnections links;
     /** The other processes that serve at our address; null where nobody may start one. */
-    private final Company company;
+    private final ProcessRegistry company;
     /** Null where no other process may share our folder. */
-    private final Handover handover;
+    private final StateHandover handover;
     private volatile MetricsSnapshot figures;
 
     /** As the platform starts it. */
-    public Loop(Config config) {
+    public EventLoop(Config config) {
         this(config, OperatorSettings.NONE);
     }
 
-    public Loop(Config config, OperatorSettings operator) {
+    public EventLoop(Config config, OperatorSettings operator) {
         this.config = config;
         this.operator = operator;
-        insight = operator.publishesAvailability() ? new Insight(clock, operator.clients(), config.cores()) : null;
-        if (operator.health() != null && operator.health().probesEnabled() && !config.probing()) {
+        insight = operator.publishesAvailability() ? new StatusReporter(clock, operator.clients(), config.cores()) : null;
+        if (operator.health() != null && operator.health().probesEnabled() && !config.probingAllowed()) {
             EventLog.log(LogEvent.PROBES_OFF, "the platform's settings forbid them");
         }
         // a request holds a connection on either side
         boolean ops = config.ops() != null;
-        links = new Links(this, sockets, config, operator);
-        company = ops ? Company.at(config.listen()) : null;
-        handover = ops && company.stem != null ? new Handover(company.stem, config.places()) : null;
+        links = new OutboundConnections(this, sockets, config, operator);
+        company = ops ? ProcessRegistry.at(config.listen()) : null;
+        handover = ops && company.stem != null ? new StateHandover(company.stem, config.settingsIndexes()) : null;
         int checks = operator.maxDescriptors() + (ops ? OPS_DESCRIPTORS : 0);
         if (operator.maxDescriptors() > config.sockets() / 4) {
-            throw new BadWire("checks may hold " + operator.maxDescriptors() + " descriptors, more than a quarter of limits.sockets, "
+            throw new InvalidInputException("checks may hold " + operator.maxDescriptors() + " descriptors, more than a quarter of limits.sockets, "
                     + config.sockets());
         }
         int each = Math.max(SPARE + 1, (config.sockets() - RESERVED - checks) / 2);
         bounds = new Reducer.Bounds(each, each - SPARE, each, config.connectTimeoutUs(), config.idleCloseUs());
-        reducer = new Reducer(config.words().settings(), bounds, config.seed(), operator.extras(config.probing()).withFigures(ops));
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withFigures(ops));
     }
 
     /** Opens the sockets and begins; from the main thread. */
@@ -113,21 +113,21 @@
             // the old version serves meanwhile, so that a cold start need not be any client's
             String word = handover == null ? null : handover.ask();
             long at = clock.micros();
-            EventLog.log(LogEvent.WARMED, Warmup.run(config, bounds), (clock.micros() - at) / 1000);
+            EventLog.log(LogEvent.WARM_UP_DONE, JitWarmup.run(config, bounds), (clock.micros() - at) / 1000);
             inherited = word == null ? null : handover.await(word, INHERIT_MS);
         }
         LearnedState former = inherited;
         // where the next version may start beside this one, it listens on the same address
         long openedNs = System.nanoTime();
-        listener = new ClientListener(sockets, Listeners.tcp(config.listen(), BACKLOG, company != null), this::accepted);
+        listener = new ClientListener(sockets, SocketOpener.openTcpListener(config.listen(), BACKLOG, company != null), this::accepted);
         DatagramChannel siblings = links.bindSiblings(company != null);
         EventLog.log(LogEvent.LISTENING, Address.text(address()));
         sockets.start();
         sockets.submit(() -> {
             links.openSiblings(siblings);
-            post(new Event.Opened(config.known(), Address.text(config.discovery())));
+            post(new Event.SocketsOpened(config.initialWorkers(), Address.text(config.discovery())));
             if (former != null) {
-                post(new Event.Inherited(former));
+                post(new Event.StateInherited(former));
             }
             sockets.listen(listener, openedNs);
         });
@@ -147,7 +147,7 @@
         try {
             String discovery = Address.text(Config.read(file).discovery());
             EventLog.log(LogEvent.CONFIGURATION_READ, discovery);
-            sockets.submit(() -> post(new Event.DiscoveryMoved(discovery)));
+            sockets.submit(() -> post(new Event.DiscoveryAddressChanged(discovery)));
         } catch (RuntimeException e) {
             EventLog.log(LogEvent.CONFIGURATION_KEPT, e.getMessage());
         }
@@ -159,14 +159,14 @@
      */
     public long terminate() throws InterruptedException {
         long from = System.nanoTime();
-        started.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
+        started.await(reducer.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
         boolean relieved = company != null && company.others();
         if (relieved) {
-            EventLog.log(LogEvent.RELIEVED, Address.text(config.listen()));
+            EventLog.log(LogEvent.REPLACEMENT_SERVING, Address.text(config.listen()));
         }
-        sockets.submit(() -> post(new Event.Terminated(relieved)));
-        stopped.await(reducer.exitUs(), TimeUnit.MICROSECONDS);
-        return Math.max(0, reducer.exitUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - from));
+        sockets.submit(() -> post(new Event.ShutdownRequested(relieved)));
+        stopped.await(reducer.shutdownTimeoutUs(), TimeUnit.MICROSECONDS);
+        return Math.max(0, reducer.shutdownTimeoutUs() - TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - from));
     }
 
     public String name() {
@@ -174,13 +174,13 @@
     }
 
     /** Who keeps what was learned; set before the start, where the operator has named a folder. */
-    public void keeper(Consumer<LearnedState> who) {
+    public void saveStateWith(Consumer<LearnedState> who) {
         keeper = who;
     }
 
     /** What a former life left; from any thread. */
-    public void recovered(LearnedState learned) {
-        sockets.submit(() -> post(new Event.Recovered(learned)));
+    public void restore(LearnedState learned) {
+        sockets.submit(() -> post(new Event.StateRecovered(learned)));
     }
 
     /** What the process has done and how it stands; null before the first. From any thread. */
@@ -189,7 +189,7 @@
     }
 
     /** Looks whether a new version asks what was learned; {@code writer} runs what may wait for a file. */
-    public void passOn(Consumer<Runnable> writer) {
+    public void answerHandoverRequests(Consumer<Runnable> writer) {
         // while this one does not serve, the wish is its own
         if (handover != null && figures != null && figures.ready()) {
             handover.look(word -> sockets.submit(() -> {
@@ -200,25 +200,25 @@
     }
 
     /** How the dispatcher stands, readable from any thread; null where nothing tells it. */
-    public Insight insight() {
+    public StatusReporter statusReporter() {
         return insight;
     }
 
     /** An operator's word; from any thread. {@code then} runs on the loop's, once it has been taken in. */
-    public void wish(RequestedMode wish, Runnable then) {
+    public void setOperatorOverride(RequestedMode wish, Runnable then) {
         sockets.submit(() -> {
-            post(new Event.Wished(wish));
+            post(new Event.ModeRequested(wish));
             then.run();
         });
     }
 
     /** Other figures of availability; from any thread. */
-    public void retune(AvailabilitySettings availability) {
-        sockets.submit(() -> post(new Event.Retuned(availability)));
+    public void updateAvailabilitySettings(AvailabilitySettings availability) {
+        sockets.submit(() -> post(new Event.AvailabilitySettingsChanged(availability)));
     }
 
     /** The phase's name; from any thread, as it was at some moment lately. */
-    public String standing() {
+    public String phaseName() {
         return reducer.phase().name();
     }
 
@@ -230,8 +230,8 @@
         return reducer.phase();
     }
 
-    Vocabulary words() {
-        return config.words();
+    NamedSettings words() {
+        return config.namedSettings();
     }
 
     long now() {
@@ -265,7 +265,7 @@
         } catch (RuntimeException e) {
             // one broken event must not end the program: what was decided before it broke is done, and its timers go on
             EventLog.error(LogEvent.INTERNAL_ERROR, e, event.getClass().getSimpleName());
-            List.copyOf(reducer.effects()).forEach(this::attempt);
+            List.copyOf(reducer.pendingEffects()).forEach(this::attempt);
             wakeAt = clock.micros() + AFTER_ERROR_US;
         }
     }
@@ -281,14 +281,14 @@
 
     /** Milliseconds, rounded up, until the reducer is to be woken. */
     @Override
-    public long untilWake() {
+    public long millisUntilTimer() {
         return wakeAt == Long.MAX_VALUE ? TimeUnit.SECONDS.toMillis(1)
                 : Math.max(0, (wakeAt - clock.micros() + 999) / 1000);
     }
 
     @Override
-    public void wake() {
-        if (untilWake() <= 0) {
+    public void onTimer() {
+        if (millisUntilTimer() <= 0) {
             if (insight != null) {
                 insight.woken(wakeAt);
             }
@@ -319,9 +319,9 @@
             wakeAt = e.at();
         } else if (effect instanceof Effect.StopListening) {
             listener.close(emptied -> post(new Event.ListenerClosed(emptied)));
-        } else if (effect instanceof Effect.ShutIdle || effect instanceof Effect.ShutAll) {
+        } else if (effect instanceof Effect.HalfCloseIdleClients || effect instanceof Effect.HalfCloseAllClients) {
             for (ClientConnection client : clients.values().toArray(ClientConnection[]::new)) {
-                client.shutUnlessOwed(effect instanceof Effect.ShutAll);
+                client.shutUnlessOwed(effect instanceof Effect.HalfCloseAllClients);
             }
         } else if (effect instanceof Effect.SendRequest e) {
             ClientConnection client = clients.get(e.client());
@@ -332,18 +332,18 @@
                 links.perform(e);
             } else {
                 // its end is among the events by now
-                post(new Event.NotSent(e.connection()));
+                post(new Event.RequestNotSent(e.connection()));
             }
         } else if (effect instanceof Effect.Stop) {
             stopping = true;
             answered();
-        } else if (effect instanceof Effect.Sample) {
-            post(new Event.Sampled(insight.sample((double) (clients.size() + links.size() + RESERVED) / config.sockets())));
-        } else if (effect instanceof Effect.Keep e) {
+        } else if (effect instanceof Effect.SampleResources) {
+            post(new Event.ResourcesSampled(insight.sample((double) (clients.size() + links.size() + RESERVED) / config.sockets())));
+        } else if (effect instanceof Effect.SaveState e) {
             keeper.accept(e.learned());
-        } else if (effect instanceof Effect.Publish e) {
+        } else if (effect instanceof Effect.PublishReport e) {
             insight.publish(e.report());
-        } else if (effect instanceof Effect.Count e) {
+        } else if (effect instanceof Effect.PublishFigures e) {
             figures = e.figures();
             if (company != null && figures.ready()) {
                 company.enter();
@@ -367,12 +367,12 @@
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         long id = ++lastClient;
-        sockets.accept(channel, new Sockets.Opening() {
+        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
-                ClientConnection client = new ClientConnection(endPoint, Loop.this, id, waitsSinceNs);
+                ClientConnection client = new ClientConnection(endPoint, EventLoop.this, id, waitsSinceNs);
                 clients.put(id, client);
-                post(new Event.ClientOpened(id));
+                post(new Event.ClientConnected(id));
                 return client;
             }
 
--- a/src/main/java/granitefold/operator/ConfigSection.java
+++ b/src/main/java/granitefold/operator/ConfigSection.java
@@ -174,7 +174,7 @@
             try {
                 found[0] = granitefold.wire.Address.of(value);
                 return true;
-            } catch (granitefold.wire.BadWire e) {
+            } catch (granitefold.wire.InvalidInputException e) {
                 return false;
             }
         });
--- a/src/main/java/granitefold/operator/OperatorSettings.java
+++ b/src/main/java/granitefold/operator/OperatorSettings.java
@@ -1,7 +1,7 @@
 package granitefold.operator;
 
 import granitefold.availability.AvailabilitySettings;
-import granitefold.core.Extras;
+import granitefold.core.OptionalFeatures;
 import granitefold.health.HealthSettings;
 import granitefold.recovery.LearnedStateAgingSettings;
 import java.net.InetAddress;
@@ -83,7 +83,7 @@
     }
 
     /** Returns the settings for the core; {@code probing}: whether the platform allows probes. */
-    public Extras extras(boolean probing) {
+    public OptionalFeatures extras(boolean probing) {
         HealthSettings settings = health;
         if (settings != null && settings.probesEnabled() && !probing) {
             settings = settings.ejectAfterFailures() == 0 ? null : new HealthSettings(false, settings.intervalUs(), settings.jitter(),
@@ -91,7 +91,7 @@
                     settings.slowStart(), settings.ejectAfterFailures(), settings.ejectUs(), settings.maxEjectUs(),
                     settings.maxEjectedShare());
         }
-        return new Extras(publishesAvailability() ? availability : null, settings,
-                state == null ? null : new Extras.Memory(state.intervalUs(), LearnedStateAgingSettings.DEFAULTS), false, log.requests());
+        return new OptionalFeatures(publishesAvailability() ? availability : null, settings,
+                state == null ? null : new OptionalFeatures.Persistence(state.intervalUs(), LearnedStateAgingSettings.DEFAULTS), false, log.requests());
     }
 }
