--- a/src/main/java/granitefold/operator/HoconFile.java
+++ b/src/main/java/granitefold/operator/HoconFile.java
@@ -58,8 +58,9 @@
             }
             value = reader.apply(new ConfigSection("", all, diagnostics));
         } catch (ConfigException | InvalidInputException e) {
-            ConfigException located = e instanceof ConfigException ce ? ce : null;
-            diagnostics.add(located == null || located.origin() == null ? 0 : located.origin().lineNumber(), withoutPosition(e.getMessage(), name));
+            ConfigException configException = e instanceof ConfigException ce ? ce : null;
+            diagnostics.add(configException == null || configException.origin() == null ? 0 : configException.origin().lineNumber(),
+                    withoutPosition(e.getMessage(), name));
         }
         if (!diagnostics.problems().isEmpty()) {
             throw new InvalidFileException(diagnostics.problems());
--- a/src/test/java/granitefold/state/KillIT.java
+++ b/src/test/java/granitefold/state/KillIT.java
@@ -17,12 +17,12 @@
 
     @Test
     public void killAtAnyMomentLosesNoCompletedSave() throws Exception {
-        Path folder = Files.createTempDirectory("kill");
+        Path directory = Files.createTempDirectory("kill");
         SplittableRandom random = new SplittableRandom(1);
         long saved = 0;
         for (int cycle = 0; cycle < CYCLES; cycle++) {
             Process p = new ProcessBuilder("java", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp",
-                    System.getProperty("java.class.path"), SaveLoop.class.getName(), folder.toString())
+                    System.getProperty("java.class.path"), SaveLoop.class.getName(), directory.toString())
                     .redirectErrorStream(true).start();
             try (BufferedReader out = p.inputReader()) {
                 String first = out.readLine();
@@ -47,11 +47,11 @@
                 p.destroyForcibly().waitFor(30, TimeUnit.SECONDS);
             }
         }
-        for (Path f : Files.list(folder).toList()) {
+        for (Path f : Files.list(directory).toList()) {
             assertTrue(List.of("learned.state", "learned.state.1", "learned.new", "learned.lock")
                     .contains(f.getFileName().toString()), f.toString());
             Files.delete(f);
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 }
