--- a/src/main/java/granitefold/state/StateStore.java
+++ b/src/main/java/granitefold/state/StateStore.java
@@ -8,45 +8,45 @@
 import java.util.List;
 
 /**
- * Generations of one state file in a folder. A new one is written under a name for a moment, forced, and takes its
- * place by renames, the folder forced after each; so at every moment at least one whole generation has a name that is
- * read. A file of another program or a newer version is never written over: it is set aside first.
+ * Stores generations of one state file in a directory. A new generation is written under a temporary name, forced to the
+ * disk and put in place by renames, and then the directory is forced; so at every moment at least one complete generation
+ * has a name that is read. A file of another program or of a newer version is never overwritten, but set aside first.
  */
 public final class StateStore {
-    static final String NAME = "learned.state", NEW = "learned.new", ASIDE = "learned.aside";
+    static final String CURRENT = "learned.state", NEW = "learned.new", SET_ASIDE = "learned.aside";
 
-    private final Storage disk;
-    private final int keep;
-    private boolean looked;
+    private final Storage storage;
+    private final int generations;
+    private boolean safeToWrite;
 
-    /** {@code keep}: generations, the present one counted; at least 2. */
-    public StateStore(Storage disk, int keep) {
-        this.disk = disk;
-        this.keep = Math.max(2, keep);
+    /** Creates a store of at least 2 {@code generations}, including the current one. */
+    public StateStore(Storage storage, int generations) {
+        this.storage = storage;
+        this.generations = Math.max(2, generations);
     }
 
-    /** What was found, null if nothing can be used, and what was wrong with newer ones. */
+    /** The loaded content, null if there is none, and the problems of newer generations. */
     public record LoadResult(Content content, List<String> problems) { }
 
-    static String generation(int n) {
-        return n == 0 ? NAME : NAME + "." + n;
+    static String generationName(int generation) {
+        return generation == 0 ? CURRENT : CURRENT + "." + generation;
     }
 
-    /** The newest generation that is whole. */
+    /** Loads the newest generation that is complete. */
     public LoadResult load() {
         List<String> problems = new ArrayList<>();
-        looked = true;
-        for (int n = 0; n < keep; n++) {
-            String name = generation(n);
+        safeToWrite = true;
+        for (int generation = 0; generation < generations; generation++) {
+            String name = generationName(generation);
             try {
-                byte[] file = disk.read(name, StateFile.MAX_LENGTH_BYTES);
+                byte[] file = storage.read(name, StateFile.MAX_LENGTH_BYTES);
                 if (file != null) {
                     return new LoadResult(StateFile.decode(file), problems);
                 }
             } catch (UnreadableFileException e) {
                 problems.add(name + ": " + e.getMessage());
                 if (e.fault() != Fault.DAMAGED) {
-                    aside(name, problems);
+                    setAside(name, problems);
                 }
             } catch (IOException e) {
                 problems.add(name + ": " + e.getMessage());
@@ -55,34 +55,34 @@
         return new LoadResult(null, problems);
     }
 
-    private void aside(String name, List<String> problems) {
+    private void setAside(String name, List<String> problems) {
         try {
-            disk.rename(name, ASIDE);
-            disk.forceDirectory();
+            storage.rename(name, SET_ASIDE);
+            storage.forceDirectory();
         } catch (IOException e) {
-            // then nothing is written at all, since that would take its place
+            // Write nothing from now on, because a write would replace this file.
             problems.add(name + ": cannot be set aside: " + e.getMessage());
-            looked = false;
+            safeToWrite = false;
         }
     }
 
-    /** Writes another generation, whole or not at all. */
+    /** Writes a new generation, completely or not at all. */
     public void save(Content content) throws IOException {
-        if (!looked) {
-            throw new IOException("the folder holds a file that must not be written over");
+        if (!safeToWrite) {
+            throw new IOException("the directory holds a file that must not be overwritten");
         }
-        disk.write(NEW, StateFile.encode(content));
-        disk.force(NEW);
-        for (int n = keep - 2; n >= 0; n--) {
-            if (exists(generation(n))) {
-                disk.rename(generation(n), generation(n + 1));
+        storage.write(NEW, StateFile.encode(content));
+        storage.force(NEW);
+        for (int generation = generations - 2; generation >= 0; generation--) {
+            if (exists(generationName(generation))) {
+                storage.rename(generationName(generation), generationName(generation + 1));
             }
         }
-        disk.rename(NEW, NAME);
-        disk.forceDirectory();
+        storage.rename(NEW, CURRENT);
+        storage.forceDirectory();
     }
 
     private boolean exists(String name) throws IOException {
-        return disk.read(name, StateFile.MAX_LENGTH_BYTES) != null;
+        return storage.read(name, StateFile.MAX_LENGTH_BYTES) != null;
     }
 }
