--- a/src/main/java/granitefold/benchlink/Instance.java
+++ b/src/main/java/granitefold/benchlink/Instance.java
@@ -50,7 +50,7 @@
         switch (e.verb) {
             case "PowerOn" -> module.start(now);
             case "Members" -> {
-                Dispatcher.ListNews news = WireCodes.news(e.how == null ? "" : e.how);
+                Dispatcher.ListNews news = WireCodes.listUpdate(e.how == null ? "" : e.how);
                 module.listed(now, news, news == Dispatcher.ListNews.FAILED ? List.of() : lists.get(e.list));
             }
             case "Ingress" -> module.requested(now, new Request(e.request(), e.category, e.clientGroup,
--- a/src/main/java/granitefold/benchlink/Link.java
+++ b/src/main/java/granitefold/benchlink/Link.java
@@ -294,7 +294,7 @@
 
     private static void expect(JsonToken is, JsonToken wanted, String what) {
         if (is != wanted) {
-            throw new InvalidInputException(what + " is not as expected");
+            throw new InvalidInputException(what + " has the wrong JSON type");
         }
     }
 
--- a/src/main/java/granitefold/wire/AgentLine.java
+++ b/src/main/java/granitefold/wire/AgentLine.java
@@ -4,44 +4,44 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An answer to HAProxy's agent-check (configuration manual, 5.2, "agent-check"): one line of ASCII words. A percentage
- * and {@code maxconn:} act on their own; {@code up}, {@code down}, {@code stopped} and {@code fail} set the operational
- * state; {@code ready}, {@code drain} and {@code maint} the administrative one; a text behind {@code #} goes to the log.
+ * Encodes an answer to HAProxy's agent-check (configuration manual, 5.2, "agent-check"): one line of ASCII keywords. A
+ * percentage and {@code maxconn:} act on their own; {@code up}, {@code down}, {@code stopped} and {@code fail} set the
+ * operational state; {@code ready}, {@code drain} and {@code maint} the administrative one; a text after {@code #} is logged.
  */
 public final class AgentLine {
-    /** The manual: only the first line counts; the description is kept short as HAProxy keeps its own. */
-    private static final int REASON_MOST = 80;
+    /** HAProxy reads only the first line and keeps its own descriptions equally short. */
+    private static final int MAX_REASON_CHARS = 80;
 
     private AgentLine() { }
 
     /**
-     * The line for a verdict. {@code ready}: also withdraw a {@code drain} or {@code maint} said before. It is not said
-     * for good, since it would also withdraw what HAProxy's own operator has set.
+     * Encodes an availability verdict. With {@code ready}, the line also revokes an earlier {@code drain} or {@code maint}.
+     * It is not sent permanently, because it would also revoke the state that an operator has set in HAProxy.
      */
-    public static byte[] encode(Verdict v, boolean ready) {
-        String words = switch (v.standing()) {
+    public static byte[] encode(Verdict verdict, boolean ready) {
+        String keywords = switch (verdict.standing()) {
             case STARTING -> "down";
             case DRAINING -> "drain";
             case MAINT -> "maint";
             case STOPPED -> "stopped";
-            default -> (ready ? "ready " : "") + "up " + v.weight() + "% maxconn:" + v.connections();
+            default -> (ready ? "ready " : "") + "up " + verdict.weight() + "% maxconn:" + verdict.connections();
         };
-        return line(words, v.reason());
+        return line(keywords, verdict.reason());
     }
 
-    /** The loop has said nothing for too long: what was published may be long untrue. */
+    /** Returns the line for an event loop that has stopped publishing its state, so that the last state may be stale. */
     public static byte[] silent() {
         return line("fail", "the loop is silent");
     }
 
-    /** Nothing was published yet. */
+    /** Returns the line for a process that has not published any state yet. */
     public static byte[] starting() {
         return line("down", "starting");
     }
 
-    private static byte[] line(String words, String reason) {
+    private static byte[] line(String keywords, String reason) {
         String text = reason.replaceAll("[^ -~]", "?");
-        return (words + " #" + text.substring(0, Math.min(REASON_MOST, text.length())) + "\n")
+        return (keywords + " #" + text.substring(0, Math.min(MAX_REASON_CHARS, text.length())) + "\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/granitefold/wire/BadRequestException.java
+++ b/src/main/java/granitefold/wire/BadRequestException.java
@@ -1,6 +1,6 @@
 package granitefold.wire;
 
-/** A client's request is not what the protocol allows; it is answered with a status of its own. */
+/** Thrown for a client request that violates the protocol; carries the HTTP status of the answer. */
 public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
     private final int status;
@@ -10,6 +10,7 @@
         this.status = status;
     }
 
+    /** Returns the HTTP status to answer with. */
     public int status() {
         return status;
     }
--- a/src/main/java/granitefold/wire/ClientRequest.java
+++ b/src/main/java/granitefold/wire/ClientRequest.java
@@ -13,29 +13,30 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpURI;
 
-/** A client's request as it is passed on to a worker: {@code forwardedHeaders} holds the headers that go on unchanged. */
+/** A client's request as it is forwarded to a worker; {@code forwardedHeaders} are sent on unchanged. */
 public record ClientRequest(String method, String target, String txn, HttpFields forwardedHeaders, byte[] body)
         implements Payload {
     static final String TXN = "X-Txn", TENANT = "X-Org", REMAINING = "X-Remaining-Ms", KEY = "Idempotency-Key",
             ESTIMATE = "X-Estimate", LABELS = "X-Labels", TURNED_AWAY = "X-Turned-Away";
-    /** Longest body that the protocol allows. */
+    /** Maximum body length that the protocol allows. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final List<HttpHeader> OWN = List.of(HttpHeader.CONNECTION, HttpHeader.KEEP_ALIVE, HttpHeader.TE,
+    /** Headers that are not forwarded: they concern one connection only, or are generated anew for the worker. */
+    private static final List<HttpHeader> HOP_BY_HOP = List.of(HttpHeader.CONNECTION, HttpHeader.KEEP_ALIVE, HttpHeader.TE,
             HttpHeader.TRAILER, HttpHeader.TRANSFER_ENCODING, HttpHeader.UPGRADE, HttpHeader.EXPECT,
             HttpHeader.CONTENT_LENGTH, HttpHeader.HOST);
-    /** The protocol's own fields, each of which comes once at the most. */
-    private static final Set<String> OURS = Stream.of(TXN, TENANT, REMAINING, KEY, ESTIMATE, LABELS, "X-Resent", "Host")
+    /** The headers of this protocol, in lower case. Each may occur at most once. */
+    private static final Set<String> PROTOCOL_HEADERS = Stream.of(TXN, TENANT, REMAINING, KEY, ESTIMATE, LABELS, "X-Resent", "Host")
             .map(name -> name.toLowerCase(Locale.ROOT)).collect(Collectors.toUnmodifiableSet());
-    private static final int NAME_MOST = 256;
-    private static final String KEY_PARAMETER = "sid=";
-    private static final int LABEL_MOST = 1000;
+    private static final int MAX_NAME_CHARS = 256;
+    private static final String ITEM_PARAMETER = "sid=";
+    private static final int MAX_LABEL = 1000;
 
-    /** Decodes a whole request into the job that it hands in. */
-    public static Submission decode(String method, String target, HttpFields head, byte[] body, NamedSettings words)
+    /** Decodes a complete request into the job that it submits; throws if a header or the target is invalid. */
+    public static Submission decode(String method, String target, HttpFields head, byte[] body, NamedSettings settings)
             throws BadRequestException {
         HttpURI uri = uri(target);
         check(head);
-        Integer jobClass = words.classes().get(classOf(uri.getPath()));
+        Integer jobClass = settings.classes().get(classOf(uri.getPath()));
         if (jobClass == null) {
             throw new BadRequestException(404, "unknown class");
         }
@@ -43,101 +44,104 @@
             throw new BadRequestException(400, "jobs come by POST");
         }
         String txn = head.get(TXN);
-        if (txn == null || txn.isBlank() || txn.length() > NAME_MOST) {
+        if (txn == null || txn.isBlank() || txn.length() > MAX_NAME_CHARS) {
             throw new BadRequestException(400, "no " + TXN);
         }
-        Integer tenant = words.tenants().isEmpty() ? Integer.valueOf(0) : words.tenants().get(text(head.get(TENANT)));
+        Integer tenant = settings.tenants().isEmpty() ? Integer.valueOf(0) : settings.tenants().get(text(head.get(TENANT)));
         if (tenant == null) {
             throw new BadRequestException(400, "unknown tenant");
         }
         String key = head.get(KEY);
-        if (words.keyed(jobClass) && (key == null || key.isBlank() || key.length() > NAME_MOST)) {
+        if (settings.keyed(jobClass) && (key == null || key.isBlank() || key.length() > MAX_NAME_CHARS)) {
             throw new BadRequestException(400, "a job of this class needs " + KEY);
         }
-        long remaining = whole(head.get(REMAINING), REMAINING, -1);
+        long remaining = nonNegative(head.get(REMAINING), REMAINING, -1);
         if (remaining < 0) {
             throw new BadRequestException(400, "no " + REMAINING);
         }
         int slots = 1;
         int memory = 0;
         for (String label : text(head.get(LABELS)).split(",")) {
-            int eq = label.indexOf('=');
-            String name = eq < 0 ? "" : label.substring(0, eq).trim();
+            int equalsAt = label.indexOf('=');
+            String name = equalsAt < 0 ? "" : label.substring(0, equalsAt).trim();
             if (name.equals("slots") || name.equals("needs")) {
-                slots = label(label.substring(eq + 1));
+                slots = label(label.substring(equalsAt + 1));
             } else if (name.equals("memory") || name.equals("ramUnits")) {
-                memory = label(label.substring(eq + 1));
+                memory = label(label.substring(equalsAt + 1));
             }
         }
-        return new Submission(txn, jobClass, tenant, remaining * 1000, whole(head.get(ESTIMATE), ESTIMATE, 0), slots,
+        return new Submission(txn, jobClass, tenant, remaining * 1000, nonNegative(head.get(ESTIMATE), ESTIMATE, 0), slots,
                 memory, WireCodes.key(key(uri.getQuery())), new ClientRequest(method, target, txn, forwardedHeaders(head), body),
-                words.keyed(jobClass) ? key : null);
+                settings.keyed(jobClass) ? key : null);
     }
 
-    /** The target, if it passes on to a worker just as it came. */
+    /** Parses the target; rejects one that would not reach a worker unchanged. */
     private static HttpURI uri(String target) throws BadRequestException {
         try {
             HttpURI uri = HttpURI.from(target);
-            if (target.startsWith("/") && visible(target) && target.equals(uri.getPathQuery())) {
+            if (target.startsWith("/") && printable(target) && target.equals(uri.getPathQuery())) {
                 return uri;
             }
         } catch (IllegalArgumentException e) {
-            // told below
+            // reported below
         }
         throw new BadRequestException(400, "bad target");
     }
 
     /**
-     * Refuses a head that a worker might read otherwise than we do: a field of ours that comes twice, or that is named
-     * as the connection's own, or a value that is not text. Workers hang up on such, whatever else they do for us.
+     * Rejects headers that a worker could interpret differently: a protocol header that is repeated or nominated by
+     * {@code Connection}, or a value with non-printable characters. Workers close their connections on such a request,
+     * regardless of other work that they do for this dispatcher.
      */
     private static void check(HttpFields head) throws BadRequestException {
         Set<String> seen = new HashSet<>();
         for (HttpField field : head) {
             String name = field.getLowerCaseName();
-            if (OURS.contains(name) && !seen.add(name) || !visible(field.getValue())) {
+            if (PROTOCOL_HEADERS.contains(name) && !seen.add(name) || !printable(field.getValue())) {
                 throw new BadRequestException(400, "bad field " + name);
             }
         }
         for (String nominated : head.getCSV(HttpHeader.CONNECTION, false)) {
-            if (OURS.contains(nominated.toLowerCase(Locale.ROOT))) {
+            if (PROTOCOL_HEADERS.contains(nominated.toLowerCase(Locale.ROOT))) {
                 throw new BadRequestException(400, "bad field connection");
             }
         }
     }
 
-    private static boolean visible(String text) {
+    private static boolean printable(String text) {
         return text == null || text.chars().allMatch(c -> c >= ' ' && c <= '~' || c == '\t');
     }
 
-    /** What concerns only the client's connection, or is worded anew for the worker, stays behind. */
+    /** Returns the headers without those that concern only the client's connection or are generated anew for the worker. */
     private static HttpFields forwardedHeaders(HttpFields head) {
         HttpFields.Mutable passed = HttpFields.build(head);
         for (String nominated : head.getCSV(HttpHeader.CONNECTION, false)) {
             passed.remove(nominated);
         }
-        for (HttpHeader own : OWN) {
-            passed.remove(own);
+        for (HttpHeader header : HOP_BY_HOP) {
+            passed.remove(header);
         }
         return passed.remove(REMAINING).asImmutable();
     }
 
+    /** Returns the first segment of the path, which names the job class. */
     private static String classOf(String path) {
         int end = path.indexOf('/', 1);
         return end < 0 ? path.substring(1) : path.substring(1, end);
     }
 
-    /** The query's {@code sid}: what the request is about; null if it does not say. */
+    /** Returns the {@code sid} parameter, which identifies the item that the request is about, or null if there is none. */
     private static String key(String query) {
-        return query == null ? null : Stream.of(query.split("&")).filter(p -> p.startsWith(KEY_PARAMETER))
-                .findFirst().map(p -> p.substring(KEY_PARAMETER.length())).orElse(null);
+        return query == null ? null : Stream.of(query.split("&")).filter(p -> p.startsWith(ITEM_PARAMETER))
+                .findFirst().map(p -> p.substring(ITEM_PARAMETER.length())).orElse(null);
     }
 
     private static String text(String value) {
         return value == null ? "" : value.trim();
     }
 
-    private static long whole(String value, String name, long absent) throws BadRequestException {
+    /** Parses a header with a non-negative integer; returns {@code absent} where there is no header. */
+    private static long nonNegative(String value, String name, long absent) throws BadRequestException {
         if (value == null) {
             return absent;
         }
@@ -152,10 +156,11 @@
         throw new BadRequestException(400, name + " is not a whole number");
     }
 
+    /** Parses a label's number, rounded up. */
     private static int label(String value) throws BadRequestException {
         try {
             double v = Double.parseDouble(value.trim());
-            if (v >= 0 && v <= LABEL_MOST) {
+            if (v >= 0 && v <= MAX_LABEL) {
                 return (int) Math.ceil(v);
             }
         } catch (NumberFormatException e) {
--- a/src/main/java/granitefold/wire/Config.java
+++ b/src/main/java/granitefold/wire/Config.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 
 /**
- * What a dispatcher is told at its start. {@code siblingAddress} is null where there are no datagrams, {@code ops} where
- * nobody asks how the process stands.
+ * The platform's configuration of a dispatcher, read at its start. {@code siblingAddress} is null if the dispatcher does
+ * not exchange datagrams with siblings, {@code ops} if there is no operations address.
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
         InetSocketAddress siblingAddress, List<InetSocketAddress> siblings, WorkerList initialWorkers, NamedSettings namedSettings,
@@ -25,17 +25,17 @@
         boolean probingAllowed, InetSocketAddress ops) {
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int SOCKETS_UNTOLD = 1024;
-    /** The second address, where the file does not name it. */
-    private static final String OPS = "LB_OPS";
+    private static final int DEFAULT_SOCKETS = 1024;
+    /** Environment variable with the operations address, used if the file does not set it. */
+    private static final String OPS_VARIABLE = "LB_OPS";
 
-    /** What places in the settings stand for, for a state file. */
+    /** Returns the names behind the indexes in the settings, which a state file refers to. */
     public Places settingsIndexes() {
         return new Places(name, namedSettings.key(), namedSettings.settings().me(), namedSettings.settings().siblings(),
                 NamedSettings.names(namedSettings.tenants()), NamedSettings.names(namedSettings.hostTypes()));
     }
 
-    /** The settings that hold, as {@code granitefold check} prints them. */
+    /** Returns the effective settings, as {@code granitefold check} prints them. */
     public Map<String, String> effective() {
         Map<String, String> all = new LinkedHashMap<>();
         all.put("name", name);
@@ -56,7 +56,7 @@
         return all;
     }
 
-    /** Reads the file; whatever is wrong with it is told in one line, with file, line and key, by {@link InvalidInputException}. */
+    /** Reads the file; throws {@link InvalidInputException} with file, line and key in one line if anything is wrong with it. */
     public static Config read(Path file) {
         byte[] text;
         try {
@@ -64,34 +64,34 @@
         } catch (IOException e) {
             throw new InvalidInputException(file + ": cannot be read: " + e);
         }
-        // two passes: the list is read with the names in the settings, which may come later in the file
+        // Two passes: reading the list needs the names in the settings, which may come later in the file.
         NamedSettings namedSettings = null;
-        SettingsReader setup = null;
-        JsonParser p = parser(text, file);
-        try (p) {
-            for (String key = first(p); key != null; key = next(p)) {
+        SettingsReader settingsReader = null;
+        JsonParser parser = openParser(text, file);
+        try (parser) {
+            for (String key = firstKey(parser); key != null; key = nextKey(parser)) {
                 if (key.equals("settings")) {
-                    setup = new SettingsReader(p);
-                    namedSettings = setup.namedSettings();
+                    settingsReader = new SettingsReader(parser);
+                    namedSettings = settingsReader.namedSettings();
                 } else {
-                    p.skipChildren();
+                    parser.skipChildren();
                 }
             }
         } catch (IOException | InvalidInputException e) {
-            throw at(file, p, e);
+            throw located(file, parser, e);
         }
         if (namedSettings == null || namedSettings.classes().isEmpty()) {
             throw new InvalidInputException(file + ": settings: there are no classes");
         }
-        JsonParser again = parser(text, file);
-        try (again) {
-            return read(again, namedSettings, setup);
+        JsonParser secondPass = openParser(text, file);
+        try (secondPass) {
+            return read(secondPass, namedSettings, settingsReader);
         } catch (IOException | InvalidInputException e) {
-            throw at(file, again, e);
+            throw located(file, secondPass, e);
         }
     }
 
-    private static JsonParser parser(byte[] text, Path file) {
+    private static JsonParser openParser(byte[] text, Path file) {
         try {
             return JSON.createParser(text);
         } catch (IOException e) {
@@ -99,19 +99,20 @@
         }
     }
 
-    /** The problem in one line, with the place that reading had come to. */
-    private static InvalidInputException at(Path file, JsonParser p, Exception e) {
+    /** Describes a problem in one line, with the position and key at which reading stopped. */
+    private static InvalidInputException located(Path file, JsonParser parser, Exception e) {
         StringBuilder key = new StringBuilder();
-        for (JsonStreamContext c = p.getParsingContext(); c != null; c = c.getParent()) {
-            if (c.getCurrentName() != null) {
-                key.insert(0, c.getCurrentName() + (key.isEmpty() ? "" : "."));
+        for (JsonStreamContext context = parser.getParsingContext(); context != null; context = context.getParent()) {
+            if (context.getCurrentName() != null) {
+                key.insert(0, context.getCurrentName() + (key.isEmpty() ? "" : "."));
             }
         }
-        String what = e instanceof InvalidInputException ? e.getMessage() : "not JSON: " + e.getMessage().lines().findFirst().orElse("");
-        return new InvalidInputException(file + ":" + p.currentLocation().getLineNr() + ": " + (key.isEmpty() ? "" : key + ": ") + what);
+        String problem = e instanceof InvalidInputException ? e.getMessage() : "not JSON: " + e.getMessage().lines().findFirst().orElse("");
+        return new InvalidInputException(file + ":" + parser.currentLocation().getLineNr() + ": "
+                + (key.isEmpty() ? "" : key + ": ") + problem);
     }
 
-    private static Config read(JsonParser p, NamedSettings namedSettings, SettingsReader setup) throws IOException {
+    private static Config read(JsonParser parser, NamedSettings namedSettings, SettingsReader settingsReader) throws IOException {
         String name = "";
         InetSocketAddress listen = null;
         InetSocketAddress discovery = null;
@@ -119,51 +120,54 @@
         List<InetSocketAddress> siblings = new ArrayList<>();
         WorkerList initialWorkers = new WorkerList(0, true, List.of());
         long seed = 0;
-        int sockets = SOCKETS_UNTOLD;
+        int sockets = DEFAULT_SOCKETS;
         double cores = 1;
-        InetSocketAddress ops = System.getenv(OPS) == null || System.getenv(OPS).isEmpty() ? null : ops(System.getenv(OPS));
-        for (String key = first(p); key != null; key = next(p)) {
+        InetSocketAddress ops = System.getenv(OPS_VARIABLE) == null || System.getenv(OPS_VARIABLE).isEmpty() ? null
+                : ops(System.getenv(OPS_VARIABLE));
+        for (String key = firstKey(parser); key != null; key = nextKey(parser)) {
             switch (key) {
-                case "name" -> name = p.getValueAsString("");
-                case "listen" -> listen = Address.of(p.getValueAsString(""));
-                case "ops" -> ops = p.currentToken() == JsonToken.VALUE_NULL ? ops : Address.of(p.getValueAsString(""));
-                case "discovery" -> discovery = Address.of(p.getValueAsString(""));
-                case "seed" -> seed = seed(p.getValueAsString(""));
-                case "peer_listen" -> siblingAddress = p.currentToken() == JsonToken.VALUE_NULL ? null
-                        : Address.of(p.getValueAsString(""));
+                case "name" -> name = parser.getValueAsString("");
+                case "listen" -> listen = Address.of(parser.getValueAsString(""));
+                case "ops" -> ops = parser.currentToken() == JsonToken.VALUE_NULL ? ops : Address.of(parser.getValueAsString(""));
+                case "discovery" -> discovery = Address.of(parser.getValueAsString(""));
+                case "seed" -> seed = seed(parser.getValueAsString(""));
+                case "peer_listen" -> siblingAddress = parser.currentToken() == JsonToken.VALUE_NULL ? null
+                        : Address.of(parser.getValueAsString(""));
                 case "peers" -> {
-                    while (p.currentToken() != JsonToken.VALUE_NULL && p.nextToken() != JsonToken.END_ARRAY) {
-                        siblings.add(Address.of(p.getValueAsString("")));
+                    while (parser.currentToken() != JsonToken.VALUE_NULL && parser.nextToken() != JsonToken.END_ARRAY) {
+                        siblings.add(Address.of(parser.getValueAsString("")));
                     }
                 }
                 case "limits" -> {
-                    while (p.currentToken() != JsonToken.VALUE_NULL && p.nextToken() != JsonToken.END_OBJECT) {
-                        String limit = p.currentName();
-                        p.nextToken();
+                    while (parser.currentToken() != JsonToken.VALUE_NULL && parser.nextToken() != JsonToken.END_OBJECT) {
+                        String limit = parser.currentName();
+                        parser.nextToken();
                         switch (limit) {
-                            case "sockets" -> sockets = p.getValueAsInt(sockets);
-                            case "cores" -> cores = p.getValueAsDouble(cores);
-                            default -> p.skipChildren();
+                            case "sockets" -> sockets = parser.getValueAsInt(sockets);
+                            case "cores" -> cores = parser.getValueAsDouble(cores);
+                            default -> parser.skipChildren();
                         }
                     }
                 }
-                case "known" -> initialWorkers = p.currentToken() == JsonToken.VALUE_NULL ? initialWorkers : WorkerListJson.read(p, namedSettings);
-                default -> p.skipChildren();
+                case "known" -> initialWorkers = parser.currentToken() == JsonToken.VALUE_NULL ? initialWorkers
+                        : WorkerListJson.read(parser, namedSettings);
+                default -> parser.skipChildren();
             }
         }
         if (listen == null || discovery == null) {
             throw new InvalidInputException("the configuration needs listen and discovery");
         }
-        return new Config(name, listen, discovery, seed, sockets, namedSettings.settings().limits().siblings() ? siblingAddress
-                : null, List.copyOf(siblings), initialWorkers, namedSettings, setup.connectTimeoutUs(), setup.idleCloseUs(), cores > 0 ? cores : 1,
-                setup.probing(), ops);
+        return new Config(name, listen, discovery, seed, sockets,
+                namedSettings.settings().limits().siblings() ? siblingAddress : null, List.copyOf(siblings), initialWorkers,
+                namedSettings, settingsReader.connectTimeoutUs(), settingsReader.idleCloseUs(), cores > 0 ? cores : 1,
+                settingsReader.probing(), ops);
     }
 
     private static InetSocketAddress ops(String text) {
         try {
             return Address.of(text);
         } catch (InvalidInputException e) {
-            throw new InvalidInputException("$" + OPS + ": " + e.getMessage());
+            throw new InvalidInputException("$" + OPS_VARIABLE + ": " + e.getMessage());
         }
     }
 
@@ -175,20 +179,20 @@
         }
     }
 
-    private static String first(JsonParser p) throws IOException {
-        if (p.nextToken() != JsonToken.START_OBJECT) {
+    private static String firstKey(JsonParser parser) throws IOException {
+        if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new InvalidInputException("the configuration is not an object");
         }
-        return next(p);
+        return nextKey(parser);
     }
 
-    /** Moves to the next key's value; null at the object's end. */
-    private static String next(JsonParser p) throws IOException {
-        if (p.nextToken() == JsonToken.END_OBJECT) {
+    /** Moves to the value of the next key and returns the key, or null at the end of the object. */
+    private static String nextKey(JsonParser parser) throws IOException {
+        if (parser.nextToken() == JsonToken.END_OBJECT) {
             return null;
         }
-        String key = p.currentName();
-        p.nextToken();
+        String key = parser.currentName();
+        parser.nextToken();
         return key;
     }
 }
--- a/src/main/java/granitefold/wire/FiguresJson.java
+++ b/src/main/java/granitefold/wire/FiguresJson.java
@@ -8,32 +8,32 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 
-/** Figures as one JSON object on one line. */
+/** Encodes a dispatcher's figures as one JSON object on one line. */
 public final class FiguresJson {
     private static final JsonFactory JSON = new JsonFactory();
 
     private FiguresJson() { }
 
-    /** {@code classes}: their names, in the order of the settings. */
-    public static byte[] encode(Figures f, List<String> classes) {
+    /** Encodes the figures; {@code classes} are the names of the job classes in the order of the settings. */
+    public static byte[] encode(Figures figures, List<String> classes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
-        try (JsonGenerator g = JSON.createGenerator(out)) {
-            g.writeStartObject();
-            g.writeObjectFieldStart("replies");
+        try (JsonGenerator generator = JSON.createGenerator(out)) {
+            generator.writeStartObject();
+            generator.writeObjectFieldStart("replies");
             for (int i = 0; i < classes.size(); i++) {
-                Figures.Replies r = f.replies().get(i);
-                g.writeObjectFieldStart(classes.get(i));
-                g.writeNumberField("success", r.success());
-                g.writeNumberField("overload", r.overload());
-                g.writeNumberField("error", r.error());
-                g.writeEndObject();
+                Figures.Replies counts = figures.replies().get(i);
+                generator.writeObjectFieldStart(classes.get(i));
+                generator.writeNumberField("success", counts.success());
+                generator.writeNumberField("overload", counts.overload());
+                generator.writeNumberField("error", counts.error());
+                generator.writeEndObject();
             }
-            g.writeEndObject();
-            g.writeNumberField("dispatches", f.dispatches());
-            g.writeNumberField("concurrent", f.concurrent());
-            g.writeNumberField("targets", f.targets());
-            g.writeNumberField("targets_disabled", f.targetsDisabled());
-            g.writeEndObject();
+            generator.writeEndObject();
+            generator.writeNumberField("dispatches", figures.dispatches());
+            generator.writeNumberField("concurrent", figures.concurrent());
+            generator.writeNumberField("targets", figures.targets());
+            generator.writeNumberField("targets_disabled", figures.targetsDisabled());
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/granitefold/wire/HttpMessages.java
+++ b/src/main/java/granitefold/wire/HttpMessages.java
@@ -16,22 +16,22 @@
 import org.eclipse.jetty.http.MetaData;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** Encodes the HTTP messages that the dispatcher writes: a head and, where there is one, a body. */
+/** Encodes the HTTP messages that the dispatcher writes: a head and, if there is one, a body. */
 public final class HttpMessages {
-    private static final int HEAD_ROOM = 1024;
+    private static final int HEAD_CAPACITY_BYTES = 1024;
     private static final double US_PER_S = 1e6;
 
     private HttpMessages() { }
 
-    /** A final answer to a client. */
+    /** Encodes the final answer to a client. */
     public static ByteBuffer[] answer(FinalAnswer answer, boolean close) {
         return answer(answer, List.of(), close);
     }
 
-    /** A final answer to a client, with these fields beside its own. */
-    public static ByteBuffer[] answer(FinalAnswer answer, List<HttpField> more, boolean close) {
+    /** Encodes the final answer to a client, with additional header fields. */
+    public static ByteBuffer[] answer(FinalAnswer answer, List<HttpField> extraFields, boolean close) {
         HttpFields.Mutable head = HttpFields.build();
-        more.forEach(head::add);
+        extraFields.forEach(head::add);
         if (answer instanceof FinalAnswer.Served served) {
             return response(200, head, served.result(), close);
         }
@@ -49,23 +49,23 @@
         return response(late ? 504 : 500, head, text(late ? "timed out" : "failed"), close);
     }
 
-    /** An answer that needs no decision. */
+    /** Encodes an answer with one line of text. */
     public static ByteBuffer[] plainText(int status, String text, boolean close) {
         return response(status, HttpFields.build(), text(text), close);
     }
 
-    /** An answer to a check; where only the head was asked for, the body is told by its length alone. */
+    /** Encodes an answer to a health check; with {@code headOnly}, of the body only the length is sent. */
     public static ByteBuffer[] checkResponse(int status, HttpFields fields, byte[] body, boolean headOnly, boolean close) {
         HttpFields.Mutable head = HttpFields.build(fields);
         if (close) {
             head.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE);
         }
         MetaData.Response response = new MetaData.Response(status, null, HttpVersion.HTTP_1_1, head, body.length);
-        return generate(HEAD_ROOM, body, (generator, header, content) ->
+        return generate(HEAD_CAPACITY_BYTES, body, (generator, header, content) ->
                 generator.generateResponse(response, headOnly, header, null, content, true));
     }
 
-    /** A GET, as a probe sends it. */
+    /** Encodes the GET request of a probe. */
     public static ByteBuffer[] probeRequest(String path, String address) {
         return request("GET", path, HttpFields.build().put(HttpHeader.HOST, address), new byte[0]);
     }
@@ -78,15 +78,15 @@
         return checkResponse(status, head, body, false, close);
     }
 
-    /** A request passed on to a worker at an address, which learns how long the dispatcher waits. */
-    public static ByteBuffer[] workerRequest(ClientRequest r, String address, long waitUs) {
-        HttpFields.Mutable head = HttpFields.build(r.forwardedHeaders());
+    /** Encodes a request that is forwarded to a worker, with the time that the dispatcher waits for the answer. */
+    public static ByteBuffer[] workerRequest(ClientRequest clientRequest, String address, long waitUs) {
+        HttpFields.Mutable head = HttpFields.build(clientRequest.forwardedHeaders());
         head.put(HttpHeader.HOST, address);
         head.put(ClientRequest.REMAINING, Long.toString(waitUs / 1000));
-        return request(r.method(), r.target(), head, r.body());
+        return request(clientRequest.method(), clientRequest.target(), head, clientRequest.body());
     }
 
-    /** A watch on discovery for what changed after a version. */
+    /** Encodes a watch request to discovery for the changes after a version. */
     public static ByteBuffer[] discoveryWatch(String address, long version) {
         return request("GET", "/v1/servers?stream=1&index=" + version,
                 HttpFields.build().put(HttpHeader.HOST, address), new byte[0]);
@@ -95,24 +95,24 @@
     private static ByteBuffer[] request(String method, String target, HttpFields head, byte[] body) {
         MetaData.Request request = new MetaData.Request(method, HttpURI.from(target), HttpVersion.HTTP_1_1, head,
                 body.length);
-        int room = HEAD_ROOM + target.length()
+        int capacity = HEAD_CAPACITY_BYTES + target.length()
                 + head.stream().mapToInt(f -> f.getName().length() + f.getValue().length() + 4).sum();
-        return generate(room, body, (generator, header, content) ->
+        return generate(capacity, body, (generator, header, content) ->
                 generator.generateRequest(request, header, null, content, true));
     }
 
-    private interface Step {
+    private interface Generation {
         HttpGenerator.Result run(HttpGenerator generator, ByteBuffer header, ByteBuffer content) throws IOException;
     }
 
-    private static ByteBuffer[] generate(int room, byte[] body, Step step) {
-        ByteBuffer header = BufferUtil.allocate(room);
+    private static ByteBuffer[] generate(int capacity, byte[] body, Generation generation) {
+        ByteBuffer header = BufferUtil.allocate(capacity);
         ByteBuffer content = ByteBuffer.wrap(body);
         HttpGenerator generator = new HttpGenerator();
         try {
-            HttpGenerator.Result result = step.run(generator, null, content);
+            HttpGenerator.Result result = generation.run(generator, null, content);
             if (result == HttpGenerator.Result.NEED_HEADER) {
-                result = step.run(generator, header, content);
+                result = generation.run(generator, header, content);
             }
             if (result != HttpGenerator.Result.FLUSH) {
                 throw new IllegalStateException("no message: " + result);
--- a/src/main/java/granitefold/wire/InvalidInputException.java
+++ b/src/main/java/granitefold/wire/InvalidInputException.java
@@ -1,6 +1,6 @@
 package granitefold.wire;
 
-/** The input is not what the wire allows. */
+/** Thrown when a message, a file or a configured address is invalid or cannot be used; the message says why in one line. */
 public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/granitefold/wire/JsonObjectFramer.java
+++ b/src/main/java/granitefold/wire/JsonObjectFramer.java
@@ -3,75 +3,75 @@
 import java.util.Arrays;
 
 /**
- * Puts the lines of a stream together to whole JSON objects: one may come indented, over many lines. It only looks for where an
- * object ends; whether it is one that makes sense is found where it is decoded.
+ * Assembles complete JSON objects from the lines of a stream; an object may be indented and span many lines. The framer
+ * only finds where an object ends; whether it is valid JSON is checked by the decoder.
  */
 public final class JsonObjectFramer {
-    /** What a line has brought. */
+    /** The state of the stream after a line. */
     public enum Result {
-        /** Nothing: a sign of life. */
+        /** The line was blank, which the sender uses as a heartbeat. */
         BLANK,
-        /** A part of an object. */
+        /** The object has not ended yet. */
         INCOMPLETE,
-        /** An object's end: it stands in {@link #buffer}. */
+        /** The object has ended and is available in {@link #buffer}. */
         COMPLETE
     }
 
-    private final int most;
-    private byte[] kept = {};
+    private final int maxBytes;
+    private byte[] joined = {};
     private int length;
     private int depth;
-    private boolean text;
+    private boolean inString;
     private boolean escaped;
     private byte[] buffer;
     private int offset;
 
-    /** An object may be so long at the most. */
-    public JsonObjectFramer(int most) {
-        this.most = most;
+    /** Creates a framer that rejects objects longer than {@code maxBytes}. */
+    public JsonObjectFramer(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Takes in one line; what it finds stands until the next. */
+    /** Adds one line. An object that it completes stays available until the next call. */
     public Result add(byte[] line, int from, int size) {
-        if (depth == 0 && !text) {
+        if (depth == 0 && !inString) {
             length = 0;
         }
-        boolean begun = length > 0;
+        boolean started = length > 0;
         boolean blank = true;
         for (int i = from; i < from + size; i++) {
             blank &= line[i] == ' ' || line[i] == '\t' || line[i] == '\r';
             scan(line[i]);
         }
         if (blank) {
-            return begun ? Result.INCOMPLETE : Result.BLANK;
+            return started ? Result.INCOMPLETE : Result.BLANK;
         }
-        boolean whole = depth <= 0 && !text;
-        if (whole && !begun) {
+        boolean complete = depth <= 0 && !inString;
+        if (complete && !started) {
             buffer = line;
             offset = from;
             length = size;
         } else {
-            keep(line, from, size);
-            buffer = kept;
+            append(line, from, size);
+            buffer = joined;
             offset = 0;
         }
-        if (whole) {
+        if (complete) {
             depth = 0;
         }
-        return whole ? Result.COMPLETE : Result.INCOMPLETE;
+        return complete ? Result.COMPLETE : Result.INCOMPLETE;
     }
 
     private void scan(byte b) {
-        if (text) {
+        if (inString) {
             if (escaped) {
                 escaped = false;
             } else if (b == '\\') {
                 escaped = true;
             } else if (b == '"') {
-                text = false;
+                inString = false;
             }
         } else if (b == '"') {
-            text = true;
+            inString = true;
         } else if (b == '{' || b == '[') {
             depth++;
         } else if (b == '}' || b == ']') {
@@ -79,19 +79,19 @@
         }
     }
 
-    private void keep(byte[] line, int from, int size) {
-        if (length + size + 1 > most) {
+    private void append(byte[] line, int from, int size) {
+        if (length + size + 1 > maxBytes) {
             throw new InvalidInputException("a list is too long");
         }
-        if (kept.length < length + size + 1) {
-            kept = Arrays.copyOf(kept, Math.min(most, 2 * (length + size + 1)));
+        if (joined.length < length + size + 1) {
+            joined = Arrays.copyOf(joined, Math.min(maxBytes, 2 * (length + size + 1)));
         }
-        System.arraycopy(line, from, kept, length, size);
-        kept[length + size] = '\n';
+        System.arraycopy(line, from, joined, length, size);
+        joined[length + size] = '\n';
         length += size + 1;
     }
 
-    /** The buffer that holds the whole object, from {@link #offset} on, {@link #length} bytes long. */
+    /** Returns the buffer that holds the complete object, {@link #length} bytes from {@link #offset}. */
     public byte[] buffer() {
         return buffer;
     }
--- a/src/main/java/granitefold/wire/LoadMetrics.java
+++ b/src/main/java/granitefold/wire/LoadMetrics.java
@@ -4,17 +4,20 @@
 import java.util.Locale;
 
 /**
- * Load on an answer, in the text form of the Open Request Cost Aggregation: {@code TEXT name=value, ...} with the
- * names of xds.data.orca.v3.OrcaLoadReport.
+ * Encodes load metrics for an answer header in the text format of Open Request Cost Aggregation (ORCA):
+ * {@code TEXT name=value, ...} with the names of xds.data.orca.v3.OrcaLoadReport.
  */
 public final class LoadMetrics {
     private LoadMetrics() { }
 
-    /** Utilizations are shares (cpu's may pass 1), {@code rps_fractional} and {@code eps} are per second. */
-    public static String text(Report r) {
+    /**
+     * Returns the header value. Utilizations are fractions (that of the CPU may exceed 1); {@code rps_fractional} and
+     * {@code eps} are rates per second.
+     */
+    public static String text(Report report) {
         return String.format(Locale.ROOT, "TEXT cpu_utilization=%.3f, mem_utilization=%.3f, application_utilization=%.3f,"
                 + " rps_fractional=%.1f, eps=%.1f, named_metrics.weight=%d, named_metrics.owed=%d",
-                Math.max(0, r.resources().cpuShare()), r.resources().heapShare(), r.waits(), r.perS(),
-                r.perS() * r.rejectShare(), r.verdict().weight(), r.owed());
+                Math.max(0, report.resources().cpuShare()), report.resources().heapShare(), report.waits(), report.perS(),
+                report.perS() * report.rejectShare(), report.verdict().weight(), report.owed());
     }
 }
--- a/src/main/java/granitefold/wire/ReportJson.java
+++ b/src/main/java/granitefold/wire/ReportJson.java
@@ -7,61 +7,61 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** A report as one JSON object on one line. */
+/** Encodes a report as one JSON object on one line. */
 public final class ReportJson {
-    /** Grows when a field changes its meaning; new fields alone do not count. */
+    /** Version of the format. It is raised when a field changes its meaning, not when a field is added. */
     public static final int VERSION = 1;
     private static final JsonFactory JSON = new JsonFactory();
-    private static final double MS = 1000;
+    private static final double US_PER_MS = 1000;
 
     private ReportJson() { }
 
-    /** {@code ageUs}: how long ago it was published; {@code silent}: the loop has published nothing for too long. */
-    public static byte[] encode(String name, Report r, long ageUs, boolean silent) {
+    /** Encodes a report published {@code ageUs} ago; {@code silent} if the event loop has stopped publishing. */
+    public static byte[] encode(String name, Report report, long ageUs, boolean silent) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
-        try (JsonGenerator g = JSON.createGenerator(out)) {
-            g.writeStartObject();
-            g.writeNumberField("version", VERSION);
-            g.writeStringField("name", name);
-            g.writeStringField("standing", silent ? "SILENT" : r == null ? "STARTING" : r.verdict().standing().name());
-            if (r != null) {
-                g.writeNumberField("weight", silent ? 0 : r.verdict().weight());
-                g.writeNumberField("maxconn", silent ? 0 : r.verdict().connections());
-                g.writeStringField("reason", silent ? "the loop is silent" : r.verdict().reason());
-                g.writeBooleanField("impaired", r.verdict().impaired());
-                g.writeStringField("phase", r.phase().name());
-                g.writeStringField("wish", r.wish().name());
-                g.writeNumberField("owed", r.owed());
-                g.writeNumberField("clients", r.clients());
-                g.writeObjectFieldStart("peers");
-                g.writeNumberField("ready", r.ready());
-                g.writeNumberField("down", r.down());
-                g.writeBooleanField("panic", r.panic());
-                g.writeEndObject();
-                g.writeObjectFieldStart("list");
-                g.writeNumberField("version", r.listVersion());
-                g.writeBooleanField("confirmed", r.confirmed());
-                g.writeNumberField("age_ms", r.listAgeUs() / MS);
-                g.writeNumberField("silent_ms", r.silentUs() / MS);
-                g.writeEndObject();
-                g.writeObjectFieldStart("load");
-                g.writeNumberField("wait", r.waits());
-                g.writeNumberField("reject_share", r.rejectShare());
-                g.writeNumberField("per_s", r.perS());
-                g.writeNumberField("heap", r.resources().heapShare());
-                g.writeNumberField("descriptors", r.resources().descriptorShare());
-                g.writeNumberField("cpu", r.resources().cpuShare());
-                g.writeNumberField("lag_ms", r.resources().lagUs() / MS);
-                g.writeEndObject();
-                g.writeObjectFieldStart("answers");
-                g.writeNumberField("served", r.served());
-                g.writeNumberField("rejected", r.rejected());
-                g.writeNumberField("failed", r.failed());
-                g.writeEndObject();
-                g.writeNumberField("up_ms", r.sinceStartUs() / MS);
-                g.writeNumberField("age_ms", ageUs / MS);
+        try (JsonGenerator generator = JSON.createGenerator(out)) {
+            generator.writeStartObject();
+            generator.writeNumberField("version", VERSION);
+            generator.writeStringField("name", name);
+            generator.writeStringField("standing", silent ? "SILENT" : report == null ? "STARTING" : report.verdict().standing().name());
+            if (report != null) {
+                generator.writeNumberField("weight", silent ? 0 : report.verdict().weight());
+                generator.writeNumberField("maxconn", silent ? 0 : report.verdict().connections());
+                generator.writeStringField("reason", silent ? "the loop is silent" : report.verdict().reason());
+                generator.writeBooleanField("impaired", report.verdict().impaired());
+                generator.writeStringField("phase", report.phase().name());
+                generator.writeStringField("wish", report.wish().name());
+                generator.writeNumberField("owed", report.owed());
+                generator.writeNumberField("clients", report.clients());
+                generator.writeObjectFieldStart("peers");
+                generator.writeNumberField("ready", report.ready());
+                generator.writeNumberField("down", report.down());
+                generator.writeBooleanField("panic", report.panic());
+                generator.writeEndObject();
+                generator.writeObjectFieldStart("list");
+                generator.writeNumberField("version", report.listVersion());
+                generator.writeBooleanField("confirmed", report.confirmed());
+                generator.writeNumberField("age_ms", report.listAgeUs() / US_PER_MS);
+                generator.writeNumberField("silent_ms", report.silentUs() / US_PER_MS);
+                generator.writeEndObject();
+                generator.writeObjectFieldStart("load");
+                generator.writeNumberField("wait", report.waits());
+                generator.writeNumberField("reject_share", report.rejectShare());
+                generator.writeNumberField("per_s", report.perS());
+                generator.writeNumberField("heap", report.resources().heapShare());
+                generator.writeNumberField("descriptors", report.resources().descriptorShare());
+                generator.writeNumberField("cpu", report.resources().cpuShare());
+                generator.writeNumberField("lag_ms", report.resources().lagUs() / US_PER_MS);
+                generator.writeEndObject();
+                generator.writeObjectFieldStart("answers");
+                generator.writeNumberField("served", report.served());
+                generator.writeNumberField("rejected", report.rejected());
+                generator.writeNumberField("failed", report.failed());
+                generator.writeEndObject();
+                generator.writeNumberField("up_ms", report.sinceStartUs() / US_PER_MS);
+                generator.writeNumberField("age_ms", ageUs / US_PER_MS);
             }
-            g.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/granitefold/wire/WireCodes.java
+++ b/src/main/java/granitefold/wire/WireCodes.java
@@ -6,12 +6,12 @@
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 
-/** The wire's words for the interface's terms. */
+/** Translates codes and keywords of messages into the types of {@link granitefold.Dispatcher}. */
 public final class WireCodes {
 
     private WireCodes() { }
 
-    /** A key as a number, 0 for none: 16 hex digits as they are, anything else by its hash. */
+    /** Converts a key to a number: up to 16 hex digits are parsed, other texts are hashed; 0 stands for no key. */
     public static long key(String text) {
         if (text == null || text.isEmpty()) {
             return 0;
@@ -23,40 +23,40 @@
         }
     }
 
-    public static Effect effect(String word) {
-        return switch (word) {
+    public static Effect effect(String value) {
+        return switch (value) {
             case "retryable" -> Effect.SAFE;
             case "dedup" -> Effect.KEYED;
             case "fragile" -> Effect.UNSAFE;
-            default -> throw new InvalidInputException("unknown effect " + word);
+            default -> throw new InvalidInputException("unknown effect " + value);
         };
     }
 
-    public static Group group(String word) {
-        return switch (word) {
+    public static Group group(String value) {
+        return switch (value) {
             case "all" -> Group.ALL;
             case "zone" -> Group.ZONE;
             case "cell" -> Group.CELL;
-            default -> throw new InvalidInputException("unknown group " + word);
+            default -> throw new InvalidInputException("unknown group " + value);
         };
     }
 
-    public static ListNews news(String word) {
-        return switch (word) {
+    public static ListNews listUpdate(String value) {
+        return switch (value) {
             case "INCREMENTAL" -> ListNews.CHANGES;
             case "FULL" -> ListNews.WHOLE;
             case "SAVED" -> ListNews.SAVED;
             case "FAILED" -> ListNews.FAILED;
-            default -> throw new InvalidInputException("unknown list news " + word);
+            default -> throw new InvalidInputException("unknown kind of list update " + value);
         };
     }
 
-    public static State state(String word) {
-        return switch (word) {
+    public static State state(String value) {
+        return switch (value) {
             case "ready" -> State.READY;
             case "draining" -> State.DRAINING;
             case "gone" -> State.GONE;
-            default -> throw new InvalidInputException("unknown lifecycle " + word);
+            default -> throw new InvalidInputException("unknown lifecycle " + value);
         };
     }
 
--- a/src/main/java/granitefold/wire/WorkerLine.java
+++ b/src/main/java/granitefold/wire/WorkerLine.java
@@ -7,38 +7,38 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** One line of a worker's answer. */
+/** Decodes the lines and statuses with which a worker answers a request. */
 public final class WorkerLine {
     private static final JsonFactory JSON = new JsonFactory();
 
     private WorkerLine() { }
 
-    /** Decodes a whole line about the request with this id; null for one that tells nothing of use. */
+    /** Decodes a complete line about the request with id {@code txn}; returns null for a state that needs no reaction. */
     public static AttemptNews decode(byte[] buf, int from, int length, String txn) {
         String id = null;
         String state = "";
         String result = null;
         double share = Double.NaN;
-        try (JsonParser p = JSON.createParser(buf, from, length)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
+        try (JsonParser parser = JSON.createParser(buf, from, length)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidInputException("a worker's line is not an object");
             }
-            while (p.nextToken() != JsonToken.END_OBJECT) {
-                String name = p.currentName();
-                JsonToken value = p.nextToken();
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                JsonToken value = parser.nextToken();
                 switch (name) {
-                    case "id" -> id = p.getValueAsString();
-                    case "state" -> state = p.getValueAsString("");
-                    case "result" -> result = value == JsonToken.VALUE_STRING ? p.getText() : null;
-                    case "share" -> share = p.getValueAsDouble(Double.NaN);
-                    default -> p.skipChildren();
+                    case "id" -> id = parser.getValueAsString();
+                    case "state" -> state = parser.getValueAsString("");
+                    case "result" -> result = value == JsonToken.VALUE_STRING ? parser.getText() : null;
+                    case "share" -> share = parser.getValueAsDouble(Double.NaN);
+                    default -> parser.skipChildren();
                 }
             }
         } catch (IOException e) {
             throw new InvalidInputException("a worker's line is not JSON");
         }
         if (!txn.equals(id)) {
-            // never hand one request's result to another
+            // Never deliver one request's result to another request.
             throw new InvalidInputException("a worker's line is about another request");
         }
         return switch (state) {
@@ -57,7 +57,7 @@
         };
     }
 
-    /** What a status other than 200 says of the attempt. */
+    /** Returns what an HTTP status other than 200 means for the attempt. */
     public static AttemptNews fromStatus(int status, String turnedAway) {
         return (status == 503 || status == 504) && "1".equals(turnedAway) ? new AttemptNews.Returned()
                 : new AttemptNews.Failed();
--- a/src/main/java/granitefold/wire/WorkerListJson.java
+++ b/src/main/java/granitefold/wire/WorkerListJson.java
@@ -9,54 +9,54 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Discovery's list of workers, whole or changes: one JSON object. */
+/** Decodes discovery's list of workers, a snapshot or changes, from one JSON object. */
 public final class WorkerListJson {
     private static final JsonFactory JSON = new JsonFactory();
 
     private WorkerListJson() { }
 
-    /** Decodes one line of the watch. */
-    public static WorkerList decode(byte[] buf, int from, int length, NamedSettings words) {
-        try (JsonParser p = JSON.createParser(buf, from, length)) {
-            p.nextToken();
-            return read(p, words);
+    /** Decodes one object of the watch. */
+    public static WorkerList decode(byte[] buf, int from, int length, NamedSettings settings) {
+        try (JsonParser parser = JSON.createParser(buf, from, length)) {
+            parser.nextToken();
+            return read(parser, settings);
         } catch (IOException e) {
             throw new InvalidInputException("a list is not JSON");
         }
     }
 
-    static WorkerList read(JsonParser p, NamedSettings words) throws IOException {
+    static WorkerList read(JsonParser parser, NamedSettings settings) throws IOException {
         long version = -1;
-        boolean whole = false;
+        boolean snapshot = false;
         List<WorkerList.Entry> entries = null;
-        expect(p, JsonToken.START_OBJECT, "a list");
-        while (p.nextToken() != JsonToken.END_OBJECT) {
-            String name = p.currentName();
-            p.nextToken();
+        expect(parser, JsonToken.START_OBJECT, "a list");
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
-                case "index" -> version = p.getValueAsLong(-1);
-                case "snapshot" -> whole = p.getValueAsBoolean();
-                case "endpoints" -> entries = entries(p, words);
-                default -> p.skipChildren();
+                case "index" -> version = parser.getValueAsLong(-1);
+                case "snapshot" -> snapshot = parser.getValueAsBoolean();
+                case "endpoints" -> entries = entries(parser, settings);
+                default -> parser.skipChildren();
             }
         }
         if (version < 0 || entries == null) {
             throw new InvalidInputException("a list needs index and endpoints");
         }
-        return new WorkerList(version, whole, List.copyOf(entries));
+        return new WorkerList(version, snapshot, List.copyOf(entries));
     }
 
-    private static List<WorkerList.Entry> entries(JsonParser p, NamedSettings words) throws IOException {
-        expect(p, JsonToken.START_ARRAY, "endpoints");
+    private static List<WorkerList.Entry> entries(JsonParser parser, NamedSettings settings) throws IOException {
+        expect(parser, JsonToken.START_ARRAY, "endpoints");
         List<WorkerList.Entry> found = new ArrayList<>();
-        while (p.nextToken() != JsonToken.END_ARRAY) {
-            expect(p, JsonToken.START_OBJECT, "an endpoint");
-            found.add(entry(p, words));
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            expect(parser, JsonToken.START_OBJECT, "an endpoint");
+            found.add(entry(parser, settings));
         }
         return found;
     }
 
-    private static WorkerList.Entry entry(JsonParser p, NamedSettings words) throws IOException {
+    private static WorkerList.Entry entry(JsonParser parser, NamedSettings settings) throws IOException {
         String worker = null;
         String address = null;
         State state = null;
@@ -65,24 +65,24 @@
         int zone = -1;
         int cell = 0;
         int kind = -1;
-        while (p.nextToken() != JsonToken.END_OBJECT) {
-            String name = p.currentName();
-            p.nextToken();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
             switch (name) {
-                case "name" -> worker = p.getValueAsString();
-                case "address" -> address = p.getValueAsString();
-                case "status" -> state = switch (p.getValueAsString("")) {
+                case "name" -> worker = parser.getValueAsString();
+                case "address" -> address = parser.getValueAsString();
+                case "status" -> state = switch (parser.getValueAsString("")) {
                     case "up" -> State.READY;
                     case "draining" -> State.DRAINING;
                     case "removed" -> State.GONE;
                     default -> throw new InvalidInputException("an endpoint's status is unknown");
                 };
-                case "weight" -> weight = p.getValueAsDouble(1);
-                case "since_ms" -> sinceMs = p.getValueAsDouble(0);
-                case "zone" -> zone = words.zones().getOrDefault(p.getValueAsString(""), -1);
-                case "group" -> cell = p.getValueAsInt(0);
-                case "type" -> kind = words.hostTypes().getOrDefault(p.getValueAsString(""), -1);
-                default -> p.skipChildren();
+                case "weight" -> weight = parser.getValueAsDouble(1);
+                case "since_ms" -> sinceMs = parser.getValueAsDouble(0);
+                case "zone" -> zone = settings.zones().getOrDefault(parser.getValueAsString(""), -1);
+                case "group" -> cell = parser.getValueAsInt(0);
+                case "type" -> kind = settings.hostTypes().getOrDefault(parser.getValueAsString(""), -1);
+                default -> parser.skipChildren();
             }
         }
         if (worker == null || state == null || address == null && state != State.GONE) {
@@ -94,9 +94,9 @@
         return new WorkerList.Entry(worker, address, state, weight, Math.round(sinceMs * 1000), zone, cell, kind);
     }
 
-    private static void expect(JsonParser p, JsonToken wanted, String what) {
-        if (p.currentToken() != wanted) {
-            throw new InvalidInputException(what + " is not as expected");
+    private static void expect(JsonParser parser, JsonToken expected, String what) {
+        if (parser.currentToken() != expected) {
+            throw new InvalidInputException(what + " has the wrong JSON type");
         }
     }
 }
--- a/src/main/java/granitefold/wire/package-info.java
+++ b/src/main/java/granitefold/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Messages: each is decoded once into a small typed value and encoded once. No sockets in here. */
+/** Codecs: each message is decoded into a small typed value or encoded from one. This package does no network I/O. */
 package granitefold.wire;
