--- a/src/main/java/granitefold/benchlink/Event.java
+++ b/src/main/java/granitefold/benchlink/Event.java
@@ -6,7 +6,7 @@
 import granitefold.wire.SettingsReader;
 import java.util.List;
 
-/** One event as read off a line, in wire terms; fields of other events keep their empty values. */
+/** One event as read from a line. Fields have the names of the protocol; those of other kinds of events keep their defaults. */
 final class Event {
     String verb;
     boolean hasId;
@@ -34,7 +34,7 @@
     long salt;
     SettingsReader setup;
 
-    /** The id of the request that the event is about. */
+    /** Returns the id of the request that the event is about. */
     long request() {
         if (!hasId) {
             throw new InvalidInputException(verb + " without msgId");
--- a/src/test/java/granitefold/benchlink/LinkTest.java
+++ b/src/test/java/granitefold/benchlink/SimulatorSessionTest.java
@@ -11,8 +11,8 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The wire, in and out. */
-class LinkTest {
+/** The protocol with the simulator: parsing of batches, order of events, and encoding of replies. */
+class SimulatorSessionTest {
     private static final String SETUP = "{\"classes\":[{\"effect\":\"retryable\",\"group\":\"all\",\"onTimeMs\":600.0,"
             + "\"deadlineMs\":8000.0,\"points\":5.0,\"new\":[1,{\"x\":2}]}],\"tenants\":[],\"siblings\":1,\"me\":0,"
             + "\"later\":{\"a\":[true]},\"limits\":{\"attemptsCap\":3},\"report\":{\"names\":[\"x0\",\"odd\"]}}";
@@ -23,61 +23,61 @@
     private static final String JOB = "{\"verb\":\"Ingress\",\"msgId\":1059033125130692,\"category\":0,"
             + "\"clientGroup\":null,\"timeLeftMs\":8000.0,\"expectedMs\":12.5,\"needs\":1,\"ramUnits\":null,\"odd\":{}}";
 
-    private static String play(String... lines) throws IOException {
+    private static String replyTo(String... lines) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] in = (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
-        new Link(new ByteArrayInputStream(in), out).run();
+        new SimulatorSession(new ByteArrayInputStream(in), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String batch(int turn, String name, String news) {
+    private static String batch(int turn, String name, String events) {
         return "{\"atTimeMs\":" + (1000 + turn) + ".25,\"turn\":" + turn + ",\"parts\":[{\"dispatcherId\":\"" + name
-                + "\",\"news\":[" + news + "]}]}";
+                + "\",\"news\":[" + events + "]}]}";
     }
 
     @Test
     void emptyBatchesAreEchoed() throws IOException {
-        assertEquals("{\"turn\":7,\"parts\":[]}\n", play("{\"atTimeMs\":1.5,\"turn\":7,\"parts\":[]}"));
-        assertEquals("", play(""));
+        assertEquals("{\"turn\":7,\"parts\":[]}\n", replyTo("{\"atTimeMs\":1.5,\"turn\":7,\"parts\":[]}"));
+        assertEquals("", replyTo(""));
     }
 
     @Test
     void requestIsSentToTheListedWorker() throws IOException {
-        String out = play(batch(1, "d_0", START + "," + JOB));
+        String out = replyTo(batch(1, "d_0", START + "," + JOB));
         assertTrue(out.contains("{\"verb\":\"Try\",\"msgId\":1059033125130692,\"runner\":77}"), out);
     }
 
     @Test
     void keysMayComeInAnyOrder() throws IOException {
-        String out = play("{\"parts\":[{\"news\":[" + START + "," + JOB
+        String out = replyTo("{\"parts\":[{\"news\":[" + START + "," + JOB
                 + "],\"dispatcherId\":\"d_0\"}],\"turn\":3,\"atTimeMs\":9}");
         assertTrue(out.startsWith("{\"turn\":3,") && out.contains("\"runner\":77"), out);
     }
 
     @Test
-    void killedInstanceIsSilentUntilStartedAnewInTheSameBatch() throws IOException {
+    void killedInstanceTakesNoActionUntilRestartedInTheSameBatch() throws IOException {
         assertEquals("{\"turn\":2,\"parts\":[]}\n",
-                play(batch(1, "d_0", START), batch(2, "d_0", "{\"verb\":\"Kill\"}," + JOB)).split("(?<=\n)")[1]);
-        assertTrue(play(batch(1, "d_0", START), batch(2, "d_0", "{\"verb\":\"Kill\"}," + START + "," + JOB))
+                replyTo(batch(1, "d_0", START), batch(2, "d_0", "{\"verb\":\"Kill\"}," + JOB)).split("(?<=\n)")[1]);
+        assertTrue(replyTo(batch(1, "d_0", START), batch(2, "d_0", "{\"verb\":\"Kill\"}," + START + "," + JOB))
                 .contains("\"runner\":77"));
     }
 
     @Test
     void listNumbersAreResolvedInEventOrder() throws IOException {
         String other = LIST.replace("77", "88");
-        String out = play(batch(1, "d_0", START + "," + other + "," + JOB));
+        String out = replyTo(batch(1, "d_0", START + "," + other + "," + JOB));
         assertTrue(out.contains("\"runner\":77"), out);
     }
 
     @Test
     void instancesShareNothing() throws IOException {
-        String one = play(batch(1, "d_0", START + "," + JOB));
-        String[] both = play(batch(1, "d_1", START + "," + JOB), batch(1, "d_0", START + "," + JOB)).split("(?<=\n)");
+        String one = replyTo(batch(1, "d_0", START + "," + JOB));
+        String[] both = replyTo(batch(1, "d_1", START + "," + JOB), batch(1, "d_0", START + "," + JOB)).split("(?<=\n)");
         assertEquals(one, both[1]);
     }
 
     @Test
-    void malformedLinesAreTold() {
+    void malformedLinesAreRejected() {
         String[] bad = {"{", "[]", "{\"turn\":1,\"parts\":[]}", "{\"atTimeMs\":1,\"turn\":1,\"parts\":{}}", "nonsense",
             batch(1, "d_0", "{\"list\":1}"), batch(1, "d_0", "{\"verb\":\"PowerOn\",\"salt\":1}"),
             batch(1, "d_0", START + ",{\"verb\":\"Ingress\"}"),
@@ -87,26 +87,26 @@
             batch(1, "d_0", START + ",{\"verb\":\"Response\",\"msgId\":1,\"code\":999}"),
             "{\"atTimeMs\":1,\"turn\":1,\"parts\":[]} {}"};
         for (String line : bad) {
-            assertThrows(InvalidInputException.class, () -> play(line), line);
+            assertThrows(InvalidInputException.class, () -> replyTo(line), line);
         }
         ByteArrayInputStream cut = new ByteArrayInputStream("{\"atTimeMs\":1".getBytes(StandardCharsets.UTF_8));
-        assertThrows(InvalidInputException.class, () -> new Link(cut, new ByteArrayOutputStream()).run());
+        assertThrows(InvalidInputException.class, () -> new SimulatorSession(cut, new ByteArrayOutputStream()).run());
     }
 
     @Test
-    void brokenModuleGivesIn() throws IOException {
-        String out = play(batch(1, "d_0", START + "," + JOB.replace("\"category\":0", "\"category\":5")));
+    void failureOfTheDispatcherIsReported() throws IOException {
+        String out = replyTo(batch(1, "d_0", START + "," + JOB.replace("\"category\":0", "\"category\":5")));
         assertTrue(out.contains("\"verb\":\"GiveIn\",\"message\":\""), out);
     }
 
     @Test
-    void timesAndBytesAreWrittenAsTheWireHasThem() {
-        Reply r = new Reply();
-        r.millis(1_234_005).raw(" ").millis(2_000).raw(" ").millis(-7).raw(" ").text("a\"b\\\n");
+    void timesAndStringsAreEncoded() {
+        ReplyLine line = new ReplyLine();
+        line.millis(1_234_005).raw(" ").millis(2_000).raw(" ").millis(-7).raw(" ").string("a\"b\\\n");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         assertEquals(0, out.size());
         try {
-            r.writeTo(out);
+            line.writeTo(out);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
