--- a/src/main/java/granitefold/benchlink/DispatcherInstance.java
+++ b/src/main/java/granitefold/benchlink/DispatcherInstance.java
@@ -86,12 +86,12 @@
         return new Report(values[0], values[1], values[2], values[3] * 1000, values[4], values[5], values[6]);
     }
 
-    private ReplyLine action(String start) {
+    private ReplyLine action(String opening) {
         if (!isFirst) {
             reply.raw(",");
         }
         isFirst = false;
-        return reply.raw(start);
+        return reply.raw(opening);
     }
 
     /** Reports that the dispatcher threw an exception, which ends its run. */
--- a/src/main/java/granitefold/logging/EventLog.java
+++ b/src/main/java/granitefold/logging/EventLog.java
@@ -8,21 +8,21 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Writes events through SLF4J: as one line of text, or with event and fields as pairs for an encoder of JSON. An event
- * that comes too often is counted instead, and the count is told with the next one that is written.
+ * Writes events through SLF4J, as one line of text or with event and fields as key-value pairs for a JSON encoder. The
+ * rate of each event is limited: events over the limit are only counted, and the count is logged before the next one.
  */
 public final class EventLog {
-    /** So many of one event may come in one period; a burst of the ordinary kind is all written. */
-    private static final int MOST = 50;
+    /** Number of occurrences of one event that are written per period; enough for bursts in normal operation. */
+    private static final int MAX_PER_PERIOD = 50;
     private static final long PERIOD_NS = 10_000_000_000L;
 
     private static final EventLog SHARED = new EventLog(LoggerFactory.getLogger("granitefold"));
-    private static volatile boolean pairs;
+    private static volatile boolean structuredOutput;
 
     private static final class Count {
-        long since;
+        long periodStart;
         int written;
-        int kept;
+        int suppressed;
     }
 
     private final Logger logger;
@@ -32,62 +32,64 @@
         this.logger = logger;
     }
 
-    /** Events carry their fields as pairs from now on, for an encoder that writes them as such. */
+    /** Sets whether events carry their fields as key-value pairs, for an encoder that writes them as such. */
     public static void structured(boolean on) {
-        pairs = on;
+        structuredOutput = on;
     }
 
+    /** Logs an event; {@code values} are in the order of its fields. */
     public static void log(LogEvent event, Object... values) {
         SHARED.write(event, null, System.nanoTime(), values);
     }
 
-    public static void error(LogEvent event, Throwable why, Object... values) {
-        SHARED.write(event, why, System.nanoTime(), values);
+    /** Logs an event with the exception that caused it. */
+    public static void error(LogEvent event, Throwable cause, Object... values) {
+        SHARED.write(event, cause, System.nanoTime(), values);
     }
 
-    synchronized void write(LogEvent event, Throwable why, long nanos, Object... values) {
+    synchronized void write(LogEvent event, Throwable cause, long nanos, Object... values) {
         if (event.level() == LogEvent.Level.REQUEST) {
-            emit(event, why, values);
+            emit(event, cause, values);
             return;
         }
-        Count c = counts.computeIfAbsent(event, e -> new Count());
-        if (c.written == 0 || nanos - c.since > PERIOD_NS) {
-            int kept = c.kept;
-            c.since = nanos;
-            c.written = 0;
-            c.kept = 0;
-            if (kept > 0) {
-                emit(LogEvent.SUPPRESSED_COUNT, null, event.id(), kept);
+        Count count = counts.computeIfAbsent(event, e -> new Count());
+        if (count.written == 0 || nanos - count.periodStart > PERIOD_NS) {
+            int suppressed = count.suppressed;
+            count.periodStart = nanos;
+            count.written = 0;
+            count.suppressed = 0;
+            if (suppressed > 0) {
+                emit(LogEvent.SUPPRESSED_COUNT, null, event.id(), suppressed);
             }
         }
-        if (c.written >= MOST) {
-            c.kept++;
+        if (count.written >= MAX_PER_PERIOD) {
+            count.suppressed++;
         } else {
-            c.written++;
-            emit(event, why, values);
+            count.written++;
+            emit(event, cause, values);
         }
     }
 
-    private void emit(LogEvent event, Throwable why, Object... values) {
+    private void emit(LogEvent event, Throwable cause, Object... values) {
         Level level = event.level() == LogEvent.Level.REQUEST ? Level.INFO : Level.valueOf(event.level().name());
-        if (!pairs) {
-            Object[] all = values;
-            if (why != null) {
-                all = java.util.Arrays.copyOf(values, values.length + 1);
-                all[values.length] = why;
+        if (!structuredOutput) {
+            Object[] arguments = values;
+            if (cause != null) {
+                arguments = java.util.Arrays.copyOf(values, values.length + 1);
+                arguments[values.length] = cause;
             }
             switch (level) {
-                case ERROR -> logger.error(event.text(), all);
-                case WARN -> logger.warn(event.text(), all);
-                default -> logger.info(event.text(), all);
+                case ERROR -> logger.error(event.text(), arguments);
+                case WARN -> logger.warn(event.text(), arguments);
+                default -> logger.info(event.text(), arguments);
             }
             return;
         }
-        LoggingEventBuilder b = logger.atLevel(level).setMessage(event.text()).addKeyValue("event", event.id());
+        LoggingEventBuilder builder = logger.atLevel(level).setMessage(event.text()).addKeyValue("event", event.id());
         for (int i = 0; i < values.length; i++) {
-            b = b.addArgument(values[i]).addKeyValue(event.fields().get(i),
+            builder = builder.addArgument(values[i]).addKeyValue(event.fields().get(i),
                     values[i] instanceof Number || values[i] instanceof Boolean ? values[i] : String.valueOf(values[i]));
         }
-        (why == null ? b : b.setCause(why)).log();
+        (cause == null ? builder : builder.setCause(cause)).log();
     }
 }
--- a/src/main/java/granitefold/logging/package-info.java
+++ b/src/main/java/granitefold/logging/package-info.java
@@ -1,2 +1,2 @@
-/** What the program says of itself: every event and its fields are declared once, in {@code LogEvent}. */
+/** Logging: every event and its fields are declared once, in {@code LogEvent}. */
 package granitefold.logging;
--- a/src/main/java/granitefold/net/checks/AgentConnection.java
+++ b/src/main/java/granitefold/net/checks/AgentConnection.java
@@ -4,15 +4,15 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * One agent check: the line goes out at once, whether or not the balancer sends a text first ({@code agent-send}), and
- * the connection ends with the balancer's close. What it sends is read and thrown away: closing on unread bytes would
- * reset the connection and might take the answer along.
+ * One agent check: the line is sent at once, whether or not the balancer sends a text first ({@code agent-send}), and
+ * the balancer closes the connection. Data from the balancer is read and discarded, because closing a socket with unread
+ * data resets the connection, and the answer might be lost.
  */
 final class AgentConnection extends CheckConnection {
     private final byte[] line;
 
-    AgentConnection(EndPoint endPoint, Front front, byte[] line) {
-        super(endPoint, front);
+    AgentConnection(EndPoint endPoint, CheckListener checkListener, byte[] line) {
+        super(endPoint, checkListener);
         this.line = line;
     }
 
@@ -23,7 +23,7 @@
     }
 
     @Override
-    protected boolean step() {
+    protected boolean processInput() {
         return discard();
     }
 }
--- a/src/main/java/granitefold/net/checks/CheckConnection.java
+++ b/src/main/java/granitefold/net/checks/CheckConnection.java
@@ -6,46 +6,46 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** A connection to one of the check fronts: it is bounded in time by its front and in bytes here. */
+/** A connection to a check listener. The listener bounds its lifetime, this class the bytes that it may send. */
 abstract class CheckConnection extends LoopConnection {
-    private static final int BUFFER = 1024;
-    /** What a connection may send in all before it is closed, answers or not. */
-    private static final int SENT_MOST = 64 * 1024;
+    private static final int BUFFER_BYTES = 1024;
+    /** Total number of bytes that a client may send before the connection is closed. */
+    private static final int MAX_RECEIVED_BYTES = 64 * 1024;
 
-    protected final Front front;
-    protected final ByteBuffer in = BufferUtil.allocate(BUFFER);
-    private int sent;
-    private boolean told;
+    protected final CheckListener checkListener;
+    protected final ByteBuffer in = BufferUtil.allocate(BUFFER_BYTES);
+    private int receivedBytes;
+    private boolean closeReported;
 
-    CheckConnection(EndPoint endPoint, Front front) {
+    CheckConnection(EndPoint endPoint, CheckListener checkListener) {
         super(endPoint);
-        this.front = front;
+        this.checkListener = checkListener;
     }
 
-    /** Looks at what is in the buffer; false: wait for more. */
-    protected abstract boolean step();
+    /** Processes the content of the buffer; returns false if more input is needed. */
+    protected abstract boolean processInput();
 
-    /** The last answer is out: what still comes is thrown away until the other side closes. */
+    /** Discards the input that still arrives after the last answer; returns whether there was any. */
     protected final boolean discard() {
-        boolean some = in.hasRemaining();
+        boolean discarded = in.hasRemaining();
         BufferUtil.clear(in);
-        return some;
+        return discarded;
     }
 
     @Override
     public void onFillable() {
         try {
             while (getEndPoint().isOpen()) {
-                if (step()) {
+                if (processInput()) {
                     continue;
                 }
                 if (BufferUtil.isFull(in)) {
-                    // an answer is being written; reading goes on after it
+                    // An answer is being written; reading continues afterwards.
                     return;
                 }
                 int n = getEndPoint().fill(in);
-                sent += Math.max(0, n);
-                if (n < 0 || sent > SENT_MOST) {
+                receivedBytes += Math.max(0, n);
+                if (n < 0 || receivedBytes > MAX_RECEIVED_BYTES) {
                     close();
                 } else if (n == 0) {
                     awaitReadable();
@@ -65,19 +65,19 @@
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        if (!told) {
-            told = true;
-            front.closed(this);
+        if (!closeReported) {
+            closeReported = true;
+            checkListener.closed(this);
         }
     }
 
-    /** Writes, then goes on reading; after the {@code last} answer only to throw away, so that it is not lost in a reset. */
-    protected final void write(boolean last, Runnable then, ByteBuffer... message) {
+    /** Writes, then continues reading. After the {@code last} answer input is only discarded, so that no reset drops the answer. */
+    protected final void write(boolean last, Runnable whenDone, ByteBuffer... message) {
         getEndPoint().write(whenWritten(() -> {
             if (last) {
                 getEndPoint().shutdownOutput();
             }
-            then.run();
+            whenDone.run();
             if (getEndPoint().isOpen()) {
                 onFillable();
             }
--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -27,30 +27,31 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.EndPoint;
 
-/** The check fronts of one dispatcher, on a thread of their own. */
+/** The check listeners of one dispatcher (agent-check, HTTP, control socket), on a thread of their own. */
 public final class CheckEndpoints implements Sockets.Host {
     private static final int BACKLOG = 256;
-    /** The loop publishes several times a second; after this much silence nothing that it said counts. */
-    private static final long SILENT_US = 2_000_000;
+    /** Age of the published state from which the event loop, which publishes several times a second, counts as stalled. */
+    private static final long STALLED_AFTER_US = 2_000_000;
     private static final long SWEEP_MS = 10, IDLE_MS = 1000;
-    private static final Operator.Bounds CONTROL = new Operator.Bounds(8, 1000, 5_000_000);
+    private static final Operator.Bounds CONTROL_BOUNDS = new Operator.Bounds(8, 1000, 5_000_000);
 
     private final String name;
     private final Loop loop;
     private final Insight insight;
     private final Sockets sockets = new Sockets("checks", this);
     private volatile Operator operator;
-    private volatile Front agent;
-    private volatile Front http;
-    private volatile Front control;
+    private volatile CheckListener agent;
+    private volatile CheckListener http;
+    private volatile CheckListener control;
     private ControlSocket socket;
-    /** When to look after time limits and paused listeners next ({@link System#nanoTime}). */
+    /** Time of the next check of time limits and paused listeners ({@link System#nanoTime}). */
     private long sweepAt = System.nanoTime();
-    /** Until then {@code ready} is said to agents; whether a drain or maint was said since the last time. */
+    /** Until this time, answers to agent checks include {@code ready}. */
     private long readyUntil;
-    private boolean away;
+    /** Whether the last answer to an agent check was drain or maint. */
+    private boolean wasTakenOut;
 
-    /** {@code name}: the dispatcher's. */
+    /** Creates the endpoints of the dispatcher {@code name}. */
     public CheckEndpoints(String name, Loop loop, Operator operator) {
         this.name = name;
         this.loop = loop;
@@ -58,7 +59,7 @@
         insight = loop.insight();
     }
 
-    /** Opens what the operator has set; an address or a socket that can't be had is told by {@link InvalidInputException}. */
+    /** Opens the configured endpoints; throws {@link InvalidInputException} if an address or socket cannot be opened. */
     public void start() throws Exception {
         ServerSocketChannel agentListener = null;
         ServerSocketChannel httpListener = null;
@@ -76,21 +77,21 @@
             }
         }
         sockets.start();
-        readyAgain();
+        announceReady();
         agent = agentListener == null ? null : agent(agentListener, operator.agent());
         http = httpListener == null ? null : http(httpListener, operator.http());
         if (socket != null) {
-            control = new Front("control", socket.listener, CONTROL, sockets, this::stir,
-                    (e, f) -> new LineConnection(e, f, this::command));
-            control.begin();
+            control = new CheckListener("control", socket.listener, CONTROL_BOUNDS, sockets, this::sweepSoon,
+                    (e, f) -> new CommandConnection(e, f, this::command));
+            control.listen();
             EventLog.log(LogEvent.CHECKS_LISTENING, "control", operator.control().socket());
         }
     }
 
-    /** Takes the control socket's name away; from the shutdown hook. */
+    /** Removes the control socket; called by the shutdown hook. */
     public void close() {
         if (socket != null) {
-            socket.end();
+            socket.close();
         }
     }
 
@@ -102,75 +103,76 @@
         }
     }
 
-    private Front front(String what, ServerSocketChannel listener, Operator.Bounds bounds,
-            BiFunction<EndPoint, Front, CheckConnection> make) {
-        Front front = new Front(what, listener, bounds, sockets, this::stir, make);
-        front.begin();
+    private CheckListener checkListener(String kind, ServerSocketChannel listener, Operator.Bounds bounds,
+            BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
+        CheckListener checkListener = new CheckListener(kind, listener, bounds, sockets, this::sweepSoon, factory);
+        checkListener.listen();
         try {
-            EventLog.log(LogEvent.CHECKS_LISTENING, what, Address.text((InetSocketAddress) listener.getLocalAddress()));
+            EventLog.log(LogEvent.CHECKS_LISTENING, kind, Address.text((InetSocketAddress) listener.getLocalAddress()));
         } catch (IOException e) {
-            EventLog.log(LogEvent.CHECKS_FAILED, what, "", e);
+            EventLog.log(LogEvent.CHECKS_FAILED, kind, "", e);
         }
-        return front;
+        return checkListener;
     }
 
-    private Front agent(ServerSocketChannel listener, Operator.Agent set) {
-        return front("agent", listener, set.bounds(), (e, f) -> new AgentConnection(e, f, agentLine()));
+    private CheckListener agent(ServerSocketChannel listener, Operator.Agent settings) {
+        return checkListener("agent", listener, settings.bounds(), (e, f) -> new AgentConnection(e, f, agentLine()));
     }
 
-    private Front http(ServerSocketChannel listener, Operator.Http set) {
-        return front("http", listener, set.bounds(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
+    private CheckListener http(ServerSocketChannel listener, Operator.Http settings) {
+        return checkListener("http", listener, settings.bounds(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
     }
 
     /**
-     * Moves listeners that are elsewhere now. The new one is bound before the old one goes; one that can't be had
-     * leaves the old one as it is. From any thread but the checks'.
+     * Applies changed settings. A new address is bound before the old listener is closed; if that fails, the old listener
+     * stays. May be called from any thread except that of the checks.
      */
     public synchronized void reload(Operator next) {
-        Operator last = operator;
+        Operator previous = operator;
         operator = next;
-        agent = moved("agent", agent, last.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
-                last.agent() == null ? null : last.agent().listen(), l -> agent(l, next.agent()));
-        http = moved("http", http, last.http(), next.http(), next.http() == null ? null : next.http().listen(),
-                last.http() == null ? null : last.http().listen(), l -> http(l, next.http()));
+        agent = reconfigure("agent", agent, previous.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
+                previous.agent() == null ? null : previous.agent().listen(), l -> agent(l, next.agent()));
+        http = reconfigure("http", http, previous.http(), next.http(), next.http() == null ? null : next.http().listen(),
+                previous.http() == null ? null : previous.http().listen(), l -> http(l, next.http()));
     }
 
-    private Front moved(String what, Front front, Object from, Object to, InetSocketAddress address, InetSocketAddress last,
-            java.util.function.Function<ServerSocketChannel, Front> open) {
-        if (java.util.Objects.equals(from, to)) {
-            return front;
+    private CheckListener reconfigure(String kind, CheckListener current, Object oldSettings, Object newSettings,
+            InetSocketAddress address, InetSocketAddress previous,
+            java.util.function.Function<ServerSocketChannel, CheckListener> opener) {
+        if (java.util.Objects.equals(oldSettings, newSettings)) {
+            return current;
         }
-        if (to == null) {
-            sockets.submit(front::end);
+        if (newSettings == null) {
+            sockets.submit(current::close);
             return null;
         }
-        if (front != null && address.equals(last)) {
-            // other bounds on the same address
-            sockets.submit(front::end);
-            return reopened(what, address, open);
+        if (current != null && address.equals(previous)) {
+            // Only the bounds have changed; the address must be free before it is bound again.
+            sockets.submit(current::close);
+            return reopen(kind, address, opener);
         }
         try {
-            Front moved = open.apply(bind("checks." + what + ".listen", address));
-            if (front != null) {
-                sockets.submit(front::end);
+            CheckListener replacement = opener.apply(bind("checks." + kind + ".listen", address));
+            if (current != null) {
+                sockets.submit(current::close);
             }
-            return moved;
+            return replacement;
         } catch (InvalidInputException e) {
-            EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
-            return front;
+            EventLog.log(LogEvent.CHECKS_FAILED, kind, Address.text(address), e.getMessage());
+            return current;
         }
     }
 
-    private Front reopened(String what, InetSocketAddress address,
-            java.util.function.Function<ServerSocketChannel, Front> open) {
-        // the old one is closed by the selector's thread, at its next turn
-        java.util.concurrent.CountDownLatch turn = new java.util.concurrent.CountDownLatch(1);
-        sockets.submit(() -> sockets.submit(turn::countDown));
+    private CheckListener reopen(String kind, InetSocketAddress address,
+            java.util.function.Function<ServerSocketChannel, CheckListener> opener) {
+        // The selector thread closes the old listener in its next cycle.
+        java.util.concurrent.CountDownLatch cycleDone = new java.util.concurrent.CountDownLatch(1);
+        sockets.submit(() -> sockets.submit(cycleDone::countDown));
         try {
-            turn.await(1, java.util.concurrent.TimeUnit.SECONDS);
-            return open.apply(bind("checks." + what + ".listen", address));
+            cycleDone.await(1, java.util.concurrent.TimeUnit.SECONDS);
+            return opener.apply(bind("checks." + kind + ".listen", address));
         } catch (InvalidInputException e) {
-            EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
+            EventLog.log(LogEvent.CHECKS_FAILED, kind, Address.text(address), e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -187,91 +189,92 @@
     public void wake() {
         if (untilWake() <= 0) {
             boolean busy = false;
-            for (Front f : new Front[] {agent, http, control}) {
-                busy |= f != null && f.sweep();
+            for (CheckListener listener : new CheckListener[] {agent, http, control}) {
+                busy |= listener != null && listener.sweep();
             }
             sweepAt = System.nanoTime() + (busy ? SWEEP_MS : IDLE_MS) * 1_000_000;
         }
     }
 
-    /** Something has come that takes looking after: a connection, or a listener that is paused. */
-    private void stir() {
+    /** Schedules a sweep soon, because a connection was opened or a listener was paused. */
+    private void sweepSoon() {
         sweepAt = Math.min(sweepAt, System.nanoTime() + SWEEP_MS * 1_000_000);
     }
 
-    // ---------------------------------------------------------------- what is said
+    // ---------------------------------------------------------------- answers to checks
     private Insight.Published published() {
         return insight.published();
     }
 
-    private static boolean silent(Insight.Published p) {
-        return p != null && p.ageUs() > SILENT_US;
+    private static boolean stalled(Insight.Published latest) {
+        return latest != null && latest.ageUs() > STALLED_AFTER_US;
     }
 
-    private void readyAgain() {
+    /** Begins a period in which answers to agent checks include {@code ready}. */
+    private void announceReady() {
         readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().readyUs() * 1000);
     }
 
     private byte[] agentLine() {
-        Insight.Published p = published();
-        if (p == null) {
+        Insight.Published latest = published();
+        if (latest == null) {
             return AgentLine.starting();
         }
-        if (silent(p)) {
+        if (stalled(latest)) {
             return AgentLine.silent();
         }
-        Verdict v = p.report().verdict();
-        boolean leaves = v.standing() == Standing.DRAINING || v.standing() == Standing.MAINT;
-        if (away && !leaves) {
-            // each balancer that polls must hear that the drain was withdrawn, also those that ask seldom
-            readyAgain();
+        Verdict verdict = latest.report().verdict();
+        boolean takenOut = verdict.standing() == Standing.DRAINING || verdict.standing() == Standing.MAINT;
+        if (wasTakenOut && !takenOut) {
+            // Every balancer must learn that the drain was revoked, also those that poll rarely.
+            announceReady();
         }
-        away = leaves;
-        return AgentLine.encode(v, System.nanoTime() - readyUntil < 0);
+        wasTakenOut = takenOut;
+        return AgentLine.encode(verdict, System.nanoTime() - readyUntil < 0);
     }
 
     private HttpCheckConnection.Answer answer(String target) {
-        int q = target.indexOf('?');
-        String path = q < 0 ? target : target.substring(0, q);
-        boolean verbose = q >= 0 && java.util.Arrays.asList(target.substring(q + 1).split("&")).contains("verbose");
-        Insight.Published p = published();
+        int queryAt = target.indexOf('?');
+        String path = queryAt < 0 ? target : target.substring(0, queryAt);
+        boolean verbose = queryAt >= 0 && java.util.Arrays.asList(target.substring(queryAt + 1).split("&")).contains("verbose");
+        Insight.Published latest = published();
         return switch (path) {
-            case "/livez" -> text(silent(p) ? 503 : 200, silent(p) ? "the loop is silent\n" : "ok\n", HttpFields.EMPTY);
-            case "/readyz" -> readiness(p, verbose);
+            case "/livez" -> text(stalled(latest) ? 503 : 200, stalled(latest) ? "the loop is silent\n" : "ok\n", HttpFields.EMPTY);
+            case "/readyz" -> readiness(latest, verbose);
             case "/availability" -> new HttpCheckConnection.Answer(200, HttpFields.build()
-                    .put(HttpHeader.CONTENT_TYPE, "application/json").put(HttpHeader.CACHE_CONTROL, "no-store"), json(p));
+                    .put(HttpHeader.CONTENT_TYPE, "application/json").put(HttpHeader.CACHE_CONTROL, "no-store"), json(latest));
             default -> text(404, "known are /livez, /readyz and /availability\n", HttpFields.EMPTY);
         };
     }
 
-    private static HttpCheckConnection.Answer text(int status, String text, HttpFields more) {
-        HttpCheckConnection.Answer a = HttpCheckConnection.Answer.text(status, text);
-        return new HttpCheckConnection.Answer(status, HttpFields.build(a.fields()).add(more), a.body());
+    private static HttpCheckConnection.Answer text(int status, String text, HttpFields extraFields) {
+        HttpCheckConnection.Answer plain = HttpCheckConnection.Answer.text(status, text);
+        return new HttpCheckConnection.Answer(status, HttpFields.build(plain.fields()).add(extraFields), plain.body());
     }
 
     /**
-     * 200 where new traffic may come, 404 (or as set) where an operator or the process's end sends it elsewhere, as
-     * HAProxy's {@code http-check disable-on-404} has it, else 503. The Envoy fields are harmless to all others.
+     * Answers 200 if the dispatcher accepts new traffic, 404 (or the configured status) while it drains or is in
+     * maintenance, for HAProxy's {@code http-check disable-on-404}, else 503. Other balancers ignore the Envoy headers.
      */
-    private HttpCheckConnection.Answer readiness(Insight.Published p, boolean verbose) {
-        Report r = p == null ? null : p.report();
-        Standing s = r == null ? Standing.STARTING : r.verdict().standing();
-        boolean leaves = s == Standing.DRAINING || s == Standing.MAINT;
-        int status = silent(p) ? 503 : s.serves() ? 200 : leaves ? operator.http().drainStatus() : 503;
+    private HttpCheckConnection.Answer readiness(Insight.Published latest, boolean verbose) {
+        Report report = latest == null ? null : latest.report();
+        Standing standing = report == null ? Standing.STARTING : report.verdict().standing();
+        boolean takenOut = standing == Standing.DRAINING || standing == Standing.MAINT;
+        int status = stalled(latest) ? 503 : standing.serves() ? 200 : takenOut ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
-        if (leaves) {
+        if (takenOut) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (s.serves() && r.verdict().impaired()) {
+        } else if (standing.serves() && report.verdict().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
-        String text = s.name().toLowerCase(Locale.ROOT) + "\n";
-        if (verbose && r != null) {
-            text = line("loop", !silent(p), "silent for " + p.ageUs() / 1000 + " ms")
-                    + line("phase", r.phase() == Phase.SERVING, r.phase().name())
-                    + line("operator", r.wish() == Wish.READY, r.wish().name())
-                    + line("discovery", r.confirmed(), "the list is a saved one")
-                    + line("peers", r.ready() > 0, "none is ready")
-                    + line("load", s != Standing.OVERLOADED, r.verdict().reason())
+        String text = standing.name().toLowerCase(Locale.ROOT) + "\n";
+        if (verbose && report != null) {
+            text = line("loop", !stalled(latest), "silent for " + latest.ageUs() / 1000 + " ms")
+                    + line("phase", report.phase() == Phase.SERVING, report.phase().name())
+                    + line("operator", report.wish() == Wish.READY, report.wish().name())
+                    + line("discovery", report.confirmed(), "the list is a saved one")
+                    + line("peers", report.ready() > 0, "none is ready")
+                    + line("load", standing != Standing.OVERLOADED, report.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
@@ -281,29 +284,30 @@
         return (well ? "[+]" + check + " ok" : "[-]" + check + " failed: " + why) + "\n";
     }
 
-    private byte[] json(Insight.Published p) {
-        return ReportJson.encode(name, p == null ? null : p.report(), p == null ? 0 : p.ageUs(), silent(p));
+    private byte[] json(Insight.Published latest) {
+        return ReportJson.encode(name, latest == null ? null : latest.report(), latest == null ? 0 : latest.ageUs(),
+                stalled(latest));
     }
 
     // ---------------------------------------------------------------- control
-    private void command(String command, Consumer<byte[]> answer) {
-        Wish wish = switch (command) {
+    private void command(String command, Consumer<byte[]> reply) {
+        Wish requested = switch (command) {
             case "drain" -> Wish.DRAIN;
             case "maint" -> Wish.MAINT;
             case "ready" -> Wish.READY;
             default -> null;
         };
-        Insight.Published p = published();
+        Insight.Published latest = published();
         if (command.equals("status")) {
-            answer.accept(json(p));
-        } else if (wish == null) {
-            answer.accept(error("known are status, drain, ready and maint"));
-        } else if (p != null && p.report().phase().compareTo(Phase.DRAINING) >= 0) {
-            answer.accept(error("the process is to end"));
+            reply.accept(json(latest));
+        } else if (requested == null) {
+            reply.accept(error("known are status, drain, ready and maint"));
+        } else if (latest != null && latest.report().phase().compareTo(Phase.DRAINING) >= 0) {
+            reply.accept(error("the process is to end"));
         } else {
             EventLog.log(LogEvent.CONTROL, command);
-            // answered once the loop has taken it in, so that the answer shows what it did
-            loop.wish(wish, () -> sockets.submit(() -> answer.accept(json(insight.published()))));
+            // Answered after the event loop has applied the command, so that the answer shows its effect.
+            loop.wish(requested, () -> sockets.submit(() -> reply.accept(json(insight.published()))));
         }
     }
 
--- a/src/main/java/granitefold/net/checks/Front.java
+++ b/src/main/java/granitefold/net/checks/CheckListener.java
@@ -16,36 +16,39 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 
-/** One listener and its connections, within its bounds. All on the checks' thread but the constructor. */
-final class Front implements Sockets.Taking {
-    /** So much of a second's allowance may be used at once. */
+/**
+ * One listener and its connections, with bounds on their number, rate and lifetime. All methods but the constructor run
+ * on the selector thread.
+ */
+final class CheckListener implements Sockets.Taking {
+    /** Burst size of accepted connections, as seconds at the permitted rate. */
     private static final double BURST_S = 0.1;
 
     final String name;
     final ServerSocketChannel listener;
     private final Bounds bounds;
     private final Sockets sockets;
-    /** Asks for {@link #sweep} soon. */
-    private final Runnable stir;
-    private final BiFunction<EndPoint, Front, CheckConnection> make;
-    /** Open connections, the oldest first, with their ends of life. */
+    /** Requests a call of {@link #sweep} soon. */
+    private final Runnable sweepSoon;
+    private final BiFunction<EndPoint, CheckListener, CheckConnection> factory;
+    /** Open connections with their deadlines, the oldest first. */
     private final Map<CheckConnection, Long> open = new LinkedHashMap<>();
-    private double allowance;
-    private long allowedAt = System.nanoTime();
+    private double tokens;
+    private long tokensAt = System.nanoTime();
     private boolean paused;
 
-    Front(String name, ServerSocketChannel listener, Bounds bounds, Sockets sockets,
-            Runnable stir, BiFunction<EndPoint, Front, CheckConnection> make) {
+    CheckListener(String name, ServerSocketChannel listener, Bounds bounds, Sockets sockets,
+            Runnable sweepSoon, BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
         this.name = name;
         this.listener = listener;
         this.bounds = bounds;
         this.sockets = sockets;
-        this.stir = stir;
-        this.make = make;
-        allowance = burst();
+        this.sweepSoon = sweepSoon;
+        this.factory = factory;
+        tokens = burst();
     }
 
-    void begin() {
+    void listen() {
         sockets.listen(listener, this);
     }
 
@@ -56,21 +59,21 @@
     @Override
     public boolean ready() {
         long now = System.nanoTime();
-        allowance = Math.min(burst(), allowance + (now - allowedAt) / 1e9 * bounds.perS());
-        allowedAt = now;
-        if (allowance < 1 && !paused) {
+        tokens = Math.min(burst(), tokens + (now - tokensAt) / 1e9 * bounds.perS());
+        tokensAt = now;
+        if (tokens < 1 && !paused) {
             paused = true;
             sockets.pause(listener, true);
-            stir.run();
+            sweepSoon.run();
         }
-        return allowance >= 1;
+        return tokens >= 1;
     }
 
     @Override
     public void take(SocketChannel channel) throws IOException {
-        allowance--;
+        tokens--;
         if (open.size() >= bounds.connections()) {
-            // whoever holds on longest has had the most of it
+            // The oldest connection has had the most time to be answered.
             Iterator<CheckConnection> oldest = open.keySet().iterator();
             EventLog.log(LogEvent.CHECKS_CONNECTION_EVICTED, name);
             oldest.next().close();
@@ -82,10 +85,10 @@
         sockets.accept(channel, new Sockets.Opening() {
             @Override
             public Connection opened(EndPoint endPoint) {
-                CheckConnection c = make.apply(endPoint, Front.this);
-                open.put(c, System.nanoTime() + bounds.timeoutUs() * 1000);
-                stir.run();
-                return c;
+                CheckConnection connection = factory.apply(endPoint, CheckListener.this);
+                open.put(connection, System.nanoTime() + bounds.timeoutUs() * 1000);
+                sweepSoon.run();
+                return connection;
             }
 
             @Override
@@ -93,25 +96,25 @@
         });
     }
 
-    void closed(CheckConnection c) {
-        open.remove(c);
+    void closed(CheckConnection connection) {
+        open.remove(connection);
     }
 
-    /** Says once why something was refused. */
-    void refused(SocketAddress who, String why) {
-        EventLog.log(LogEvent.CHECKS_REFUSED, name, who, why);
+    /** Logs why input was rejected. */
+    void refused(SocketAddress client, String why) {
+        EventLog.log(LogEvent.CHECKS_REFUSED, name, client, why);
     }
 
-    /** Ends connections whose time is over, and goes on accepting; true if there is more to wait for. */
+    /** Closes connections past their deadlines and resumes accepting; returns whether another sweep is needed soon. */
     boolean sweep() {
         long now = System.nanoTime();
-        for (CheckConnection c : open.keySet().toArray(CheckConnection[]::new)) {
-            if (open.get(c) - now > 0) {
+        for (CheckConnection connection : open.keySet().toArray(CheckConnection[]::new)) {
+            if (open.get(connection) - now > 0) {
                 break;
             }
-            c.close();
-            // closing tells, but not if it never came to be open
-            open.remove(c);
+            connection.close();
+            // close() reports to closed() only if the connection had been opened
+            open.remove(connection);
         }
         if (paused && ready()) {
             paused = false;
@@ -120,10 +123,10 @@
         return paused || !open.isEmpty();
     }
 
-    /** Stops listening and closes what is open: nothing sweeps it any more. */
-    void end() {
-        for (CheckConnection c : open.keySet().toArray(CheckConnection[]::new)) {
-            c.close();
+    /** Stops listening and closes all connections, because they are not swept any more. */
+    void close() {
+        for (CheckConnection connection : open.keySet().toArray(CheckConnection[]::new)) {
+            connection.close();
         }
         try {
             listener.close();
--- a/src/main/java/granitefold/net/checks/LineConnection.java
+++ b/src/main/java/granitefold/net/checks/CommandConnection.java
@@ -6,29 +6,29 @@
 import java.util.function.Consumer;
 import org.eclipse.jetty.io.EndPoint;
 
-/** One command, a line, and its answer, a line; then it ends. */
-final class LineConnection extends CheckConnection {
-    private static final int LINE_MOST = 64;
+/** A connection for one command: reads a line, writes the answer as a line and closes. */
+final class CommandConnection extends CheckConnection {
+    private static final int MAX_LINE_CHARS = 64;
 
     private final BiConsumer<String, Consumer<byte[]>> commands;
     private final StringBuilder line = new StringBuilder();
-    private boolean asked;
+    private boolean commandRead;
 
-    /** {@code commands} takes a line and, later and on this thread, gives back the answer. */
-    LineConnection(EndPoint endPoint, Front front, BiConsumer<String, Consumer<byte[]>> commands) {
-        super(endPoint, front);
+    /** {@code commands} receives a line and a callback for the answer, which must be called on this thread, possibly later. */
+    CommandConnection(EndPoint endPoint, CheckListener checkListener, BiConsumer<String, Consumer<byte[]>> commands) {
+        super(endPoint, checkListener);
         this.commands = commands;
     }
 
     @Override
-    protected boolean step() {
-        if (asked) {
+    protected boolean processInput() {
+        if (commandRead) {
             return discard();
         }
         while (in.hasRemaining()) {
             char c = (char) (in.get() & 0xff);
-            if (c == '\n' || line.length() >= LINE_MOST) {
-                asked = true;
+            if (c == '\n' || line.length() >= MAX_LINE_CHARS) {
+                commandRead = true;
                 commands.accept(c == '\n' ? line.toString().strip() : "", this::answer);
                 return true;
             }
--- a/src/main/java/granitefold/net/checks/ControlSocket.java
+++ b/src/main/java/granitefold/net/checks/ControlSocket.java
@@ -16,8 +16,9 @@
 import java.nio.file.attribute.PosixFilePermissions;
 
 /**
- * The control socket's file: mode 0600 from its first moment under its name, and never a live process's. Who holds the
- * lock on the file beside it owns the name; a killed process holds no lock, so what it left is replaced.
+ * The file of the control socket. It has mode 0600 from the moment that it exists under its path, and never replaces the
+ * socket of a running process: the path belongs to the process that holds the lock on the file beside it. A killed process
+ * holds no lock, so the socket file that it left behind is replaced.
  */
 final class ControlSocket {
     private static final int BACKLOG = 16;
@@ -32,11 +33,12 @@
         this.lockFile = lockFile;
     }
 
+    /** Opens the socket at {@code path}; throws if another process holds it or another kind of file is there. */
     static ControlSocket open(Path path) throws IOException {
         FileChannel lockFile = FileChannel.open(path.resolveSibling(path.getFileName() + ".lock"),
                 java.util.Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
-        Path folder = null;
+        Path directory = null;
         try {
             FileLock lock = lockFile.tryLock();
             if (lock == null) {
@@ -46,34 +48,34 @@
                     && !Files.readAttributes(path, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS).isOther()) {
                 throw new IOException("there is a file that is no socket");
             }
-            // bound inside a folder that nobody else may enter: between bind and chmod it would be open to others
-            folder = Files.createTempDirectory(path.toAbsolutePath().getParent(), ".c",
+            // Bound in a private directory, because other users could connect between bind and chmod.
+            directory = Files.createTempDirectory(path.toAbsolutePath().getParent(), ".c",
                     PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
-            Path inside = folder.resolve("s");
+            Path temporaryPath = directory.resolve("s");
             ServerSocketChannel listener = Listeners.opened(() -> ServerSocketChannel.open(StandardProtocolFamily.UNIX));
-            listener.bind(UnixDomainSocketAddress.of(inside), BACKLOG);
+            listener.bind(UnixDomainSocketAddress.of(temporaryPath), BACKLOG);
             listener.configureBlocking(false);
-            Files.setPosixFilePermissions(inside, PosixFilePermissions.fromString("rw-------"));
-            Files.move(inside, path, StandardCopyOption.ATOMIC_MOVE);
+            Files.setPosixFilePermissions(temporaryPath, PosixFilePermissions.fromString("rw-------"));
+            Files.move(temporaryPath, path, StandardCopyOption.ATOMIC_MOVE);
             return new ControlSocket(path, listener, lockFile);
         } catch (IOException | RuntimeException e) {
             lockFile.close();
             throw e;
         } finally {
-            if (folder != null) {
-                Files.deleteIfExists(folder.resolve("s"));
-                Files.deleteIfExists(folder);
+            if (directory != null) {
+                Files.deleteIfExists(directory.resolve("s"));
+                Files.deleteIfExists(directory);
             }
         }
     }
 
-    /** Takes the name away again, at a planned end; the lock goes with the process. */
-    void end() {
+    /** Removes the socket file at a graceful shutdown and releases the lock. */
+    void close() {
         try {
             Files.deleteIfExists(path);
             lockFile.close();
         } catch (IOException e) {
-            // the next start replaces it
+            // The next start replaces the file.
         }
     }
 }
--- a/src/main/java/granitefold/net/checks/HttpCheckConnection.java
+++ b/src/main/java/granitefold/net/checks/HttpCheckConnection.java
@@ -13,11 +13,11 @@
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.io.EndPoint;
 
-/** Checks over HTTP/1.1: GET and HEAD without a body, one after the other on a kept connection. */
+/** A connection with health checks over HTTP/1.1: GET and HEAD without a body, one after another on a persistent connection. */
 final class HttpCheckConnection extends CheckConnection implements HttpParser.RequestHandler {
-    private static final int HEAD_MOST = 4096;
+    private static final int MAX_HEAD_BYTES = 4096;
 
-    /** What to answer to a path with its query. */
+    /** Answers a request target, a path with its query. */
     interface Answers {
         Answer to(String target);
     }
@@ -30,30 +30,30 @@
     }
 
     private final Answers answers;
-    private final HttpParser parser = new HttpParser(this, HEAD_MOST, HttpCompliance.STRICT);
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.STRICT);
     private String method;
     private String target;
-    private boolean close;
-    private boolean whole;
-    private String bad;
+    private boolean closeAfterAnswer;
+    private boolean complete;
+    private String rejection;
     private boolean writing;
-    private boolean ended;
+    private boolean lastWritten;
 
-    HttpCheckConnection(EndPoint endPoint, Front front, Answers answers) {
-        super(endPoint, front);
+    HttpCheckConnection(EndPoint endPoint, CheckListener checkListener, Answers answers) {
+        super(endPoint, checkListener);
         this.answers = answers;
     }
 
     @Override
-    protected boolean step() {
-        if (ended) {
+    protected boolean processInput() {
+        if (lastWritten) {
             return discard();
         }
         if (writing || !in.hasRemaining()) {
             return false;
         }
         parser.parseNext(in);
-        if (whole || bad != null) {
+        if (complete || rejection != null) {
             answer();
             return false;
         }
@@ -61,53 +61,54 @@
     }
 
     private void answer() {
-        boolean last = close || bad != null;
-        Answer a;
-        if (bad != null) {
-            front.refused(getEndPoint().getRemoteSocketAddress(), bad);
-            a = Answer.text(400, bad + "\n");
+        boolean last = closeAfterAnswer || rejection != null;
+        Answer response;
+        if (rejection != null) {
+            checkListener.refused(getEndPoint().getRemoteSocketAddress(), rejection);
+            response = Answer.text(400, rejection + "\n");
         } else if (!method.equals("GET") && !method.equals("HEAD")) {
-            a = Answer.text(405, "GET or HEAD\n");
+            response = Answer.text(405, "GET or HEAD\n");
         } else {
-            a = answers.to(target);
+            response = answers.to(target);
         }
         writing = true;
-        ByteBuffer[] message = HttpMessages.checkResponse(a.status(), a.fields(), a.body(), "HEAD".equals(method), last);
+        ByteBuffer[] message = HttpMessages.checkResponse(response.status(), response.fields(), response.body(),
+                "HEAD".equals(method), last);
         write(last, () -> {
             writing = false;
-            ended = last;
-            whole = false;
+            lastWritten = last;
+            complete = false;
             parser.reset();
         }, message);
     }
 
-    // ---------------------------------------------------------------- what the parser finds
+    // ---------------------------------------------------------------- callbacks of the parser
     @Override
     public void startRequest(String method, String uri, HttpVersion version) {
         this.method = method;
         target = uri;
-        close = version.compareTo(HttpVersion.HTTP_1_1) < 0;
+        closeAfterAnswer = version.compareTo(HttpVersion.HTTP_1_1) < 0;
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         if (field.getHeader() == HttpHeader.CONNECTION && field.contains(HttpHeaderValue.CLOSE.asString())) {
-            close = true;
+            closeAfterAnswer = true;
         }
         if (field.getHeader() == HttpHeader.TRANSFER_ENCODING
                 || field.getHeader() == HttpHeader.CONTENT_LENGTH && !"0".equals(field.getValue())) {
-            bad = "a check has no body";
+            rejection = "a check has no body";
         }
     }
 
     @Override
     public boolean headerComplete() {
-        return bad != null;
+        return rejection != null;
     }
 
     @Override
     public boolean content(ByteBuffer content) {
-        bad = "a check has no body";
+        rejection = "a check has no body";
         return true;
     }
 
@@ -118,17 +119,17 @@
 
     @Override
     public boolean messageComplete() {
-        whole = true;
+        complete = true;
         return true;
     }
 
     @Override
     public void badMessage(HttpException failure) {
-        bad = "malformed request";
+        rejection = "malformed request";
     }
 
     @Override
     public void earlyEOF() {
-        bad = "malformed request";
+        rejection = "malformed request";
     }
 }
--- a/src/main/java/granitefold/net/checks/OpsEndpoint.java
+++ b/src/main/java/granitefold/net/checks/OpsEndpoint.java
@@ -18,30 +18,31 @@
 import java.util.function.Consumer;
 
 /**
- * The second address, where staff and the platform ask how this process stands: a line in, an answer out. It has a thread
- * of its own and reads what the loop last published, so that neither a busy loop nor a crowd of clients delays it.
+ * The operations address, where staff and the platform query the state of this process: one line in, one answer out. It has
+ * a thread of its own and reads the figures last published by the event loop, so that neither a busy loop nor many clients
+ * delay it.
  */
 public final class OpsEndpoint implements Sockets.Host {
-    /** Callers who say nothing give way to new ones, so few places are enough. */
-    private static final int CONNECTIONS = Loop.OPS_DESCRIPTORS - 8, PER_S = 1000, BACKLOG = 256;
-    private static final long LIFE_US = 2_500_000;
+    /** A small limit suffices, because new connections replace the oldest ones. */
+    private static final int MAX_CONNECTIONS = Loop.OPS_DESCRIPTORS - 8, MAX_PER_S = 1000, BACKLOG = 256;
+    private static final long CONNECTION_TIMEOUT_US = 2_500_000;
     private static final long SWEEP_MS = 20, IDLE_MS = 250;
 
     private final InetSocketAddress address;
     private final Loop loop;
     private final List<String> classes;
     private final Sockets sockets = new Sockets("ops", this);
-    private Front front;
+    private CheckListener checkListener;
     private long sweepAt = System.nanoTime();
 
-    /** {@code classes}: their names, in the order of the settings. */
+    /** Creates the endpoint; {@code classes} are the names of the job classes in the order of the settings. */
     public OpsEndpoint(InetSocketAddress address, Loop loop, List<String> classes) {
         this.address = address;
         this.loop = loop;
         this.classes = classes;
     }
 
-    /** Opens the address; one that can't be had is told by {@link InvalidInputException}. Returns where it listens. */
+    /** Starts listening and returns the bound address; throws {@link InvalidInputException} if it cannot be bound. */
     public InetSocketAddress start() throws Exception {
         ServerSocketChannel listener;
         InetSocketAddress bound;
@@ -52,19 +53,19 @@
             throw new InvalidInputException("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
         sockets.start();
-        front = new Front("ops", listener, new Operator.Bounds(CONNECTIONS, PER_S, LIFE_US), sockets, this::stir,
-                (e, f) -> new LineConnection(e, f, this::answer));
-        front.begin();
+        checkListener = new CheckListener("ops", listener, new Operator.Bounds(MAX_CONNECTIONS, MAX_PER_S, CONNECTION_TIMEOUT_US),
+                sockets, this::sweepSoon, (e, f) -> new CommandConnection(e, f, this::answer));
+        checkListener.listen();
         EventLog.log(LogEvent.CHECKS_LISTENING, "ops", Address.text(bound));
         return bound;
     }
 
-    private void answer(String call, Consumer<byte[]> answer) {
+    private void answer(String command, Consumer<byte[]> reply) {
         Figures f = loop.figures();
-        switch (call) {
-            case "check" -> answer.accept(text(f == null ? "NAK starting" : f.serves() ? "ACK" : "NAK " + loop.standing()));
-            case "vars" -> answer.accept(f == null ? text("NAK starting") : vars(f));
-            default -> answer.accept(text("NAK known are check and vars"));
+        switch (command) {
+            case "check" -> reply.accept(text(f == null ? "NAK starting" : f.serves() ? "ACK" : "NAK " + loop.standing()));
+            case "vars" -> reply.accept(f == null ? text("NAK starting") : vars(f));
+            default -> reply.accept(text("NAK known are check and vars"));
         }
     }
 
@@ -84,13 +85,13 @@
     @Override
     public void wake() {
         if (untilWake() <= 0) {
-            // on this thread, which may wait for a file; while callers come more often, so does this
+            // This thread may block on a file. While there are connections, the call is repeated more often.
             loop.passOn(sockets::submit);
-            sweepAt = System.nanoTime() + (front != null && front.sweep() ? SWEEP_MS : IDLE_MS) * 1_000_000;
+            sweepAt = System.nanoTime() + (checkListener != null && checkListener.sweep() ? SWEEP_MS : IDLE_MS) * 1_000_000;
         }
     }
 
-    private void stir() {
+    private void sweepSoon() {
         sweepAt = Math.min(sweepAt, System.nanoTime() + SWEEP_MS * 1_000_000);
     }
 }
--- a/src/main/java/granitefold/net/checks/package-info.java
+++ b/src/main/java/granitefold/net/checks/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What balancers and operators ask: agent-check, checks over HTTP, control. All of it runs on a selector thread of its
- * own, which exists only where the operator has set one of them. It reads what the loop last published, so that no
- * number of checks takes a client's turn, and it can tell that the loop is silent.
+ * Health checks for balancers and control for operators: agent-check, HTTP checks, control socket. They run on a selector
+ * thread of their own, which exists only if one of them is configured, and read the state last published by the event loop.
+ * So checks do not delay clients, and a stalled event loop is detected.
  */
 package granitefold.net.checks;
--- a/src/test/java/granitefold/benchlink/SimulatorSessionTest.java
+++ b/src/test/java/granitefold/benchlink/SimulatorSessionTest.java
@@ -101,12 +101,12 @@
 
     @Test
     void timesAndStringsAreEncoded() {
-        ReplyLine line = new ReplyLine();
-        line.millis(1_234_005).raw(" ").millis(2_000).raw(" ").millis(-7).raw(" ").string("a\"b\\\n");
+        ReplyLine reply = new ReplyLine();
+        reply.millis(1_234_005).raw(" ").millis(2_000).raw(" ").millis(-7).raw(" ").string("a\"b\\\n");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         assertEquals(0, out.size());
         try {
-            line.writeTo(out);
+            reply.writeTo(out);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/granitefold/logging/EventLogTest.java
+++ b/src/test/java/granitefold/logging/EventLogTest.java
@@ -11,10 +11,10 @@
 import org.slf4j.event.SubstituteLoggingEvent;
 import org.slf4j.helpers.SubstituteLogger;
 
-/** Declared once, told to operators, and no flood. */
+/** Events are declared once and documented, and a repeated event does not flood the log. */
 class EventLogTest {
     @Test
-    void everyEventHasItsOwnNameAndAFieldForEachPlace() {
+    void everyEventHasAUniqueIdAndAFieldForEachPlaceholder() {
         Set<String> ids = new HashSet<>();
         for (LogEvent e : LogEvent.values()) {
             assertTrue(ids.add(e.id()), e.id());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void everyEventIsOnTheOnCallPage() throws Exception {
+    void everyEventIsDocumentedOnTheOnCallPage() throws Exception {
         String page = Files.readString(Path.of("docs/ON-CALL.md"));
         for (LogEvent e : LogEvent.values()) {
             assertTrue(page.contains("`" + e.id() + "`"), e.id());
--- a/src/test/java/granitefold/wire/JsonObjectFramerTest.java
+++ b/src/test/java/granitefold/wire/JsonObjectFramerTest.java
@@ -11,46 +11,46 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Objects put together from lines. */
+/** JSON objects are assembled from lines. */
 class JsonObjectFramerTest {
-    private final JsonObjectFramer frames = new JsonObjectFramer(200);
+    private final JsonObjectFramer framer = new JsonObjectFramer(200);
 
     private List<String> read(String text) {
         List<String> found = new ArrayList<>();
-        for (String l : text.split("\n", -1)) {
-            byte[] line = (">" + l).getBytes(StandardCharsets.UTF_8);
-            Result f = frames.add(line, 1, line.length - 1);
-            if (f != Result.INCOMPLETE) {
-                found.add(f == Result.BLANK ? "" : new String(frames.buffer(), frames.offset(), frames.length(), StandardCharsets.UTF_8));
+        for (String lineText : text.split("\n", -1)) {
+            byte[] line = (">" + lineText).getBytes(StandardCharsets.UTF_8);
+            Result result = framer.add(line, 1, line.length - 1);
+            if (result != Result.INCOMPLETE) {
+                found.add(result == Result.BLANK ? "" : new String(framer.buffer(), framer.offset(), framer.length(), StandardCharsets.UTF_8));
             }
         }
         return found;
     }
 
     @Test
-    void oneALineAndOneOverManyAndSignsOfLifeBetween() {
+    void singleLineAndMultiLineObjectsWithHeartbeatsBetween() {
         assertEquals(List.of("{\"a\":1}", "", "{\n  \"b\": [\n    {}\n  ]\n}\n", "", " {\"c\":2}\r"),
                 read("{\"a\":1}\n\n{\n  \"b\": [\n    {}\n\n  ]\n}\n \t\r\n {\"c\":2}\r"));
     }
 
     @Test
-    void whatStandsInTextIsNoBracket() {
+    void bracketsInStringsAreIgnored() {
         assertEquals(List.of("{\"}\\\"{[\":\n\"]\"}\n", "x"), read("{\"}\\\"{[\":\n\"]\"}\nx"));
     }
 
-    /** What makes no sense is handed on, to be found out where it is decoded; it never holds up what follows. */
+    /** Invalid JSON is passed on to the decoder, which rejects it; it does not affect the objects that follow. */
     @Test
-    void moreEndsThanBeginningsAreNoDebt() {
+    void surplusClosingBracketsDoNotAffectTheNextObject() {
         assertEquals(List.of("]]}", "{}"), read("]]}\n{}"));
     }
 
     @Test
-    void anObjectThatNeverEndsIsNotKeptForGood() {
+    void anObjectThatNeverEndsIsRejected() {
         assertThrows(InvalidInputException.class, () -> read("{\n" + "1\n".repeat(200)));
     }
 
     @Property(tries = 500)
-    void anyTextEndsInABoundedBuffer(@ForAll String text) {
+    void anyTextNeedsABoundedBuffer(@ForAll String text) {
         try {
             read(text);
         } catch (InvalidInputException e) {
--- a/src/test/java/granitefold/wire/ProxyHeaderFuzz.java
+++ b/src/test/java/granitefold/wire/ProxyHeaderFuzz.java
@@ -3,7 +3,7 @@
 import com.code_intelligence.jazzer.junit.FuzzTest;
 import java.nio.ByteBuffer;
 
-/** Any bytes are a header, the start of one, or refused; what is not a whole header moves nothing. */
+/** Any bytes are a header, the start of one, or rejected; an incomplete header does not move the position. */
 class ProxyHeaderFuzz {
     @FuzzTest(maxDuration = "8s")
     void decode(byte[] bytes) {
@@ -12,15 +12,15 @@
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         try {
-            ProxyHeader h = ProxyHeader.decode(in);
-            if (h == null && in.position() != 0 || h != null && in.position() < 13) {
-                throw new AssertionError("moved to " + in.position() + " for " + h);
+            ProxyHeader header = ProxyHeader.decode(in);
+            if (header == null && in.position() != 0 || header != null && in.position() < 13) {
+                throw new AssertionError("moved to " + in.position() + " for " + header);
             }
-            if (h == null && bytes.length > 16 + ProxyHeader.MAX_V2_BYTES) {
+            if (header == null && bytes.length > 16 + ProxyHeader.MAX_V2_BYTES) {
                 throw new AssertionError("waits for more than a header may have");
             }
         } catch (BadRequestException e) {
-            // refused, as it should be
+            // expected for invalid headers
         }
     }
 }
