--- a/src/main/java/granitefold/benchlink/DispatcherInstance.java
+++ b/src/main/java/granitefold/benchlink/DispatcherInstance.java
@@ -1,10 +1,10 @@
 package granitefold.benchlink;
 
-import granitefold.policy.Decide;
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.Report;
 import granitefold.Dispatcher.Request;
 import granitefold.Dispatcher.Settings;
+import granitefold.policy.DispatchPolicy;
 import granitefold.wire.WireCodes;
 import java.util.Base64;
 import java.util.List;
@@ -34,7 +34,7 @@
                 default -> -1;
             };
         }
-        dispatcher = new Decide(settings, seed, this);
+        dispatcher = new DispatchPolicy(settings, seed, this);
     }
 
     /** Starts or continues a part of the reply; {@code isFirst} if the next action is its first, which needs no comma. */
@@ -51,8 +51,8 @@
         switch (event.verb) {
             case "PowerOn" -> dispatcher.start(now);
             case "Members" -> {
-                Dispatcher.ListNews update = WireCodes.listUpdate(event.how == null ? "" : event.how);
-                dispatcher.listed(now, update, update == Dispatcher.ListNews.FAILED ? List.of() : workerLists.get(event.list));
+                Dispatcher.ListUpdate update = WireCodes.listUpdate(event.how == null ? "" : event.how);
+                dispatcher.listUpdated(now, update, update == Dispatcher.ListUpdate.FAILED ? List.of() : workerLists.get(event.list));
             }
             case "Ingress" -> dispatcher.requested(now, new Request(event.request(), event.category, event.clientGroup,
                     Math.round(event.timeLeftMs * 1000), event.expectedMs * 1000, event.needs, event.ramUnits,
@@ -68,7 +68,7 @@
                     report(event));
             case "Expired" -> dispatcher.expired(now, event.request());
             case "Elapsed" -> dispatcher.elapsed(now, event.label);
-            case "FromPeer" -> dispatcher.heard(now, event.src, event.body == null ? new byte[0] : event.body);
+            case "FromPeer" -> dispatcher.messageReceived(now, event.src, event.body == null ? new byte[0] : event.body);
             default -> { }
         }
     }
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void tell(int sibling, byte[] message) {
+    public void sendToSibling(int sibling, byte[] message) {
         if (message != lastMessage) {
             // The same message is sent to many siblings: encode it once.
             lastMessage = message;
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -1,9 +1,9 @@
 package granitefold.core;
 
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher;
-import granitefold.health.HealthBoard;
+import granitefold.health.WorkerHealthTracker;
 import granitefold.logging.LogEvent;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,15 +12,15 @@
 
 /** The workers as discovery lists them, and as probes and attempts judge them. */
 final class WorkerRegistry {
-    private final Parts core;
+    private final CoreContext core;
 
-    WorkerRegistry(Parts parts) {
+    WorkerRegistry(CoreContext parts) {
         core = parts;
     }
 
-    void listed(ListNews news, WorkerList list) {
+    void listed(ListUpdate news, WorkerList list) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        if (news != ListNews.CHANGES) {
+        if (news != ListUpdate.CHANGES) {
             core.workers.values().forEach(p -> p.state = State.GONE);
         } else {
             // what an older list made us doubt holds again, unless this one says otherwise
@@ -42,7 +42,7 @@
         }
         core.workers.values().stream().filter(p -> p.state != State.READY).forEach(core.pool::closeIdle);
         core.workers.values().removeIf(p -> p.state == State.GONE && p.open == 0);
-        core.module.listed(core.now, news, workers);
+        core.module.listUpdated(core.now, news, workers);
         core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), news,
                 core.workers.values().stream().filter(p -> p.state == State.READY).count()));
         if (core.health != null) {
@@ -66,14 +66,14 @@
             }
         }
         if (!workers.isEmpty()) {
-            core.module.listed(core.now, ListNews.CHANGES, workers);
+            core.module.listUpdated(core.now, ListUpdate.CHANGES, workers);
         }
     }
 
     /** Workers that look dead, or alive again: the module hears it as news of the list, and of ready ones only. */
-    void judged(List<HealthBoard.Change> changes) {
+    void judged(List<WorkerHealthTracker.Change> changes) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        for (HealthBoard.Change c : changes) {
+        for (WorkerHealthTracker.Change c : changes) {
             Worker p = core.workers.get(c.worker());
             if (p != null && p.state == State.READY) {
                 core.effects.add(new Effect.Log(LogEvent.WORKER_HEALTH, p.name, c.usable() ? "UP" : c.health(), c.reason()));
@@ -81,7 +81,7 @@
             }
         }
         if (!workers.isEmpty()) {
-            core.module.listed(core.now, ListNews.CHANGES, workers);
+            core.module.listUpdated(core.now, ListUpdate.CHANGES, workers);
         }
     }
 }
--- a/src/main/java/granitefold/net/ClientConnection.java
+++ b/src/main/java/granitefold/net/ClientConnection.java
@@ -22,7 +22,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** A client's side: reads one request at a time, and while that is unanswered watches for the client to leave. */
-final class ClientConnection extends LoopConnection {
+final class ClientConnection extends NonBlockingConnection {
     private static final int BUFFER = 4096;
     /** So much is read after the last answer: without it a polite client's answer would be lost in the reset. */
     private static final int LINGER_MOST = 4 * ClientRequest.MAX_BODY_BYTES;
@@ -38,7 +38,7 @@
         LINGERING
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long id;
     private final RequestReader reader;
     /** The connection came then, at the earliest, and its first request with it. */
@@ -67,13 +67,13 @@
     private boolean metrics;
 
     /** {@code waitsSinceNs}: when it came, at the earliest; of {@link System#nanoTime}. */
-    ClientConnection(EndPoint endPoint, Loop loop, long id, long waitsSinceNs) {
+    ClientConnection(EndPoint endPoint, EventLoop loop, long id, long waitsSinceNs) {
         super(endPoint);
         this.loop = loop;
         this.id = id;
         this.waitsSinceNs = waitsSinceNs;
         reader = new RequestReader(loop::hold, this::goOn);
-        headed = loop.clientRules().proxy();
+        headed = loop.clientRules().proxyHeaderRequired();
         source = endPoint.getRemoteSocketAddress();
     }
 
@@ -161,7 +161,7 @@
             gone(CloseReason.CLIENT);
         } else if (n == 0) {
             if (state == State.READING && heard && !reader.isStart()) {
-                loop.post(begun ? new Event.RequestGoesOn(id) : new Event.RequestBegun(id));
+                loop.post(begun ? new Event.RequestContinued(id) : new Event.RequestStarted(id));
                 begun = true;
             }
             heard = false;
@@ -174,7 +174,7 @@
     private boolean header() throws IOException {
         try {
             InetSocketAddress proxy = (InetSocketAddress) source;
-            if (!loop.clientRules().from().isEmpty() && !loop.clientRules().from().contains(proxy.getAddress())) {
+            if (!loop.clientRules().proxySources().isEmpty() && !loop.clientRules().proxySources().contains(proxy.getAddress())) {
                 throw new BadRequestException(400, "not one of clients.proxy-from");
             }
             ProxyHeader header = ProxyHeader.decode(in);
@@ -246,18 +246,18 @@
         }
         try {
             Submission s = reader.decode(loop.words());
-            metrics = loop.clientRules().orca() && reader.asks(Insight.METRICS_WANTED, "text");
+            metrics = loop.clientRules().loadMetrics() && reader.asks(StatusReporter.METRICS_WANTED, "text");
             if (left()) {
                 gone(CloseReason.CLIENT);
             } else {
                 loop.post(new Event.RequestArrived(id, s, unseenUs()));
             }
         } catch (BadRequestException e) {
-            if (loop.clientRules().proxy()) {
+            if (loop.clientRules().proxyHeaderRequired()) {
                 EventLog.log(LogEvent.CLIENT_REFUSED, source, e.getMessage());
             }
             // what follows may not be what it looks like either: the connection ends
-            answerHere(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.because(Refusal.LIMIT), true)
+            answerHere(e.status() == 503 ? HttpMessages.answer(FinalAnswer.Rejected.withDefaultRetry(Refusal.LIMIT), true)
                     : HttpMessages.plainText(e.status(), e.getMessage(), true), true);
         }
     }
@@ -306,7 +306,7 @@
     }
 
     private void answerHere(ByteBuffer[] message, boolean last) {
-        loop.post(new Event.AnsweredHere(id));
+        loop.post(new Event.AnsweredLocally(id));
         answer(message, last);
     }
 
@@ -381,7 +381,7 @@
             }
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
-            loop.post(new Event.ClientShut(id));
+            loop.post(new Event.ClientHalfClosed(id));
             advance();
         } else if (state == State.READING && begun) {
             reject();
--- a/src/main/java/granitefold/net/Insight.java
+++ b/src/main/java/granitefold/net/StatusReporter.java
@@ -1,8 +1,8 @@
 package granitefold.net;
 
-import granitefold.core.Report;
-import granitefold.core.Resources;
-import granitefold.operator.Operator;
+import granitefold.core.StatusReport;
+import granitefold.core.ResourceUsage;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.LoadMetrics;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
@@ -17,14 +17,14 @@
  * What the loop measures of itself, and what it last published for others to read. Made only where something tells how
  * the dispatcher stands.
  */
-public final class Insight {
+public final class StatusReporter {
     /** A client asks for load metrics on its answer by this request header, and gets them in that one. */
     static final String METRICS_WANTED = "endpoint-load-metrics-format", METRICS = "endpoint-load-metrics";
     /** Envoy, "Health checking": a host that answers with this is taken out at once, before the next check. */
     private static final HttpField LEAVE = new HttpField("x-envoy-immediate-health-check-fail", "true");
 
     /** What others see: the report and the moment at which it was published ({@link System#nanoTime}). */
-    public record Published(Report report, long nanos) {
+    public record PublishedReport(StatusReport report, long nanos) {
         /** How long ago, in microseconds. */
         public long ageUs() {
             return (System.nanoTime() - nanos) / 1000;
@@ -32,7 +32,7 @@
     }
 
     private final Clock clock;
-    private final Operator.Clients clients;
+    private final OperatorSettings.Clients clients;
     private final double cores;
     private final List<MemoryPoolMXBean> heap = ManagementFactory.getMemoryPoolMXBeans().stream()
             .filter(p -> p.getType() == MemoryType.HEAP && p.getCollectionUsage() != null).toList();
@@ -42,16 +42,16 @@
     private long cpuNs = system.getProcessCpuTime();
     private long measuredAt = System.nanoTime();
     private String metrics = "";
-    private volatile Published published;
+    private volatile PublishedReport published;
 
-    Insight(Clock clock, Operator.Clients clients, double cores) {
+    StatusReporter(Clock clock, OperatorSettings.Clients clients, double cores) {
         this.clock = clock;
         this.clients = clients;
         this.cores = cores;
     }
 
     /** The last report; null before the first. From any thread. */
-    public Published published() {
+    public PublishedReport published() {
         return published;
     }
 
@@ -61,7 +61,7 @@
         lagUs = Math.max(lagUs, clock.micros() - wakeAt - 1000);
     }
 
-    Resources sample(double descriptorShare) {
+    ResourceUsage sample(double descriptorShare) {
         long used = 0;
         for (MemoryPoolMXBean pool : heap) {
             MemoryUsage after = pool.getCollectionUsage();
@@ -72,21 +72,21 @@
         double share = (cpu - cpuNs) / (cores * Math.max(TimeUnit.MILLISECONDS.toNanos(1), nanos - measuredAt));
         cpuNs = cpu;
         measuredAt = nanos;
-        Resources r = new Resources((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, lagUs);
+        ResourceUsage r = new ResourceUsage((double) used / Runtime.getRuntime().maxMemory(), descriptorShare, share, lagUs);
         lagUs = 0;
         return r;
     }
 
-    void publish(Report report) {
-        published = new Published(report, System.nanoTime());
-        if (clients.orca()) {
+    void publish(StatusReport report) {
+        published = new PublishedReport(report, System.nanoTime());
+        if (clients.loadMetrics()) {
             metrics = LoadMetrics.text(report);
         }
     }
 
     /** Fields for an answer to a client. */
     List<HttpField> fields(ClientConnection client) {
-        boolean leaves = clients.envoy() && published != null && !published.report().verdict().standing().serves();
+        boolean leaves = clients.envoyHeaders() && published != null && !published.report().verdict().status().acceptsTraffic();
         if (!leaves && !client.wantsMetrics()) {
             return List.of();
         }
--- a/src/main/java/granitefold/net/WatchLink.java
+++ b/src/main/java/granitefold/net/WatchHttpConnection.java
@@ -9,16 +9,16 @@
 import java.net.InetSocketAddress;
 
 /** The watch on discovery. */
-final class WatchLink extends Link {
+final class WatchHttpConnection extends OutboundHttpConnection {
     private static final int LINE_MOST = 4 * 1024 * 1024;
 
-    private final Loop loop;
-    private final Links links;
+    private final EventLoop loop;
+    private final OutboundConnections links;
     private final InetSocketAddress discovery;
     private final long version;
     private final JsonObjectFramer frames = new JsonObjectFramer(LINE_MOST);
 
-    WatchLink(Loop loop, Links links, InetSocketAddress discovery, long version) {
+    WatchHttpConnection(EventLoop loop, OutboundConnections links, InetSocketAddress discovery, long version) {
         super(discovery, LINE_MOST);
         this.loop = loop;
         this.links = links;
@@ -46,7 +46,7 @@
         try {
             JsonObjectFramer.Result found = frames.add(buf, from, length);
             if (found != JsonObjectFramer.Result.INCOMPLETE) {
-                loop.post(new Event.WatchNews(found == JsonObjectFramer.Result.BLANK ? null
+                loop.post(new Event.WatchUpdated(found == JsonObjectFramer.Result.BLANK ? null
                         : WorkerListJson.decode(frames.buffer(), frames.offset(), frames.length(), loop.words())));
             }
         } catch (InvalidInputException e) {
--- a/src/main/java/granitefold/net/WorkerLink.java
+++ b/src/main/java/granitefold/net/WorkerHttpConnection.java
@@ -2,7 +2,7 @@
 
 import granitefold.core.Event;
 import granitefold.core.Payload;
-import granitefold.core.AttemptNews;
+import granitefold.core.AttemptUpdate;
 import granitefold.wire.Address;
 import granitefold.wire.ClientRequest;
 import granitefold.wire.HttpMessages;
@@ -10,17 +10,17 @@
 import granitefold.wire.WorkerLine;
 
 /** A connection to a worker. */
-final class WorkerLink extends Link {
+final class WorkerHttpConnection extends OutboundHttpConnection {
     /** A result is about as long as a body may be; JSON may write it several times as long. */
     private static final int LINE_MOST = 512 * 1024;
 
-    private final Loop loop;
-    private final Links links;
+    private final EventLoop loop;
+    private final OutboundConnections links;
     private final long id;
     private final String address;
     private String txn;
 
-    WorkerLink(Loop loop, Links links, long id, String address) {
+    WorkerHttpConnection(EventLoop loop, OutboundConnections links, long id, String address) {
         super(Address.of(address), LINE_MOST);
         this.loop = loop;
         this.links = links;
@@ -52,7 +52,7 @@
     @Override
     void status(int status, String turnedAway) {
         if (status != 200) {
-            loop.post(new Event.WorkerSaid(id, WorkerLine.fromStatus(status, turnedAway)));
+            loop.post(new Event.AttemptUpdated(id, WorkerLine.fromStatus(status, turnedAway)));
         }
     }
 
@@ -62,9 +62,9 @@
             return;
         }
         try {
-            AttemptNews news = WorkerLine.decode(buf, from, length, txn);
+            AttemptUpdate news = WorkerLine.decode(buf, from, length, txn);
             if (news != null) {
-                loop.post(new Event.WorkerSaid(id, news));
+                loop.post(new Event.AttemptUpdated(id, news));
             }
         } catch (InvalidInputException e) {
             end(e.getMessage());
@@ -73,7 +73,7 @@
 
     @Override
     void answered(boolean reusable) {
-        loop.post(new Event.AnswerEnded(id, reusable));
+        loop.post(new Event.WorkerAnswerEnded(id, reusable));
     }
 
     @Override
--- a/src/main/java/granitefold/net/checks/CheckConnection.java
+++ b/src/main/java/granitefold/net/checks/CheckConnection.java
@@ -1,13 +1,13 @@
 package granitefold.net.checks;
 
-import granitefold.net.LoopConnection;
+import granitefold.net.NonBlockingConnection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 
 /** A connection to a check listener. The listener bounds its lifetime, this class the bytes that it may send. */
-abstract class CheckConnection extends LoopConnection {
+abstract class CheckConnection extends NonBlockingConnection {
     private static final int BUFFER_BYTES = 1024;
     /** Total number of bytes that a client may send before the connection is closed. */
     private static final int MAX_RECEIVED_BYTES = 64 * 1024;
--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -1,17 +1,17 @@
 package granitefold.net.checks;
 
-import granitefold.availability.Standing;
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.AvailabilityStatus;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 import granitefold.core.Phase;
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Insight;
-import granitefold.net.Listeners;
-import granitefold.net.Loop;
-import granitefold.net.Sockets;
-import granitefold.operator.Operator;
+import granitefold.net.StatusReporter;
+import granitefold.net.SocketOpener;
+import granitefold.net.EventLoop;
+import granitefold.net.SelectorThread;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
 import granitefold.wire.InvalidInputException;
@@ -28,18 +28,18 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** The check listeners of one dispatcher (agent-check, HTTP, control socket), on a thread of their own. */
-public final class CheckEndpoints implements Sockets.Host {
+public final class CheckEndpoints implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 256;
     /** Age of the published state from which the event loop, which publishes several times a second, counts as stalled. */
     private static final long STALLED_AFTER_US = 2_000_000;
     private static final long SWEEP_MS = 10, IDLE_MS = 1000;
-    private static final Operator.Bounds CONTROL_BOUNDS = new Operator.Bounds(8, 1000, 5_000_000);
+    private static final OperatorSettings.ListenerLimits CONTROL_BOUNDS = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
 
     private final String name;
-    private final Loop loop;
-    private final Insight insight;
-    private final Sockets sockets = new Sockets("checks", this);
-    private volatile Operator operator;
+    private final EventLoop loop;
+    private final StatusReporter insight;
+    private final SelectorThread sockets = new SelectorThread("checks", this);
+    private volatile OperatorSettings operator;
     private volatile CheckListener agent;
     private volatile CheckListener http;
     private volatile CheckListener control;
@@ -52,11 +52,11 @@
     private boolean wasTakenOut;
 
     /** Creates the endpoints of the dispatcher {@code name}. */
-    public CheckEndpoints(String name, Loop loop, Operator operator) {
+    public CheckEndpoints(String name, EventLoop loop, OperatorSettings operator) {
         this.name = name;
         this.loop = loop;
         this.operator = operator;
-        insight = loop.insight();
+        insight = loop.statusReporter();
     }
 
     /** Opens the configured endpoints; throws {@link InvalidInputException} if an address or socket cannot be opened. */
@@ -97,13 +97,13 @@
 
     private static ServerSocketChannel bind(String key, InetSocketAddress address) {
         try {
-            return Listeners.tcp(address, BACKLOG, false);
+            return SocketOpener.openTcpListener(address, BACKLOG, false);
         } catch (IOException e) {
             throw new InvalidInputException(key + ": cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
     }
 
-    private CheckListener checkListener(String kind, ServerSocketChannel listener, Operator.Bounds bounds,
+    private CheckListener checkListener(String kind, ServerSocketChannel listener, OperatorSettings.ListenerLimits bounds,
             BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
         CheckListener checkListener = new CheckListener(kind, listener, bounds, sockets, this::sweepSoon, factory);
         checkListener.listen();
@@ -115,20 +115,20 @@
         return checkListener;
     }
 
-    private CheckListener agent(ServerSocketChannel listener, Operator.Agent settings) {
-        return checkListener("agent", listener, settings.bounds(), (e, f) -> new AgentConnection(e, f, agentLine()));
+    private CheckListener agent(ServerSocketChannel listener, OperatorSettings.Agent settings) {
+        return checkListener("agent", listener, settings.limits(), (e, f) -> new AgentConnection(e, f, agentLine()));
     }
 
-    private CheckListener http(ServerSocketChannel listener, Operator.Http settings) {
-        return checkListener("http", listener, settings.bounds(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
+    private CheckListener http(ServerSocketChannel listener, OperatorSettings.Http settings) {
+        return checkListener("http", listener, settings.limits(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
     }
 
     /**
      * Applies changed settings. A new address is bound before the old listener is closed; if that fails, the old listener
      * stays. May be called from any thread except that of the checks.
      */
-    public synchronized void reload(Operator next) {
-        Operator previous = operator;
+    public synchronized void reload(OperatorSettings next) {
+        OperatorSettings previous = operator;
         operator = next;
         agent = reconfigure("agent", agent, previous.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
                 previous.agent() == null ? null : previous.agent().listen(), l -> agent(l, next.agent()));
@@ -181,13 +181,13 @@
 
     // ---------------------------------------------------------------- time
     @Override
-    public long untilWake() {
+    public long millisUntilTimer() {
         return Math.max(0, (sweepAt - System.nanoTime() + 999_999) / 1_000_000);
     }
 
     @Override
-    public void wake() {
-        if (untilWake() <= 0) {
+    public void onTimer() {
+        if (millisUntilTimer() <= 0) {
             boolean busy = false;
             for (CheckListener listener : new CheckListener[] {agent, http, control}) {
                 busy |= listener != null && listener.sweep();
@@ -202,29 +202,29 @@
     }
 
     // ---------------------------------------------------------------- answers to checks
-    private Insight.Published published() {
+    private StatusReporter.PublishedReport published() {
         return insight.published();
     }
 
-    private static boolean stalled(Insight.Published latest) {
+    private static boolean stalled(StatusReporter.PublishedReport latest) {
         return latest != null && latest.ageUs() > STALLED_AFTER_US;
     }
 
     /** Begins a period in which answers to agent checks include {@code ready}. */
     private void announceReady() {
-        readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().readyUs() * 1000);
+        readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().announceReadyUs() * 1000);
     }
 
     private byte[] agentLine() {
-        Insight.Published latest = published();
+        StatusReporter.PublishedReport latest = published();
         if (latest == null) {
             return AgentLine.starting();
         }
         if (stalled(latest)) {
             return AgentLine.silent();
         }
-        Verdict verdict = latest.report().verdict();
-        boolean takenOut = verdict.standing() == Standing.DRAINING || verdict.standing() == Standing.MAINT;
+        AvailabilityReport verdict = latest.report().verdict();
+        boolean takenOut = verdict.status() == AvailabilityStatus.DRAINING || verdict.status() == AvailabilityStatus.MAINT;
         if (wasTakenOut && !takenOut) {
             // Every balancer must learn that the drain was revoked, also those that poll rarely.
             announceReady();
@@ -237,7 +237,7 @@
         int queryAt = target.indexOf('?');
         String path = queryAt < 0 ? target : target.substring(0, queryAt);
         boolean verbose = queryAt >= 0 && java.util.Arrays.asList(target.substring(queryAt + 1).split("&")).contains("verbose");
-        Insight.Published latest = published();
+        StatusReporter.PublishedReport latest = published();
         return switch (path) {
             case "/livez" -> text(stalled(latest) ? 503 : 200, stalled(latest) ? "the loop is silent\n" : "ok\n", HttpFields.EMPTY);
             case "/readyz" -> readiness(latest, verbose);
@@ -256,25 +256,25 @@
      * Answers 200 if the dispatcher accepts new traffic, 404 (or the configured status) while it drains or is in
      * maintenance, for HAProxy's {@code http-check disable-on-404}, else 503. Other balancers ignore the Envoy headers.
      */
-    private HttpCheckConnection.Answer readiness(Insight.Published latest, boolean verbose) {
-        Report report = latest == null ? null : latest.report();
-        Standing standing = report == null ? Standing.STARTING : report.verdict().standing();
-        boolean takenOut = standing == Standing.DRAINING || standing == Standing.MAINT;
-        int status = stalled(latest) ? 503 : standing.serves() ? 200 : takenOut ? operator.http().drainStatus() : 503;
+    private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport latest, boolean verbose) {
+        StatusReport report = latest == null ? null : latest.report();
+        AvailabilityStatus standing = report == null ? AvailabilityStatus.STARTING : report.verdict().status();
+        boolean takenOut = standing == AvailabilityStatus.DRAINING || standing == AvailabilityStatus.MAINT;
+        int status = stalled(latest) ? 503 : standing.acceptsTraffic() ? 200 : takenOut ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
         if (takenOut) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (standing.serves() && report.verdict().impaired()) {
+        } else if (standing.acceptsTraffic() && report.verdict().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
         String text = standing.name().toLowerCase(Locale.ROOT) + "\n";
         if (verbose && report != null) {
             text = line("loop", !stalled(latest), "silent for " + latest.ageUs() / 1000 + " ms")
                     + line("phase", report.phase() == Phase.SERVING, report.phase().name())
-                    + line("operator", report.wish() == Wish.READY, report.wish().name())
+                    + line("operator", report.requestedMode() == RequestedMode.READY, report.requestedMode().name())
                     + line("discovery", report.confirmed(), "the list is a saved one")
-                    + line("peers", report.ready() > 0, "none is ready")
-                    + line("load", standing != Standing.OVERLOADED, report.verdict().reason())
+                    + line("peers", report.readyWorkers() > 0, "none is ready")
+                    + line("load", standing != AvailabilityStatus.OVERLOADED, report.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
@@ -284,20 +284,20 @@
         return (well ? "[+]" + check + " ok" : "[-]" + check + " failed: " + why) + "\n";
     }
 
-    private byte[] json(Insight.Published latest) {
+    private byte[] json(StatusReporter.PublishedReport latest) {
         return ReportJson.encode(name, latest == null ? null : latest.report(), latest == null ? 0 : latest.ageUs(),
                 stalled(latest));
     }
 
     // ---------------------------------------------------------------- control
     private void command(String command, Consumer<byte[]> reply) {
-        Wish requested = switch (command) {
-            case "drain" -> Wish.DRAIN;
-            case "maint" -> Wish.MAINT;
-            case "ready" -> Wish.READY;
+        RequestedMode requested = switch (command) {
+            case "drain" -> RequestedMode.DRAIN;
+            case "maint" -> RequestedMode.MAINT;
+            case "ready" -> RequestedMode.READY;
             default -> null;
         };
-        Insight.Published latest = published();
+        StatusReporter.PublishedReport latest = published();
         if (command.equals("status")) {
             reply.accept(json(latest));
         } else if (requested == null) {
@@ -307,7 +307,7 @@
         } else {
             EventLog.log(LogEvent.CONTROL, command);
             // Answered after the event loop has applied the command, so that the answer shows its effect.
-            loop.wish(requested, () -> sockets.submit(() -> reply.accept(json(insight.published()))));
+            loop.setOperatorOverride(requested, () -> sockets.submit(() -> reply.accept(json(insight.published()))));
         }
     }
 
--- a/src/main/java/granitefold/net/checks/CheckListener.java
+++ b/src/main/java/granitefold/net/checks/CheckListener.java
@@ -2,8 +2,8 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Sockets;
-import granitefold.operator.Operator.Bounds;
+import granitefold.net.SelectorThread;
+import granitefold.operator.OperatorSettings.ListenerLimits;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.net.StandardSocketOptions;
@@ -20,14 +20,14 @@
  * One listener and its connections, with bounds on their number, rate and lifetime. All methods but the constructor run
  * on the selector thread.
  */
-final class CheckListener implements Sockets.Taking {
+final class CheckListener implements SelectorThread.AcceptHandler {
     /** Burst size of accepted connections, as seconds at the permitted rate. */
     private static final double BURST_S = 0.1;
 
     final String name;
     final ServerSocketChannel listener;
-    private final Bounds bounds;
-    private final Sockets sockets;
+    private final ListenerLimits bounds;
+    private final SelectorThread sockets;
     /** Requests a call of {@link #sweep} soon. */
     private final Runnable sweepSoon;
     private final BiFunction<EndPoint, CheckListener, CheckConnection> factory;
@@ -37,7 +37,7 @@
     private long tokensAt = System.nanoTime();
     private boolean paused;
 
-    CheckListener(String name, ServerSocketChannel listener, Bounds bounds, Sockets sockets,
+    CheckListener(String name, ServerSocketChannel listener, ListenerLimits bounds, SelectorThread sockets,
             Runnable sweepSoon, BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
         this.name = name;
         this.listener = listener;
@@ -53,26 +53,26 @@
     }
 
     private double burst() {
-        return Math.max(1, bounds.perS() * BURST_S);
+        return Math.max(1, bounds.maxConnectionsPerS() * BURST_S);
     }
 
     @Override
-    public boolean ready() {
+    public boolean canAccept() {
         long now = System.nanoTime();
-        tokens = Math.min(burst(), tokens + (now - tokensAt) / 1e9 * bounds.perS());
+        tokens = Math.min(burst(), tokens + (now - tokensAt) / 1e9 * bounds.maxConnectionsPerS());
         tokensAt = now;
         if (tokens < 1 && !paused) {
             paused = true;
-            sockets.pause(listener, true);
+            sockets.setPaused(listener, true);
             sweepSoon.run();
         }
         return tokens >= 1;
     }
 
     @Override
-    public void take(SocketChannel channel) throws IOException {
+    public void onAccepted(SocketChannel channel) throws IOException {
         tokens--;
-        if (open.size() >= bounds.connections()) {
+        if (open.size() >= bounds.maxConnections()) {
             // The oldest connection has had the most time to be answered.
             Iterator<CheckConnection> oldest = open.keySet().iterator();
             EventLog.log(LogEvent.CHECKS_CONNECTION_EVICTED, name);
@@ -82,7 +82,7 @@
         if (channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         }
-        sockets.accept(channel, new Sockets.Opening() {
+        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
                 CheckConnection connection = factory.apply(endPoint, CheckListener.this);
@@ -116,9 +116,9 @@
             // close() reports to closed() only if the connection had been opened
             open.remove(connection);
         }
-        if (paused && ready()) {
+        if (paused && canAccept()) {
             paused = false;
-            sockets.pause(listener, false);
+            sockets.setPaused(listener, false);
         }
         return paused || !open.isEmpty();
     }
--- a/src/main/java/granitefold/net/checks/ControlSocket.java
+++ b/src/main/java/granitefold/net/checks/ControlSocket.java
@@ -1,6 +1,6 @@
 package granitefold.net.checks;
 
-import granitefold.net.Listeners;
+import granitefold.net.SocketOpener;
 import java.io.IOException;
 import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
@@ -52,7 +52,7 @@
             directory = Files.createTempDirectory(path.toAbsolutePath().getParent(), ".c",
                     PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
             Path temporaryPath = directory.resolve("s");
-            ServerSocketChannel listener = Listeners.opened(() -> ServerSocketChannel.open(StandardProtocolFamily.UNIX));
+            ServerSocketChannel listener = SocketOpener.openWithRetry(() -> ServerSocketChannel.open(StandardProtocolFamily.UNIX));
             listener.bind(UnixDomainSocketAddress.of(temporaryPath), BACKLOG);
             listener.configureBlocking(false);
             Files.setPosixFilePermissions(temporaryPath, PosixFilePermissions.fromString("rw-------"));
--- a/src/main/java/granitefold/net/checks/OpsEndpoint.java
+++ b/src/main/java/granitefold/net/checks/OpsEndpoint.java
@@ -1,12 +1,12 @@
 package granitefold.net.checks;
 
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Listeners;
-import granitefold.net.Loop;
-import granitefold.net.Sockets;
-import granitefold.operator.Operator;
+import granitefold.net.SocketOpener;
+import granitefold.net.EventLoop;
+import granitefold.net.SelectorThread;
+import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.FiguresJson;
 import granitefold.wire.InvalidInputException;
@@ -22,21 +22,21 @@
  * a thread of its own and reads the figures last published by the event loop, so that neither a busy loop nor many clients
  * delay it.
  */
-public final class OpsEndpoint implements Sockets.Host {
+public final class OpsEndpoint implements SelectorThread.TimerHandler {
     /** A small limit suffices, because new connections replace the oldest ones. */
-    private static final int MAX_CONNECTIONS = Loop.OPS_DESCRIPTORS - 8, MAX_PER_S = 1000, BACKLOG = 256;
+    private static final int MAX_CONNECTIONS = EventLoop.OPS_DESCRIPTORS - 8, MAX_PER_S = 1000, BACKLOG = 256;
     private static final long CONNECTION_TIMEOUT_US = 2_500_000;
     private static final long SWEEP_MS = 20, IDLE_MS = 250;
 
     private final InetSocketAddress address;
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<String> classes;
-    private final Sockets sockets = new Sockets("ops", this);
+    private final SelectorThread sockets = new SelectorThread("ops", this);
     private CheckListener checkListener;
     private long sweepAt = System.nanoTime();
 
     /** Creates the endpoint; {@code classes} are the names of the job classes in the order of the settings. */
-    public OpsEndpoint(InetSocketAddress address, Loop loop, List<String> classes) {
+    public OpsEndpoint(InetSocketAddress address, EventLoop loop, List<String> classes) {
         this.address = address;
         this.loop = loop;
         this.classes = classes;
@@ -47,13 +47,13 @@
         ServerSocketChannel listener;
         InetSocketAddress bound;
         try {
-            listener = Listeners.tcp(address, BACKLOG, false);
+            listener = SocketOpener.openTcpListener(address, BACKLOG, false);
             bound = (InetSocketAddress) listener.getLocalAddress();
         } catch (IOException e) {
             throw new InvalidInputException("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
         sockets.start();
-        checkListener = new CheckListener("ops", listener, new Operator.Bounds(MAX_CONNECTIONS, MAX_PER_S, CONNECTION_TIMEOUT_US),
+        checkListener = new CheckListener("ops", listener, new OperatorSettings.ListenerLimits(MAX_CONNECTIONS, MAX_PER_S, CONNECTION_TIMEOUT_US),
                 sockets, this::sweepSoon, (e, f) -> new CommandConnection(e, f, this::answer));
         checkListener.listen();
         EventLog.log(LogEvent.CHECKS_LISTENING, "ops", Address.text(bound));
@@ -61,15 +61,15 @@
     }
 
     private void answer(String command, Consumer<byte[]> reply) {
-        Figures f = loop.figures();
+        MetricsSnapshot f = loop.figures();
         switch (command) {
-            case "check" -> reply.accept(text(f == null ? "NAK starting" : f.serves() ? "ACK" : "NAK " + loop.standing()));
+            case "check" -> reply.accept(text(f == null ? "NAK starting" : f.ready() ? "ACK" : "NAK " + loop.phaseName()));
             case "vars" -> reply.accept(f == null ? text("NAK starting") : vars(f));
             default -> reply.accept(text("NAK known are check and vars"));
         }
     }
 
-    private byte[] vars(Figures f) {
+    private byte[] vars(MetricsSnapshot f) {
         return text(new String(FiguresJson.encode(f, classes), StandardCharsets.UTF_8) + "\n--");
     }
 
@@ -78,15 +78,15 @@
     }
 
     @Override
-    public long untilWake() {
+    public long millisUntilTimer() {
         return Math.max(0, (sweepAt - System.nanoTime() + 999_999) / 1_000_000);
     }
 
     @Override
-    public void wake() {
-        if (untilWake() <= 0) {
+    public void onTimer() {
+        if (millisUntilTimer() <= 0) {
             // This thread may block on a file. While there are connections, the call is repeated more often.
-            loop.passOn(sockets::submit);
+            loop.answerHandoverRequests(sockets::submit);
             sweepAt = System.nanoTime() + (checkListener != null && checkListener.sweep() ? SWEEP_MS : IDLE_MS) * 1_000_000;
         }
     }
--- a/src/main/java/granitefold/wire/AgentLine.java
+++ b/src/main/java/granitefold/wire/AgentLine.java
@@ -1,6 +1,6 @@
 package granitefold.wire;
 
-import granitefold.availability.Verdict;
+import granitefold.availability.AvailabilityReport;
 import java.nio.charset.StandardCharsets;
 
 /**
@@ -18,13 +18,13 @@
      * Encodes an availability verdict. With {@code ready}, the line also revokes an earlier {@code drain} or {@code maint}.
      * It is not sent permanently, because it would also revoke the state that an operator has set in HAProxy.
      */
-    public static byte[] encode(Verdict verdict, boolean ready) {
-        String keywords = switch (verdict.standing()) {
+    public static byte[] encode(AvailabilityReport verdict, boolean ready) {
+        String keywords = switch (verdict.status()) {
             case STARTING -> "down";
             case DRAINING -> "drain";
             case MAINT -> "maint";
             case STOPPED -> "stopped";
-            default -> (ready ? "ready " : "") + "up " + verdict.weight() + "% maxconn:" + verdict.connections();
+            default -> (ready ? "ready " : "") + "up " + verdict.weightPercent() + "% maxconn:" + verdict.maxConnections();
         };
         return line(keywords, verdict.reason());
     }
--- a/src/main/java/granitefold/wire/Config.java
+++ b/src/main/java/granitefold/wire/Config.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonStreamContext;
 import com.fasterxml.jackson.core.JsonToken;
 import granitefold.core.WorkerList;
-import granitefold.state.Places;
+import granitefold.state.StateIndexMapping;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -30,8 +30,8 @@
     private static final String OPS_VARIABLE = "LB_OPS";
 
     /** Returns the names behind the indexes in the settings, which a state file refers to. */
-    public Places settingsIndexes() {
-        return new Places(name, namedSettings.key(), namedSettings.settings().me(), namedSettings.settings().siblings(),
+    public StateIndexMapping settingsIndexes() {
+        return new StateIndexMapping(name, namedSettings.key(), namedSettings.settings().selfIndex(), namedSettings.settings().siblings(),
                 NamedSettings.names(namedSettings.tenants()), NamedSettings.names(namedSettings.hostTypes()));
     }
 
@@ -158,7 +158,7 @@
             throw new InvalidInputException("the configuration needs listen and discovery");
         }
         return new Config(name, listen, discovery, seed, sockets,
-                namedSettings.settings().limits().siblings() ? siblingAddress : null, List.copyOf(siblings), initialWorkers,
+                namedSettings.settings().limits().siblingMessages() ? siblingAddress : null, List.copyOf(siblings), initialWorkers,
                 namedSettings, settingsReader.connectTimeoutUs(), settingsReader.idleCloseUs(), cores > 0 ? cores : 1,
                 settingsReader.probing(), ops);
     }
--- a/src/main/java/granitefold/wire/FiguresJson.java
+++ b/src/main/java/granitefold/wire/FiguresJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,13 +15,13 @@
     private FiguresJson() { }
 
     /** Encodes the figures; {@code classes} are the names of the job classes in the order of the settings. */
-    public static byte[] encode(Figures figures, List<String> classes) {
+    public static byte[] encode(MetricsSnapshot figures, List<String> classes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
         try (JsonGenerator generator = JSON.createGenerator(out)) {
             generator.writeStartObject();
             generator.writeObjectFieldStart("replies");
             for (int i = 0; i < classes.size(); i++) {
-                Figures.Replies counts = figures.replies().get(i);
+                MetricsSnapshot.Replies counts = figures.replies().get(i);
                 generator.writeObjectFieldStart(classes.get(i));
                 generator.writeNumberField("success", counts.success());
                 generator.writeNumberField("overload", counts.overload());
--- a/src/main/java/granitefold/wire/LoadMetrics.java
+++ b/src/main/java/granitefold/wire/LoadMetrics.java
@@ -1,6 +1,6 @@
 package granitefold.wire;
 
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import java.util.Locale;
 
 /**
@@ -14,10 +14,10 @@
      * Returns the header value. Utilizations are fractions (that of the CPU may exceed 1); {@code rps_fractional} and
      * {@code eps} are rates per second.
      */
-    public static String text(Report report) {
+    public static String text(StatusReport report) {
         return String.format(Locale.ROOT, "TEXT cpu_utilization=%.3f, mem_utilization=%.3f, application_utilization=%.3f,"
                 + " rps_fractional=%.1f, eps=%.1f, named_metrics.weight=%d, named_metrics.owed=%d",
-                Math.max(0, report.resources().cpuShare()), report.resources().heapShare(), report.waits(), report.perS(),
-                report.perS() * report.rejectShare(), report.verdict().weight(), report.owed());
+                Math.max(0, report.resources().cpuShare()), report.resources().heapShare(), report.waitRatio(), report.answersPerSecond(),
+                report.answersPerSecond() * report.rejectShare(), report.verdict().weightPercent(), report.owed());
     }
 }
--- a/src/main/java/granitefold/wire/ReportJson.java
+++ b/src/main/java/granitefold/wire/ReportJson.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import granitefold.core.Report;
+import granitefold.core.StatusReport;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -17,37 +17,37 @@
     private ReportJson() { }
 
     /** Encodes a report published {@code ageUs} ago; {@code silent} if the event loop has stopped publishing. */
-    public static byte[] encode(String name, Report report, long ageUs, boolean silent) {
+    public static byte[] encode(String name, StatusReport report, long ageUs, boolean silent) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
         try (JsonGenerator generator = JSON.createGenerator(out)) {
             generator.writeStartObject();
             generator.writeNumberField("version", VERSION);
             generator.writeStringField("name", name);
-            generator.writeStringField("standing", silent ? "SILENT" : report == null ? "STARTING" : report.verdict().standing().name());
+            generator.writeStringField("standing", silent ? "SILENT" : report == null ? "STARTING" : report.verdict().status().name());
             if (report != null) {
-                generator.writeNumberField("weight", silent ? 0 : report.verdict().weight());
-                generator.writeNumberField("maxconn", silent ? 0 : report.verdict().connections());
+                generator.writeNumberField("weight", silent ? 0 : report.verdict().weightPercent());
+                generator.writeNumberField("maxconn", silent ? 0 : report.verdict().maxConnections());
                 generator.writeStringField("reason", silent ? "the loop is silent" : report.verdict().reason());
                 generator.writeBooleanField("impaired", report.verdict().impaired());
                 generator.writeStringField("phase", report.phase().name());
-                generator.writeStringField("wish", report.wish().name());
+                generator.writeStringField("wish", report.requestedMode().name());
                 generator.writeNumberField("owed", report.owed());
                 generator.writeNumberField("clients", report.clients());
                 generator.writeObjectFieldStart("peers");
-                generator.writeNumberField("ready", report.ready());
-                generator.writeNumberField("down", report.down());
+                generator.writeNumberField("ready", report.readyWorkers());
+                generator.writeNumberField("down", report.downWorkers());
                 generator.writeBooleanField("panic", report.panic());
                 generator.writeEndObject();
                 generator.writeObjectFieldStart("list");
                 generator.writeNumberField("version", report.listVersion());
                 generator.writeBooleanField("confirmed", report.confirmed());
                 generator.writeNumberField("age_ms", report.listAgeUs() / US_PER_MS);
-                generator.writeNumberField("silent_ms", report.silentUs() / US_PER_MS);
+                generator.writeNumberField("silent_ms", report.watchSilentUs() / US_PER_MS);
                 generator.writeEndObject();
                 generator.writeObjectFieldStart("load");
-                generator.writeNumberField("wait", report.waits());
+                generator.writeNumberField("wait", report.waitRatio());
                 generator.writeNumberField("reject_share", report.rejectShare());
-                generator.writeNumberField("per_s", report.perS());
+                generator.writeNumberField("per_s", report.answersPerSecond());
                 generator.writeNumberField("heap", report.resources().heapShare());
                 generator.writeNumberField("descriptors", report.resources().descriptorShare());
                 generator.writeNumberField("cpu", report.resources().cpuShare());
@@ -58,7 +58,7 @@
                 generator.writeNumberField("rejected", report.rejected());
                 generator.writeNumberField("failed", report.failed());
                 generator.writeEndObject();
-                generator.writeNumberField("up_ms", report.sinceStartUs() / US_PER_MS);
+                generator.writeNumberField("up_ms", report.uptimeUs() / US_PER_MS);
                 generator.writeNumberField("age_ms", ageUs / US_PER_MS);
             }
             generator.writeEndObject();
