--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -1,21 +1,21 @@
 package granitefold.net.checks;
 
-import granitefold.availability.AvailabilityStatus;
 import granitefold.availability.AvailabilityReport;
+import granitefold.availability.AvailabilityStatus;
 import granitefold.availability.RequestedMode;
 import granitefold.core.Phase;
 import granitefold.core.StatusReport;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.StatusReporter;
-import granitefold.net.SocketOpener;
 import granitefold.net.EventLoop;
 import granitefold.net.SelectorThread;
+import granitefold.net.SocketOpener;
+import granitefold.net.StatusReporter;
 import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
 import granitefold.wire.InvalidInputException;
-import granitefold.wire.ReportJson;
+import granitefold.wire.StatusReportJson;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -33,12 +33,12 @@
     /** Age of the published state from which the event loop, which publishes several times a second, counts as stalled. */
     private static final long STALLED_AFTER_US = 2_000_000;
     private static final long SWEEP_MS = 10, IDLE_MS = 1000;
-    private static final OperatorSettings.ListenerLimits CONTROL_BOUNDS = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
+    private static final OperatorSettings.ListenerLimits CONTROL_LIMITS = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
 
     private final String name;
     private final EventLoop loop;
-    private final StatusReporter insight;
-    private final SelectorThread sockets = new SelectorThread("checks", this);
+    private final StatusReporter statusReporter;
+    private final SelectorThread selector = new SelectorThread("checks", this);
     private volatile OperatorSettings operator;
     private volatile CheckListener agent;
     private volatile CheckListener http;
@@ -56,7 +56,7 @@
         this.name = name;
         this.loop = loop;
         this.operator = operator;
-        insight = loop.statusReporter();
+        statusReporter = loop.statusReporter();
     }
 
     /** Opens the configured endpoints; throws {@link InvalidInputException} if an address or socket cannot be opened. */
@@ -76,12 +76,12 @@
                 throw new InvalidInputException("control.socket: " + operator.control().socket() + ": " + e.getMessage());
             }
         }
-        sockets.start();
+        selector.start();
         announceReady();
         agent = agentListener == null ? null : agent(agentListener, operator.agent());
         http = httpListener == null ? null : http(httpListener, operator.http());
         if (socket != null) {
-            control = new CheckListener("control", socket.listener, CONTROL_BOUNDS, sockets, this::sweepSoon,
+            control = new CheckListener("control", socket.listener, CONTROL_LIMITS, selector, this::sweepSoon,
                     (e, f) -> new CommandConnection(e, f, this::command));
             control.listen();
             EventLog.log(LogEvent.CHECKS_LISTENING, "control", operator.control().socket());
@@ -103,9 +103,9 @@
         }
     }
 
-    private CheckListener checkListener(String kind, ServerSocketChannel listener, OperatorSettings.ListenerLimits bounds,
+    private CheckListener checkListener(String kind, ServerSocketChannel listener, OperatorSettings.ListenerLimits limits,
             BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
-        CheckListener checkListener = new CheckListener(kind, listener, bounds, sockets, this::sweepSoon, factory);
+        CheckListener checkListener = new CheckListener(kind, listener, limits, selector, this::sweepSoon, factory);
         checkListener.listen();
         try {
             EventLog.log(LogEvent.CHECKS_LISTENING, kind, Address.text((InetSocketAddress) listener.getLocalAddress()));
@@ -143,18 +143,18 @@
             return current;
         }
         if (newSettings == null) {
-            sockets.submit(current::close);
+            selector.submit(current::close);
             return null;
         }
         if (current != null && address.equals(previous)) {
             // Only the bounds have changed; the address must be free before it is bound again.
-            sockets.submit(current::close);
+            selector.submit(current::close);
             return reopen(kind, address, opener);
         }
         try {
             CheckListener replacement = opener.apply(bind("checks." + kind + ".listen", address));
             if (current != null) {
-                sockets.submit(current::close);
+                selector.submit(current::close);
             }
             return replacement;
         } catch (InvalidInputException e) {
@@ -167,7 +167,7 @@
             java.util.function.Function<ServerSocketChannel, CheckListener> opener) {
         // The selector thread closes the old listener in its next cycle.
         java.util.concurrent.CountDownLatch cycleDone = new java.util.concurrent.CountDownLatch(1);
-        sockets.submit(() -> sockets.submit(cycleDone::countDown));
+        selector.submit(() -> selector.submit(cycleDone::countDown));
         try {
             cycleDone.await(1, java.util.concurrent.TimeUnit.SECONDS);
             return opener.apply(bind("checks." + kind + ".listen", address));
@@ -203,7 +203,7 @@
 
     // ---------------------------------------------------------------- answers to checks
     private StatusReporter.PublishedReport published() {
-        return insight.published();
+        return statusReporter.published();
     }
 
     private static boolean stalled(StatusReporter.PublishedReport latest) {
@@ -258,23 +258,23 @@
      */
     private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport latest, boolean verbose) {
         StatusReport report = latest == null ? null : latest.report();
-        AvailabilityStatus standing = report == null ? AvailabilityStatus.STARTING : report.verdict().status();
-        boolean takenOut = standing == AvailabilityStatus.DRAINING || standing == AvailabilityStatus.MAINT;
-        int status = stalled(latest) ? 503 : standing.acceptsTraffic() ? 200 : takenOut ? operator.http().drainStatus() : 503;
+        AvailabilityStatus availability = report == null ? AvailabilityStatus.STARTING : report.verdict().status();
+        boolean takenOut = availability == AvailabilityStatus.DRAINING || availability == AvailabilityStatus.MAINT;
+        int status = stalled(latest) ? 503 : availability.acceptsTraffic() ? 200 : takenOut ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
         if (takenOut) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (standing.acceptsTraffic() && report.verdict().impaired()) {
+        } else if (availability.acceptsTraffic() && report.verdict().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
-        String text = standing.name().toLowerCase(Locale.ROOT) + "\n";
+        String text = availability.name().toLowerCase(Locale.ROOT) + "\n";
         if (verbose && report != null) {
             text = line("loop", !stalled(latest), "silent for " + latest.ageUs() / 1000 + " ms")
                     + line("phase", report.phase() == Phase.SERVING, report.phase().name())
                     + line("operator", report.requestedMode() == RequestedMode.READY, report.requestedMode().name())
                     + line("discovery", report.confirmed(), "the list is a saved one")
                     + line("peers", report.readyWorkers() > 0, "none is ready")
-                    + line("load", standing != AvailabilityStatus.OVERLOADED, report.verdict().reason())
+                    + line("load", availability != AvailabilityStatus.OVERLOADED, report.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
@@ -285,7 +285,7 @@
     }
 
     private byte[] json(StatusReporter.PublishedReport latest) {
-        return ReportJson.encode(name, latest == null ? null : latest.report(), latest == null ? 0 : latest.ageUs(),
+        return StatusReportJson.encode(name, latest == null ? null : latest.report(), latest == null ? 0 : latest.ageUs(),
                 stalled(latest));
     }
 
@@ -307,7 +307,7 @@
         } else {
             EventLog.log(LogEvent.CONTROL, command);
             // Answered after the event loop has applied the command, so that the answer shows its effect.
-            loop.setOperatorOverride(requested, () -> sockets.submit(() -> reply.accept(json(insight.published()))));
+            loop.setOperatorOverride(requested, () -> selector.submit(() -> reply.accept(json(statusReporter.published()))));
         }
     }
 
--- a/src/main/java/granitefold/net/checks/CheckListener.java
+++ b/src/main/java/granitefold/net/checks/CheckListener.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * One listener and its connections, with bounds on their number, rate and lifetime. All methods but the constructor run
+ * One listener and its connections, with limits on their number, rate and lifetime. All methods but the constructor run
  * on the selector thread.
  */
 final class CheckListener implements SelectorThread.AcceptHandler {
@@ -26,8 +26,8 @@
 
     final String name;
     final ServerSocketChannel listener;
-    private final ListenerLimits bounds;
-    private final SelectorThread sockets;
+    private final ListenerLimits limits;
+    private final SelectorThread selector;
     /** Requests a call of {@link #sweep} soon. */
     private final Runnable sweepSoon;
     private final BiFunction<EndPoint, CheckListener, CheckConnection> factory;
@@ -37,33 +37,33 @@
     private long tokensAt = System.nanoTime();
     private boolean paused;
 
-    CheckListener(String name, ServerSocketChannel listener, ListenerLimits bounds, SelectorThread sockets,
+    CheckListener(String name, ServerSocketChannel listener, ListenerLimits limits, SelectorThread selector,
             Runnable sweepSoon, BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
         this.name = name;
         this.listener = listener;
-        this.bounds = bounds;
-        this.sockets = sockets;
+        this.limits = limits;
+        this.selector = selector;
         this.sweepSoon = sweepSoon;
         this.factory = factory;
         tokens = burst();
     }
 
     void listen() {
-        sockets.listen(listener, this);
+        selector.listen(listener, this);
     }
 
     private double burst() {
-        return Math.max(1, bounds.maxConnectionsPerS() * BURST_S);
+        return Math.max(1, limits.maxConnectionsPerS() * BURST_S);
     }
 
     @Override
     public boolean canAccept() {
         long now = System.nanoTime();
-        tokens = Math.min(burst(), tokens + (now - tokensAt) / 1e9 * bounds.maxConnectionsPerS());
+        tokens = Math.min(burst(), tokens + (now - tokensAt) / 1e9 * limits.maxConnectionsPerS());
         tokensAt = now;
         if (tokens < 1 && !paused) {
             paused = true;
-            sockets.setPaused(listener, true);
+            selector.setPaused(listener, true);
             sweepSoon.run();
         }
         return tokens >= 1;
@@ -72,7 +72,7 @@
     @Override
     public void onAccepted(SocketChannel channel) throws IOException {
         tokens--;
-        if (open.size() >= bounds.maxConnections()) {
+        if (open.size() >= limits.maxConnections()) {
             // The oldest connection has had the most time to be answered.
             Iterator<CheckConnection> oldest = open.keySet().iterator();
             EventLog.log(LogEvent.CHECKS_CONNECTION_EVICTED, name);
@@ -82,11 +82,11 @@
         if (channel.supportedOptions().contains(StandardSocketOptions.TCP_NODELAY)) {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         }
-        sockets.accept(channel, new SelectorThread.ConnectionHandler() {
+        selector.accept(channel, new SelectorThread.ConnectionHandler() {
             @Override
             public Connection opened(EndPoint endPoint) {
                 CheckConnection connection = factory.apply(endPoint, CheckListener.this);
-                open.put(connection, System.nanoTime() + bounds.timeoutUs() * 1000);
+                open.put(connection, System.nanoTime() + limits.timeoutUs() * 1000);
                 sweepSoon.run();
                 return connection;
             }
@@ -118,7 +118,7 @@
         }
         if (paused && canAccept()) {
             paused = false;
-            sockets.setPaused(listener, false);
+            selector.setPaused(listener, false);
         }
         return paused || !open.isEmpty();
     }
--- a/src/main/java/granitefold/net/checks/OpsEndpoint.java
+++ b/src/main/java/granitefold/net/checks/OpsEndpoint.java
@@ -3,13 +3,13 @@
 import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.SocketOpener;
 import granitefold.net.EventLoop;
 import granitefold.net.SelectorThread;
+import granitefold.net.SocketOpener;
 import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
-import granitefold.wire.FiguresJson;
 import granitefold.wire.InvalidInputException;
+import granitefold.wire.MetricsJson;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -19,7 +19,7 @@
 
 /**
  * The operations address, where staff and the platform query the state of this process: one line in, one answer out. It has
- * a thread of its own and reads the figures last published by the event loop, so that neither a busy loop nor many clients
+ * a thread of its own and reads the metrics last published by the event loop, so that neither a busy loop nor many clients
  * delay it.
  */
 public final class OpsEndpoint implements SelectorThread.TimerHandler {
@@ -31,7 +31,7 @@
     private final InetSocketAddress address;
     private final EventLoop loop;
     private final List<String> classes;
-    private final SelectorThread sockets = new SelectorThread("ops", this);
+    private final SelectorThread selector = new SelectorThread("ops", this);
     private CheckListener checkListener;
     private long sweepAt = System.nanoTime();
 
@@ -52,25 +52,27 @@
         } catch (IOException e) {
             throw new InvalidInputException("ops: cannot listen on " + Address.text(address) + ": " + e.getMessage());
         }
-        sockets.start();
-        checkListener = new CheckListener("ops", listener, new OperatorSettings.ListenerLimits(MAX_CONNECTIONS, MAX_PER_S, CONNECTION_TIMEOUT_US),
-                sockets, this::sweepSoon, (e, f) -> new CommandConnection(e, f, this::answer));
+        selector.start();
+        checkListener = new CheckListener("ops", listener,
+                new OperatorSettings.ListenerLimits(MAX_CONNECTIONS, MAX_PER_S, CONNECTION_TIMEOUT_US), selector, this::sweepSoon,
+                (e, f) -> new CommandConnection(e, f, this::answer));
         checkListener.listen();
         EventLog.log(LogEvent.CHECKS_LISTENING, "ops", Address.text(bound));
         return bound;
     }
 
     private void answer(String command, Consumer<byte[]> reply) {
-        MetricsSnapshot f = loop.figures();
+        MetricsSnapshot metrics = loop.figures();
         switch (command) {
-            case "check" -> reply.accept(text(f == null ? "NAK starting" : f.ready() ? "ACK" : "NAK " + loop.phaseName()));
-            case "vars" -> reply.accept(f == null ? text("NAK starting") : vars(f));
+            case "check" -> reply.accept(text(metrics == null ? "NAK starting" : metrics.ready() ? "ACK"
+                    : "NAK " + loop.phaseName()));
+            case "vars" -> reply.accept(metrics == null ? text("NAK starting") : vars(metrics));
             default -> reply.accept(text("NAK known are check and vars"));
         }
     }
 
-    private byte[] vars(MetricsSnapshot f) {
-        return text(new String(FiguresJson.encode(f, classes), StandardCharsets.UTF_8) + "\n--");
+    private byte[] vars(MetricsSnapshot metrics) {
+        return text(new String(MetricsJson.encode(metrics, classes), StandardCharsets.UTF_8) + "\n--");
     }
 
     private static byte[] text(String text) {
@@ -86,7 +88,7 @@
     public void onTimer() {
         if (millisUntilTimer() <= 0) {
             // This thread may block on a file. While there are connections, the call is repeated more often.
-            loop.answerHandoverRequests(sockets::submit);
+            loop.answerHandoverRequests(selector::submit);
             sweepAt = System.nanoTime() + (checkListener != null && checkListener.sweep() ? SWEEP_MS : IDLE_MS) * 1_000_000;
         }
     }
--- a/src/main/java/granitefold/wire/AgentLine.java
+++ b/src/main/java/granitefold/wire/AgentLine.java
@@ -15,18 +15,18 @@
     private AgentLine() { }
 
     /**
-     * Encodes an availability verdict. With {@code ready}, the line also revokes an earlier {@code drain} or {@code maint}.
+     * Encodes an availability report. With {@code ready}, the line also revokes an earlier {@code drain} or {@code maint}.
      * It is not sent permanently, because it would also revoke the state that an operator has set in HAProxy.
      */
-    public static byte[] encode(AvailabilityReport verdict, boolean ready) {
-        String keywords = switch (verdict.status()) {
+    public static byte[] encode(AvailabilityReport availability, boolean ready) {
+        String keywords = switch (availability.status()) {
             case STARTING -> "down";
             case DRAINING -> "drain";
             case MAINT -> "maint";
             case STOPPED -> "stopped";
-            default -> (ready ? "ready " : "") + "up " + verdict.weightPercent() + "% maxconn:" + verdict.maxConnections();
+            default -> (ready ? "ready " : "") + "up " + availability.weightPercent() + "% maxconn:" + availability.maxConnections();
         };
-        return line(keywords, verdict.reason());
+        return line(keywords, availability.reason());
     }
 
     /** Returns the line for an event loop that has stopped publishing its state, so that the last state may be stale. */
--- a/src/main/java/granitefold/wire/FiguresJson.java
+++ b/src/main/java/granitefold/wire/MetricsJson.java
@@ -8,20 +8,20 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 
-/** Encodes a dispatcher's figures as one JSON object on one line. */
-public final class FiguresJson {
+/** Encodes a snapshot of the dispatcher's metrics as one JSON object on one line. */
+public final class MetricsJson {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private FiguresJson() { }
+    private MetricsJson() { }
 
-    /** Encodes the figures; {@code classes} are the names of the job classes in the order of the settings. */
-    public static byte[] encode(MetricsSnapshot figures, List<String> classes) {
+    /** Encodes the snapshot; {@code classes} are the names of the job classes in the order of the settings. */
+    public static byte[] encode(MetricsSnapshot metrics, List<String> classes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
         try (JsonGenerator generator = JSON.createGenerator(out)) {
             generator.writeStartObject();
             generator.writeObjectFieldStart("replies");
             for (int i = 0; i < classes.size(); i++) {
-                MetricsSnapshot.Replies counts = figures.replies().get(i);
+                MetricsSnapshot.Replies counts = metrics.replies().get(i);
                 generator.writeObjectFieldStart(classes.get(i));
                 generator.writeNumberField("success", counts.success());
                 generator.writeNumberField("overload", counts.overload());
@@ -29,10 +29,10 @@
                 generator.writeEndObject();
             }
             generator.writeEndObject();
-            generator.writeNumberField("dispatches", figures.dispatches());
-            generator.writeNumberField("concurrent", figures.concurrent());
-            generator.writeNumberField("targets", figures.targets());
-            generator.writeNumberField("targets_disabled", figures.targetsDisabled());
+            generator.writeNumberField("dispatches", metrics.dispatches());
+            generator.writeNumberField("concurrent", metrics.concurrent());
+            generator.writeNumberField("targets", metrics.targets());
+            generator.writeNumberField("targets_disabled", metrics.targetsDisabled());
             generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/granitefold/wire/ReportJson.java
+++ b/src/main/java/granitefold/wire/StatusReportJson.java
@@ -8,13 +8,13 @@
 import java.io.UncheckedIOException;
 
 /** Encodes a report as one JSON object on one line. */
-public final class ReportJson {
+public final class StatusReportJson {
     /** Version of the format. It is raised when a field changes its meaning, not when a field is added. */
     public static final int VERSION = 1;
     private static final JsonFactory JSON = new JsonFactory();
     private static final double US_PER_MS = 1000;
 
-    private ReportJson() { }
+    private StatusReportJson() { }
 
     /** Encodes a report published {@code ageUs} ago; {@code silent} if the event loop has stopped publishing. */
     public static byte[] encode(String name, StatusReport report, long ageUs, boolean silent) {
