--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -1,21 +1,21 @@
 package granitefold.net.checks;
 
-import granitefold.availability.AvailabilityStatus;
 import granitefold.availability.AvailabilityReport;
+import granitefold.availability.AvailabilityStatus;
 import granitefold.availability.RequestedMode;
 import granitefold.core.Phase;
 import granitefold.core.StatusReport;
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.StatusReporter;
-import granitefold.net.SocketOpener;
 import granitefold.net.EventLoop;
 import granitefold.net.SelectorThread;
+import granitefold.net.SocketOpener;
+import granitefold.net.StatusReporter;
 import granitefold.operator.OperatorSettings;
 import granitefold.wire.Address;
 import granitefold.wire.AgentLine;
 import granitefold.wire.InvalidInputException;
-import granitefold.wire.ReportJson;
+import granitefold.wire.StatusReportJson;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -27,38 +27,39 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.EndPoint;
 
-/** The check fronts of one dispatcher, on a thread of their own. */
+/** The check listeners of one dispatcher (agent-check, HTTP, control socket), on a thread of their own. */
 public final class CheckEndpoints implements SelectorThread.TimerHandler {
     private static final int BACKLOG = 256;
-    /** The loop publishes several times a second; after this much silence nothing that it said counts. */
-    private static final long SILENT_US = 2_000_000;
+    /** Age of the published state from which the event loop, which publishes several times a second, counts as stalled. */
+    private static final long STALLED_AFTER_US = 2_000_000;
     private static final long SWEEP_MS = 10, IDLE_MS = 1000;
-    private static final OperatorSettings.ListenerLimits CONTROL = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
+    private static final OperatorSettings.ListenerLimits CONTROL_LIMITS = new OperatorSettings.ListenerLimits(8, 1000, 5_000_000);
 
     private final String name;
     private final EventLoop loop;
-    private final StatusReporter insight;
-    private final SelectorThread sockets = new SelectorThread("checks", this);
+    private final StatusReporter statusReporter;
+    private final SelectorThread selector = new SelectorThread("checks", this);
     private volatile OperatorSettings operator;
-    private volatile Front agent;
-    private volatile Front http;
-    private volatile Front control;
+    private volatile CheckListener agent;
+    private volatile CheckListener http;
+    private volatile CheckListener control;
     private ControlSocket socket;
-    /** When to look after time limits and paused listeners next ({@link System#nanoTime}). */
+    /** Time of the next check of time limits and paused listeners ({@link System#nanoTime}). */
     private long sweepAt = System.nanoTime();
-    /** Until then {@code ready} is said to agents; whether a drain or maint was said since the last time. */
+    /** Until this time, answers to agent checks include {@code ready}. */
     private long readyUntil;
-    private boolean away;
+    /** Whether the last answer to an agent check was drain or maint. */
+    private boolean wasTakenOut;
 
-    /** {@code name}: the dispatcher's. */
+    /** Creates the endpoints of the dispatcher {@code name}. */
     public CheckEndpoints(String name, EventLoop loop, OperatorSettings operator) {
         this.name = name;
         this.loop = loop;
         this.operator = operator;
-        insight = loop.statusReporter();
+        statusReporter = loop.statusReporter();
     }
 
-    /** Opens what the operator has set; an address or a socket that can't be had is told by {@link InvalidInputException}. */
+    /** Opens the configured endpoints; throws {@link InvalidInputException} if an address or socket cannot be opened. */
     public void start() throws Exception {
         ServerSocketChannel agentListener = null;
         ServerSocketChannel httpListener = null;
@@ -75,22 +76,22 @@
                 throw new InvalidInputException("control.socket: " + operator.control().socket() + ": " + e.getMessage());
             }
         }
-        sockets.start();
-        readyAgain();
+        selector.start();
+        announceReady();
         agent = agentListener == null ? null : agent(agentListener, operator.agent());
         http = httpListener == null ? null : http(httpListener, operator.http());
         if (socket != null) {
-            control = new Front("control", socket.listener, CONTROL, sockets, this::stir,
-                    (e, f) -> new LineConnection(e, f, this::command));
-            control.begin();
+            control = new CheckListener("control", socket.listener, CONTROL_LIMITS, selector, this::sweepSoon,
+                    (e, f) -> new CommandConnection(e, f, this::command));
+            control.listen();
             EventLog.log(LogEvent.CHECKS_LISTENING, "control", operator.control().socket());
         }
     }
 
-    /** Takes the control socket's name away; from the shutdown hook. */
+    /** Removes the control socket; called by the shutdown hook. */
     public void close() {
         if (socket != null) {
-            socket.end();
+            socket.close();
         }
     }
 
@@ -102,75 +103,76 @@
         }
     }
 
-    private Front front(String what, ServerSocketChannel listener, OperatorSettings.ListenerLimits bounds,
-            BiFunction<EndPoint, Front, CheckConnection> make) {
-        Front front = new Front(what, listener, bounds, sockets, this::stir, make);
-        front.begin();
+    private CheckListener checkListener(String kind, ServerSocketChannel listener, OperatorSettings.ListenerLimits limits,
+            BiFunction<EndPoint, CheckListener, CheckConnection> factory) {
+        CheckListener checkListener = new CheckListener(kind, listener, limits, selector, this::sweepSoon, factory);
+        checkListener.listen();
         try {
-            EventLog.log(LogEvent.CHECKS_LISTENING, what, Address.text((InetSocketAddress) listener.getLocalAddress()));
+            EventLog.log(LogEvent.CHECKS_LISTENING, kind, Address.text((InetSocketAddress) listener.getLocalAddress()));
         } catch (IOException e) {
-            EventLog.log(LogEvent.CHECKS_FAILED, what, "", e);
+            EventLog.log(LogEvent.CHECKS_FAILED, kind, "", e);
         }
-        return front;
+        return checkListener;
     }
 
-    private Front agent(ServerSocketChannel listener, OperatorSettings.Agent set) {
-        return front("agent", listener, set.limits(), (e, f) -> new AgentConnection(e, f, agentLine()));
+    private CheckListener agent(ServerSocketChannel listener, OperatorSettings.Agent settings) {
+        return checkListener("agent", listener, settings.limits(), (e, f) -> new AgentConnection(e, f, agentLine()));
     }
 
-    private Front http(ServerSocketChannel listener, OperatorSettings.Http set) {
-        return front("http", listener, set.limits(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
+    private CheckListener http(ServerSocketChannel listener, OperatorSettings.Http settings) {
+        return checkListener("http", listener, settings.limits(), (e, f) -> new HttpCheckConnection(e, f, this::answer));
     }
 
     /**
-     * Moves listeners that are elsewhere now. The new one is bound before the old one goes; one that can't be had
-     * leaves the old one as it is. From any thread but the checks'.
+     * Applies changed settings. A new address is bound before the old listener is closed; if that fails, the old listener
+     * stays. May be called from any thread except that of the checks.
      */
     public synchronized void reload(OperatorSettings next) {
-        OperatorSettings last = operator;
+        OperatorSettings previous = operator;
         operator = next;
-        agent = moved("agent", agent, last.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
-                last.agent() == null ? null : last.agent().listen(), l -> agent(l, next.agent()));
-        http = moved("http", http, last.http(), next.http(), next.http() == null ? null : next.http().listen(),
-                last.http() == null ? null : last.http().listen(), l -> http(l, next.http()));
+        agent = reconfigure("agent", agent, previous.agent(), next.agent(), next.agent() == null ? null : next.agent().listen(),
+                previous.agent() == null ? null : previous.agent().listen(), l -> agent(l, next.agent()));
+        http = reconfigure("http", http, previous.http(), next.http(), next.http() == null ? null : next.http().listen(),
+                previous.http() == null ? null : previous.http().listen(), l -> http(l, next.http()));
     }
 
-    private Front moved(String what, Front front, Object from, Object to, InetSocketAddress address, InetSocketAddress last,
-            java.util.function.Function<ServerSocketChannel, Front> open) {
-        if (java.util.Objects.equals(from, to)) {
-            return front;
+    private CheckListener reconfigure(String kind, CheckListener current, Object oldSettings, Object newSettings,
+            InetSocketAddress address, InetSocketAddress previous,
+            java.util.function.Function<ServerSocketChannel, CheckListener> opener) {
+        if (java.util.Objects.equals(oldSettings, newSettings)) {
+            return current;
         }
-        if (to == null) {
-            sockets.submit(front::end);
+        if (newSettings == null) {
+            selector.submit(current::close);
             return null;
         }
-        if (front != null && address.equals(last)) {
-            // other bounds on the same address
-            sockets.submit(front::end);
-            return reopened(what, address, open);
+        if (current != null && address.equals(previous)) {
+            // Only the bounds have changed; the address must be free before it is bound again.
+            selector.submit(current::close);
+            return reopen(kind, address, opener);
         }
         try {
-            Front moved = open.apply(bind("checks." + what + ".listen", address));
-            if (front != null) {
-                sockets.submit(front::end);
+            CheckListener replacement = opener.apply(bind("checks." + kind + ".listen", address));
+            if (current != null) {
+                selector.submit(current::close);
             }
-            return moved;
+            return replacement;
         } catch (InvalidInputException e) {
-            EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
-            return front;
+            EventLog.log(LogEvent.CHECKS_FAILED, kind, Address.text(address), e.getMessage());
+            return current;
         }
     }
 
-    private Front reopened(String what, InetSocketAddress address,
-            java.util.function.Function<ServerSocketChannel, Front> open) {
-        // the old one is closed by the selector's thread, at its next turn
-        java.util.concurrent.CountDownLatch turn = new java.util.concurrent.CountDownLatch(1);
-        sockets.submit(() -> sockets.submit(turn::countDown));
+    private CheckListener reopen(String kind, InetSocketAddress address,
+            java.util.function.Function<ServerSocketChannel, CheckListener> opener) {
+        // The selector thread closes the old listener in its next cycle.
+        java.util.concurrent.CountDownLatch cycleDone = new java.util.concurrent.CountDownLatch(1);
+        selector.submit(() -> selector.submit(cycleDone::countDown));
         try {
-            turn.await(1, java.util.concurrent.TimeUnit.SECONDS);
-            return open.apply(bind("checks." + what + ".listen", address));
+            cycleDone.await(1, java.util.concurrent.TimeUnit.SECONDS);
+            return opener.apply(bind("checks." + kind + ".listen", address));
         } catch (InvalidInputException e) {
-            EventLog.log(LogEvent.CHECKS_FAILED, what, Address.text(address), e.getMessage());
+            EventLog.log(LogEvent.CHECKS_FAILED, kind, Address.text(address), e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -187,91 +189,92 @@
     public void onTimer() {
         if (millisUntilTimer() <= 0) {
             boolean busy = false;
-            for (Front f : new Front[] {agent, http, control}) {
-                busy |= f != null && f.sweep();
+            for (CheckListener listener : new CheckListener[] {agent, http, control}) {
+                busy |= listener != null && listener.sweep();
             }
             sweepAt = System.nanoTime() + (busy ? SWEEP_MS : IDLE_MS) * 1_000_000;
         }
     }
 
-    /** Something has come that takes looking after: a connection, or a listener that is paused. */
-    private void stir() {
+    /** Schedules a sweep soon, because a connection was opened or a listener was paused. */
+    private void sweepSoon() {
         sweepAt = Math.min(sweepAt, System.nanoTime() + SWEEP_MS * 1_000_000);
     }
 
-    // ---------------------------------------------------------------- what is said
+    // ---------------------------------------------------------------- answers to checks
     private StatusReporter.PublishedReport published() {
-        return insight.published();
+        return statusReporter.published();
     }
 
-    private static boolean silent(StatusReporter.PublishedReport p) {
-        return p != null && p.ageUs() > SILENT_US;
+    private static boolean stalled(StatusReporter.PublishedReport latest) {
+        return latest != null && latest.ageUs() > STALLED_AFTER_US;
     }
 
-    private void readyAgain() {
+    /** Begins a period in which answers to agent checks include {@code ready}. */
+    private void announceReady() {
         readyUntil = System.nanoTime() + (operator.agent() == null ? 0 : operator.agent().announceReadyUs() * 1000);
     }
 
     private byte[] agentLine() {
-        StatusReporter.PublishedReport p = published();
-        if (p == null) {
+        StatusReporter.PublishedReport latest = published();
+        if (latest == null) {
             return AgentLine.starting();
         }
-        if (silent(p)) {
+        if (stalled(latest)) {
             return AgentLine.silent();
         }
-        AvailabilityReport v = p.report().verdict();
-        boolean leaves = v.status() == AvailabilityStatus.DRAINING || v.status() == AvailabilityStatus.MAINT;
-        if (away && !leaves) {
-            // each balancer that polls must hear that the drain was withdrawn, also those that ask seldom
-            readyAgain();
+        AvailabilityReport verdict = latest.report().verdict();
+        boolean takenOut = verdict.status() == AvailabilityStatus.DRAINING || verdict.status() == AvailabilityStatus.MAINT;
+        if (wasTakenOut && !takenOut) {
+            // Every balancer must learn that the drain was revoked, also those that poll rarely.
+            announceReady();
         }
-        away = leaves;
-        return AgentLine.encode(v, System.nanoTime() - readyUntil < 0);
+        wasTakenOut = takenOut;
+        return AgentLine.encode(verdict, System.nanoTime() - readyUntil < 0);
     }
 
     private HttpCheckConnection.Answer answer(String target) {
-        int q = target.indexOf('?');
-        String path = q < 0 ? target : target.substring(0, q);
-        boolean verbose = q >= 0 && java.util.Arrays.asList(target.substring(q + 1).split("&")).contains("verbose");
-        StatusReporter.PublishedReport p = published();
+        int queryAt = target.indexOf('?');
+        String path = queryAt < 0 ? target : target.substring(0, queryAt);
+        boolean verbose = queryAt >= 0 && java.util.Arrays.asList(target.substring(queryAt + 1).split("&")).contains("verbose");
+        StatusReporter.PublishedReport latest = published();
         return switch (path) {
-            case "/livez" -> text(silent(p) ? 503 : 200, silent(p) ? "the loop is silent\n" : "ok\n", HttpFields.EMPTY);
-            case "/readyz" -> readiness(p, verbose);
+            case "/livez" -> text(stalled(latest) ? 503 : 200, stalled(latest) ? "the loop is silent\n" : "ok\n", HttpFields.EMPTY);
+            case "/readyz" -> readiness(latest, verbose);
             case "/availability" -> new HttpCheckConnection.Answer(200, HttpFields.build()
-                    .put(HttpHeader.CONTENT_TYPE, "application/json").put(HttpHeader.CACHE_CONTROL, "no-store"), json(p));
+                    .put(HttpHeader.CONTENT_TYPE, "application/json").put(HttpHeader.CACHE_CONTROL, "no-store"), json(latest));
             default -> text(404, "known are /livez, /readyz and /availability\n", HttpFields.EMPTY);
         };
     }
 
-    private static HttpCheckConnection.Answer text(int status, String text, HttpFields more) {
-        HttpCheckConnection.Answer a = HttpCheckConnection.Answer.text(status, text);
-        return new HttpCheckConnection.Answer(status, HttpFields.build(a.fields()).add(more), a.body());
+    private static HttpCheckConnection.Answer text(int status, String text, HttpFields extraFields) {
+        HttpCheckConnection.Answer plain = HttpCheckConnection.Answer.text(status, text);
+        return new HttpCheckConnection.Answer(status, HttpFields.build(plain.fields()).add(extraFields), plain.body());
     }
 
     /**
-     * 200 where new traffic may come, 404 (or as set) where an operator or the process's end sends it elsewhere, as
-     * HAProxy's {@code http-check disable-on-404} has it, else 503. The Envoy fields are harmless to all others.
+     * Answers 200 if the dispatcher accepts new traffic, 404 (or the configured status) while it drains or is in
+     * maintenance, for HAProxy's {@code http-check disable-on-404}, else 503. Other balancers ignore the Envoy headers.
      */
-    private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport p, boolean verbose) {
-        StatusReport r = p == null ? null : p.report();
-        AvailabilityStatus s = r == null ? AvailabilityStatus.STARTING : r.verdict().status();
-        boolean leaves = s == AvailabilityStatus.DRAINING || s == AvailabilityStatus.MAINT;
-        int status = silent(p) ? 503 : s.acceptsTraffic() ? 200 : leaves ? operator.http().drainStatus() : 503;
+    private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport latest, boolean verbose) {
+        StatusReport report = latest == null ? null : latest.report();
+        AvailabilityStatus availability = report == null ? AvailabilityStatus.STARTING : report.verdict().status();
+        boolean takenOut = availability == AvailabilityStatus.DRAINING || availability == AvailabilityStatus.MAINT;
+        int status = stalled(latest) ? 503 : availability.acceptsTraffic() ? 200 : takenOut ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
-        if (leaves) {
+        if (takenOut) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (s.acceptsTraffic() && r.verdict().impaired()) {
+        } else if (availability.acceptsTraffic() && report.verdict().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
-        String text = s.name().toLowerCase(Locale.ROOT) + "\n";
-        if (verbose && r != null) {
-            text = line("loop", !silent(p), "silent for " + p.ageUs() / 1000 + " ms")
-                    + line("phase", r.phase() == Phase.SERVING, r.phase().name())
-                    + line("operator", r.requestedMode() == RequestedMode.READY, r.requestedMode().name())
-                    + line("discovery", r.confirmed(), "the list is a saved one")
-                    + line("peers", r.readyWorkers() > 0, "none is ready")
-                    + line("load", s != AvailabilityStatus.OVERLOADED, r.verdict().reason())
+        String text = availability.name().toLowerCase(Locale.ROOT) + "\n";
+        if (verbose && report != null) {
+            text = line("loop", !stalled(latest), "silent for " + latest.ageUs() / 1000 + " ms")
+                    + line("phase", report.phase() == Phase.SERVING, report.phase().name())
+                    + line("operator", report.requestedMode() == RequestedMode.READY, report.requestedMode().name())
+                    + line("discovery", report.confirmed(), "the list is a saved one")
+                    + line("peers", report.readyWorkers() > 0, "none is ready")
+                    + line("load", availability != AvailabilityStatus.OVERLOADED, report.verdict().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
@@ -281,29 +284,30 @@
         return (well ? "[+]" + check + " ok" : "[-]" + check + " failed: " + why) + "\n";
     }
 
-    private byte[] json(StatusReporter.PublishedReport p) {
-        return ReportJson.encode(name, p == null ? null : p.report(), p == null ? 0 : p.ageUs(), silent(p));
+    private byte[] json(StatusReporter.PublishedReport latest) {
+        return StatusReportJson.encode(name, latest == null ? null : latest.report(), latest == null ? 0 : latest.ageUs(),
+                stalled(latest));
     }
 
     // ---------------------------------------------------------------- control
-    private void command(String command, Consumer<byte[]> answer) {
-        RequestedMode wish = switch (command) {
+    private void command(String command, Consumer<byte[]> reply) {
+        RequestedMode requested = switch (command) {
             case "drain" -> RequestedMode.DRAIN;
             case "maint" -> RequestedMode.MAINT;
             case "ready" -> RequestedMode.READY;
             default -> null;
         };
-        StatusReporter.PublishedReport p = published();
+        StatusReporter.PublishedReport latest = published();
         if (command.equals("status")) {
-            answer.accept(json(p));
-        } else if (wish == null) {
-            answer.accept(error("known are status, drain, ready and maint"));
-        } else if (p != null && p.report().phase().compareTo(Phase.DRAINING) >= 0) {
-            answer.accept(error("the process is to end"));
+            reply.accept(json(latest));
+        } else if (requested == null) {
+            reply.accept(error("known are status, drain, ready and maint"));
+        } else if (latest != null && latest.report().phase().compareTo(Phase.DRAINING) >= 0) {
+            reply.accept(error("the process is to end"));
         } else {
             EventLog.log(LogEvent.CONTROL, command);
-            // answered once the loop has taken it in, so that the answer shows what it did
-            loop.setOperatorOverride(wish, () -> sockets.submit(() -> answer.accept(json(insight.published()))));
+            // Answered after the event loop has applied the command, so that the answer shows its effect.
+            loop.setOperatorOverride(requested, () -> selector.submit(() -> reply.accept(json(statusReporter.published()))));
         }
     }
 
