--- a/src/main/java/granitefold/standin/Balancer.java
+++ b/src/main/java/granitefold/standin/Balancer.java
@@ -29,7 +29,7 @@
     private final class Back {
         final Target target;
         final ServerTrack track;
-        final ArrayDeque<Exchange> idle = new ArrayDeque<>();
+        final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
         final AtomicLong sent = new AtomicLong();
         volatile long lastSent;
         ScheduledFuture<?> next;
@@ -71,19 +71,19 @@
         boolean degraded = false;
         boolean fail = false;
         if (rules.agent()) {
-            try (Exchange e = Exchange.open(b.target.agent(), (int) rules.timeout())) {
-                reply = AgentReply.parse(e.rest());
+            try (HttpConnection e = HttpConnection.open(b.target.agent(), (int) rules.timeout())) {
+                reply = AgentReply.parse(e.readToEnd());
             } catch (IOException e) {
                 // says nothing
             }
         }
         if (rules.http() != null) {
-            try (Exchange e = Exchange.open(b.target.http(), (int) rules.timeout())) {
+            try (HttpConnection e = HttpConnection.open(b.target.http(), (int) rules.timeout())) {
                 e.write("GET " + rules.http() + " HTTP/1.1\r\nHost: check\r\nConnection: close\r\n\r\n");
                 if (e.read()) {
                     status = e.status();
-                    degraded = e.head.containsKey("x-envoy-degraded");
-                    fail = e.head.containsKey("x-envoy-immediate-health-check-fail");
+                    degraded = e.headers.containsKey("x-envoy-degraded");
+                    fail = e.headers.containsKey("x-envoy-immediate-health-check-fail");
                 }
             } catch (IOException e) {
                 // status 0
@@ -168,14 +168,14 @@
     }
 
     private Outcome carry(Back b, String request) throws IOException {
-        Exchange e;
+        HttpConnection e;
         synchronized (b) {
             e = b.idle.pollLast();
         }
         boolean kept = e != null;
         while (true) {
             if (e == null) {
-                e = Exchange.open(b.target.clients(), PATIENCE_MS);
+                e = HttpConnection.open(b.target.clients(), PATIENCE_MS);
                 kept = false;
             }
             try {
@@ -186,20 +186,20 @@
                 throw new IOException("closed without an answer");
             } catch (IOException broken) {
                 e.close();
-                if (!kept || e.begun) {
+                if (!kept || e.messageStarted) {
                     throw broken;
                 }
                 // the close of a kept connection crossed the request: once more on a new one
                 e = null;
             }
         }
-        if (rules.envoy() && e.head.containsKey("x-envoy-immediate-health-check-fail")) {
+        if (rules.envoy() && e.headers.containsKey("x-envoy-immediate-health-check-fail")) {
             synchronized (this) {
                 b.track.failNow();
             }
         }
         int status = e.status();
-        if ("close".equalsIgnoreCase(e.head.get("connection"))) {
+        if ("close".equalsIgnoreCase(e.headers.get("connection"))) {
             e.close();
         } else {
             synchronized (b) {
@@ -229,7 +229,7 @@
         checker.shutdownNow();
         for (Back b : backs) {
             synchronized (b) {
-                for (Exchange e : b.idle) {
+                for (HttpConnection e : b.idle) {
                     e.close();
                 }
             }
--- a/src/main/java/granitefold/standin/KeptClients.java
+++ b/src/main/java/granitefold/standin/ClosedLoopClients.java
@@ -17,7 +17,7 @@
  * Clients that each send one request after the other, on a connection that they keep for as long as it is kept, or on a
  * new one each. What a dispatcher turned back unheard they count, and send once more on a new connection.
  */
-public final class KeptClients implements Closeable {
+public final class ClosedLoopClients implements Closeable {
     private static final int PATIENCE_MS = 20_000;
     /** Before another connect where nobody listened. */
     private static final long REFUSED_NS = 5_000_000;
@@ -45,7 +45,7 @@
     private volatile Exception failure;
 
     /** So many clients from now on, with requests of so much work each; {@code keeps}: connections. */
-    public KeptClients(String name, InetSocketAddress to, int clients, long workUs, boolean keeps) {
+    public ClosedLoopClients(String name, InetSocketAddress to, int clients, long workUs, boolean keeps) {
         this.name = name;
         this.to = to;
         this.workUs = workUs;
@@ -56,12 +56,12 @@
         over = new CountDownLatch(clients);
         for (int i = 0; i < clients; i++) {
             int number = i;
-            Server.daemon(() -> run(number), "client");
+            LoopbackServer.startDaemon(() -> run(number), "client");
         }
     }
 
     private void run(int number) {
-        Exchange e = null;
+        HttpConnection e = null;
         try {
             for (long i = 0; !stopped; i++) {
                 String id = name + "-" + number + "-" + i;
@@ -73,7 +73,7 @@
                     }
                     end = e == null ? End.REFUSED : send(e, id + "-" + sent);
                     ends.get(end).incrementAndGet();
-                    if (e != null && (!keeps || end.compareTo(End.FAILED) > 0 || "close".equals(e.head.get("connection")))) {
+                    if (e != null && (!keeps || end.compareTo(End.FAILED) > 0 || "close".equals(e.headers.get("connection")))) {
                         e.close();
                         e = null;
                     }
@@ -86,9 +86,9 @@
         }
     }
 
-    private Exchange open() throws IOException {
+    private HttpConnection open() throws IOException {
         try {
-            return Exchange.open(to, PATIENCE_MS);
+            return HttpConnection.open(to, PATIENCE_MS);
         } catch (SocketException e) {
             // refused, or reset in the queue of a listener that closes
             LockSupport.parkNanos(REFUSED_NS);
@@ -96,9 +96,9 @@
         }
     }
 
-    private End send(Exchange e, String id) {
+    private End send(HttpConnection e, String id) {
         try {
-            e.head = Map.of();
+            e.headers = Map.of();
             e.write("POST /ficha?sid=1 HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Org: acme\r\nX-Remaining-Ms: 5000\r\n"
                     + "X-Estimate: " + workUs + "\r\nContent-Length: 4\r\n\r\nsoup");
             if (!e.read()) {
@@ -106,12 +106,12 @@
             }
             return e.status() == 200 ? End.SERVED : e.status() == 503 || e.status() == 429 ? End.REJECTED : End.FAILED;
         } catch (IOException broken) {
-            return e.begun ? End.CUT : End.UNHEARD;
+            return e.messageStarted ? End.CUT : End.UNHEARD;
         }
     }
 
     /** Requests begun so far, each counted once however often it was sent. */
-    public long asked() {
+    public long requests() {
         return asked.get();
     }
 
@@ -148,7 +148,7 @@
 
     @Override
     public String toString() {
-        List<String> all = new ArrayList<>(List.of("asked " + asked()));
+        List<String> all = new ArrayList<>(List.of("asked " + requests()));
         ends.forEach((e, n) -> all.add(e + " " + n));
         return String.join(", ", all);
     }
--- a/src/main/java/granitefold/standin/Experiment.java
+++ b/src/main/java/granitefold/standin/Experiment.java
@@ -47,7 +47,7 @@
                     "lost", "p50 ms", "p99 ms", "note");
         }
 
-        protected static void row(String name, Load load, String note) {
+        protected static void row(String name, OpenLoopLoad load, String note) {
             System.out.printf(Locale.ROOT, "%-24s %7d %7d %8d %6d %6d %9.1f %9.1f %s%n", name, load.due(),
                     load.count(Balancer.Outcome.SERVED), load.count(Balancer.Outcome.REJECTED),
                     load.count(Balancer.Outcome.FAILED), load.count(Balancer.Outcome.LOST), load.latencyMs(50),
@@ -60,11 +60,11 @@
             for (int run = 0; run < runs; run++) {
                 for (CheckRules rules : List.of(CheckRules.NONE, CheckRules.NGINX, CheckRules.CLOUD, CheckRules.ENVOY,
                         CheckRules.AGENT)) {
-                    try (Fleet fleet = new Fleet(4, 8).with(dispatchers, QUICK + "clients.envoy-headers = true\n");
+                    try (Fleet fleet = new Fleet(4, 8).startDispatchers(dispatchers, QUICK + "clients.envoy-headers = true\n");
                             Balancer balancer = fleet.balancer(rules)) {
                         settle(fleet, balancer);
                         long requests = (long) (rate * 9);
-                        Load load = new Load("compare", balancer, rate, workUs).begin(requests);
+                        OpenLoopLoad load = new OpenLoopLoad("compare", balancer, rate, workUs).begin(requests);
                         while (load.due() < requests / 3) {
                             Thread.sleep(10);
                         }
@@ -93,11 +93,11 @@
     static final class Demo extends Run {
         @Override
         public Integer call() throws Exception {
-            try (Fleet fleet = new Fleet(3, 6).with(2, QUICK); Balancer balancer = fleet.balancer(CheckRules.AGENT)) {
+            try (Fleet fleet = new Fleet(3, 6).startDispatchers(2, QUICK); Balancer balancer = fleet.balancer(CheckRules.AGENT)) {
                 settle(fleet, balancer);
                 Fleet.Dispatcher first = fleet.dispatchers.get(0);
                 System.out.print(first.control("status"));
-                Load load = new Load("demo", balancer, rate, workUs).begin((long) (rate * 8));
+                OpenLoopLoad load = new OpenLoopLoad("demo", balancer, rate, workUs).begin((long) (rate * 8));
                 Thread.sleep(2000);
                 System.out.print("drain: " + first.control("drain", "--wait"));
                 Thread.sleep(3000);
@@ -105,7 +105,7 @@
                 load.await(ANSWERS_S);
                 head();
                 row("haproxy agent-check", load, first.name + " had " + balancer.sent(first.name) + " requests, "
-                        + fleet.repeated() + " jobs ran twice");
+                        + fleet.jobsRepeated() + " jobs ran twice");
                 return load.count(Balancer.Outcome.LOST) == 0 ? 0 : 1;
             }
         }
@@ -119,11 +119,11 @@
             head();
             for (int run = 0; run < runs; run++) {
                 for (CheckRules rules : List.of(CheckRules.AGENT, CheckRules.HTTP_404, CheckRules.ENVOY, CheckRules.CLOUD)) {
-                    try (Fleet fleet = new Fleet(4, 8).with(dispatchers, QUICK + "clients.envoy-headers = true\n");
+                    try (Fleet fleet = new Fleet(4, 8).startDispatchers(dispatchers, QUICK + "clients.envoy-headers = true\n");
                             Balancer balancer = fleet.balancer(rules)) {
                         Result r = drain(fleet, balancer, rate, workUs, (long) (rate * 10));
                         row(rules.name(), r.load, String.format(Locale.ROOT, "new traffic ended after %.2f s, %d ran twice",
-                                r.endedMs / 1000.0, fleet.repeated()));
+                                r.endedMs / 1000.0, fleet.jobsRepeated()));
                     }
                 }
             }
@@ -132,13 +132,13 @@
     }
 
     /** What a drain under load came to; {@code endedMs}: from the answer to the drain's word to the last request sent there. */
-    record Result(Load load, long endedMs) { }
+    record Result(OpenLoopLoad load, long endedMs) { }
 
     /** Drains the first dispatcher in the middle of a load. */
     static Result drain(Fleet fleet, Balancer balancer, double rate, long workUs, long requests) throws Exception {
         Run.settle(fleet, balancer);
         Fleet.Dispatcher first = fleet.dispatchers.get(0);
-        Load load = new Load("drain", balancer, rate, workUs).begin(requests);
+        OpenLoopLoad load = new OpenLoopLoad("drain", balancer, rate, workUs).begin(requests);
         while (load.due() < requests / 3) {
             Thread.sleep(10);
         }
@@ -207,16 +207,16 @@
         private double[] run(int seed, boolean file) throws Exception {
             Path folder = Files.createTempDirectory("restart");
             try (Fleet fleet = new Fleet(4, 6)) {
-                for (int i = 0; i < fleet.cocineros.size(); i++) {
-                    fleet.cocineros.get(i).slowness(0.6 + 0.6 * i);
-                    fleet.cocineros.get(i).keeps(10, 150_000);
+                for (int i = 0; i < fleet.workers.size(); i++) {
+                    fleet.workers.get(i).slowdown(0.6 + 0.6 * i);
+                    fleet.workers.get(i).keeps(10, 150_000);
                 }
                 Fleet.Dispatcher d = fleet.dispatcher(QUICK + (file ? "state.dir = \"" + folder + "\"\n" : ""),
-                        fleet.discovery.list(null));
+                        fleet.discovery.listJson(null));
                 d.start();
                 d.awaitLog("phase: SERVING");
                 try (Balancer balancer = fleet.balancer(CheckRules.NONE)) {
-                    Load load = new Load("r" + seed, balancer, rate, workUs).keys(24, seed).begin(Long.MAX_VALUE);
+                    OpenLoopLoad load = new OpenLoopLoad("r" + seed, balancer, rate, workUs).keys(24, seed).begin(Long.MAX_VALUE);
                     Thread.sleep(BEFORE_S * 1000L);
                     int killed = load.slice();
                     d.kill();
@@ -244,6 +244,6 @@
 
     /** What happens to the fleet in the middle of a load. */
     interface Trouble {
-        void on(Fleet fleet, Load load) throws IOException, InterruptedException;
+        void on(Fleet fleet, OpenLoopLoad load) throws IOException, InterruptedException;
     }
 }
--- a/src/main/java/granitefold/standin/Fleet.java
+++ b/src/main/java/granitefold/standin/Fleet.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A small fleet on loopback: stand-in cocineros and discovery, and real dispatchers as processes of the built jar. */
+/** A small fleet on loopback: stand-in workers and discovery, and real dispatchers as processes of the built jar. */
 public final class Fleet implements Closeable {
     private static final long PATIENCE_S = 30;
 
-    public final List<Cocinero> cocineros = new ArrayList<>();
-    public final Discovery discovery;
+    public final List<StubWorker> workers = new ArrayList<>();
+    public final StubDiscovery discovery;
     public final List<Dispatcher> dispatchers = new ArrayList<>();
     final Path folder;
 
@@ -59,7 +59,7 @@
          * Starts it so that another version may be started beside it, with a second address; or starts that other one
          * beside the process that runs. Returns the process before, null where there was none.
          */
-        public Process startBeside() throws IOException, InterruptedException {
+        public Process startAlongside() throws IOException, InterruptedException {
             Process before = process;
             if (port == 0) {
                 // both have to be told the same address
@@ -87,18 +87,18 @@
         }
 
         /** Asks at the second address; the answer's lines. */
-        public List<String> ask(String call) throws IOException {
-            try (Exchange e = Exchange.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), opsPort),
+        public List<String> callOps(String call) throws IOException {
+            try (HttpConnection e = HttpConnection.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), opsPort),
                     (int) TimeUnit.SECONDS.toMillis(PATIENCE_S))) {
                 e.write(call + "\n");
-                return e.rest().lines().toList();
+                return e.readToEnd().lines().toList();
             }
         }
 
         /** Waits until the present life says at its second address that it can serve. */
-        public void awaitYes() throws IOException, InterruptedException {
+        public void awaitReady() throws IOException, InterruptedException {
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-            while (!ask("check").get(0).startsWith("ACK")) {
+            while (!callOps("check").get(0).startsWith("ACK")) {
                 if (System.nanoTime() - until > 0) {
                     throw new IllegalStateException(name + " does not come to serve:\n" + Files.readString(log));
                 }
@@ -112,7 +112,7 @@
         }
 
         /** Where the second address is; for those who say nothing there. */
-        public InetSocketAddress ops() {
+        public InetSocketAddress opsAddress() {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), opsPort);
         }
 
@@ -195,12 +195,12 @@
         }
     }
 
-    public Fleet(int cocineros, int slots) throws IOException {
+    public Fleet(int workers, int slots) throws IOException {
         folder = Files.createTempDirectory("fleet");
-        for (int i = 0; i < cocineros; i++) {
-            this.cocineros.add(new Cocinero("s-" + i, slots));
+        for (int i = 0; i < workers; i++) {
+            this.workers.add(new StubWorker("s-" + i, slots));
         }
-        discovery = new Discovery(this.cocineros);
+        discovery = new StubDiscovery(this.workers);
     }
 
     /** Another dispatcher, not started; {@code operator} joins its operator's file, {@code known} is its saved list. */
@@ -211,7 +211,7 @@
     }
 
     /** So many dispatchers, started, that know no peer before discovery tells them. */
-    public Fleet with(int count, String operator) throws IOException, InterruptedException {
+    public Fleet startDispatchers(int count, String operator) throws IOException, InterruptedException {
         for (int i = 0; i < count; i++) {
             Dispatcher d = dispatcher(operator, "{\"index\":0,\"snapshot\":true,\"endpoints\":[]}");
             d.start();
@@ -225,13 +225,13 @@
     }
 
     /** Jobs started so far, anywhere, each as often as it was. */
-    public long started() {
-        return cocineros.stream().flatMap(c -> c.starts.values().stream()).mapToLong(n -> n).sum();
+    public long jobsStarted() {
+        return workers.stream().flatMap(c -> c.starts.values().stream()).mapToLong(n -> n).sum();
     }
 
     /** Jobs that were started more than once, anywhere. */
-    public long repeated() {
-        return cocineros.stream().flatMap(c -> c.starts.entrySet().stream()).collect(java.util.stream.Collectors.groupingBy(
+    public long jobsRepeated() {
+        return workers.stream().flatMap(c -> c.starts.entrySet().stream()).collect(java.util.stream.Collectors.groupingBy(
                 java.util.Map.Entry::getKey, java.util.stream.Collectors.summingInt(java.util.Map.Entry::getValue)))
                 .values().stream().filter(n -> n > 1).count();
     }
@@ -240,7 +240,7 @@
     public void close() throws IOException {
         dispatchers.forEach(Dispatcher::close);
         discovery.close();
-        for (Cocinero c : cocineros) {
+        for (StubWorker c : workers) {
             c.close();
         }
         try (Stream<Path> files = Files.walk(folder)) {
--- a/src/main/java/granitefold/standin/Exchange.java
+++ b/src/main/java/granitefold/standin/HttpConnection.java
@@ -16,29 +16,29 @@
 import java.util.Map;
 
 /** One end of an HTTP/1.1 connection, blocking, for stand-ins only. */
-public final class Exchange implements Closeable {
+public final class HttpConnection implements Closeable {
     private static final int LINE_MOST = 16 * 1024;
 
     public final Socket socket;
     private final InputStream in;
-    public String first;
-    public Map<String, String> head;
+    public String startLine;
+    public Map<String, String> headers;
     public byte[] body;
     /** Bytes of the present message were read. */
-    public boolean begun;
+    public boolean messageStarted;
 
-    public Exchange(Socket socket, int patienceMs) throws IOException {
+    public HttpConnection(Socket socket, int patienceMs) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(patienceMs);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    public static Exchange open(InetSocketAddress to, int patienceMs) throws IOException {
+    public static HttpConnection open(InetSocketAddress to, int patienceMs) throws IOException {
         Socket socket = new Socket();
         try {
             socket.connect(to, patienceMs);
-            return new Exchange(socket, patienceMs);
+            return new HttpConnection(socket, patienceMs);
         } catch (IOException e) {
             socket.close();
             throw e;
@@ -51,20 +51,20 @@
 
     /** Reads a message with its body by Content-Length; false at the end. */
     public boolean read() throws IOException {
-        begun = false;
-        first = line();
-        if (first == null) {
+        messageStarted = false;
+        startLine = line();
+        if (startLine == null) {
             return false;
         }
-        head = new HashMap<>();
+        headers = new HashMap<>();
         for (String l = line(); l == null || !l.isEmpty(); l = line()) {
             if (l == null) {
                 throw new EOFException("within a head");
             }
             int colon = l.indexOf(':');
-            head.put(l.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT), l.substring(colon + 1).trim());
+            headers.put(l.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT), l.substring(colon + 1).trim());
         }
-        int length = Integer.parseInt(head.getOrDefault("content-length", "0"));
+        int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         body = in.readNBytes(length);
         if (body.length < length) {
             throw new EOFException("within a body");
@@ -96,16 +96,16 @@
     }
 
     /** Whether more has come than was read. */
-    public boolean more() throws IOException {
+    public boolean hasUnreadInput() throws IOException {
         return in.available() > 0;
     }
 
     public int status() {
-        return Integer.parseInt(first.split(" ")[1]);
+        return Integer.parseInt(startLine.split(" ")[1]);
     }
 
     /** All that comes until the end, as an agent's line. */
-    public String rest() throws IOException {
+    public String readToEnd() throws IOException {
         return new String(in.readNBytes(LINE_MOST), StandardCharsets.ISO_8859_1);
     }
 
@@ -118,7 +118,7 @@
                 }
                 return null;
             }
-            begun = true;
+            messageStarted = true;
             if (line.size() >= LINE_MOST) {
                 throw new IOException("line too long");
             }
--- a/src/main/java/granitefold/standin/Server.java
+++ b/src/main/java/granitefold/standin/LoopbackServer.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** A listener on loopback with a daemon thread a connection. */
-public abstract class Server implements Closeable {
+public abstract class LoopbackServer implements Closeable {
     private static final int BACKLOG = 256;
 
     private final ServerSocket listener;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-    protected Server() throws IOException {
+    protected LoopbackServer() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        daemon(this::accept, getClass().getSimpleName());
+        startDaemon(this::accept, getClass().getSimpleName());
     }
 
-    public static void daemon(Runnable task, String name) {
+    public static void startDaemon(Runnable task, String name) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
@@ -32,7 +32,7 @@
     }
 
     /** Where it listens. */
-    public final InetSocketAddress at() {
+    public final InetSocketAddress socketAddress() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
@@ -53,7 +53,7 @@
             try {
                 Socket socket = listener.accept();
                 open.add(socket);
-                daemon(() -> {
+                startDaemon(() -> {
                     try (socket) {
                         serve(socket);
                     } catch (IOException e) {
--- a/src/main/java/granitefold/standin/Load.java
+++ b/src/main/java/granitefold/standin/OpenLoopLoad.java
@@ -13,7 +13,7 @@
  * Open-loop load: requests are sent at a steady rate whatever becomes of those before, and each counts once. A request
  * that finds no free sender waits for one, and its time counts from when it was due.
  */
-public final class Load {
+public final class OpenLoopLoad {
     private static final int SENDERS = 256, DIGITS = 3, SLICES = 1200;
     private static final long SLICE_NS = 100_000_000, AIM_US = 300_000;
     private static final double STRETCH = 2;
@@ -39,7 +39,7 @@
     private long seed;
 
     /** {@code name} marks its requests' ids; each job is hinted, and takes, {@code workUs}. */
-    public Load(String name, Balancer balancer, double perS, long workUs) {
+    public OpenLoopLoad(String name, Balancer balancer, double perS, long workUs) {
         this.name = name;
         this.balancer = balancer;
         this.perS = perS;
@@ -47,8 +47,8 @@
     }
 
     /** Begins, on a thread of its own, and goes on for so many requests or until {@link #stop}. */
-    public Load begin(long requests) {
-        Server.daemon(() -> {
+    public OpenLoopLoad begin(long requests) {
+        LoopbackServer.startDaemon(() -> {
             long start = System.nanoTime();
             startedAt = start;
             for (long i = 0; i < requests && !over; i++) {
@@ -82,7 +82,7 @@
     }
 
     /** Which of so many keys each request is about follows from its number and the seed. */
-    Load keys(int count, long seedOfKeys) {
+    OpenLoopLoad keys(int count, long seedOfKeys) {
         sids = count;
         seed = seedOfKeys;
         return this;
--- a/src/main/java/granitefold/standin/Discovery.java
+++ b/src/main/java/granitefold/standin/StubDiscovery.java
@@ -6,15 +6,15 @@
 import java.util.stream.Collectors;
 
 /** A stand-in discovery: the whole list to each watch, then a sign of life every two seconds, unless it is silent. */
-public final class Discovery extends Server {
+public final class StubDiscovery extends LoopbackServer {
     private static final int PATIENCE_MS = 60_000, HEARTBEAT_MS = 2000, LOOK_MS = 20;
 
-    private final List<Cocinero> peers;
+    private final List<StubWorker> peers;
     private volatile boolean silent;
     private volatile int version = 1;
     private volatile int padding;
 
-    public Discovery(List<Cocinero> peers) throws IOException {
+    public StubDiscovery(List<StubWorker> peers) throws IOException {
         this.peers = List.copyOf(peers);
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** The list as it is now; {@code address}: null for the peers' own, else one that stands for all of them. */
-    public String list(String address) {
+    public String listJson(String address) {
         return "{\"index\":" + version + ",\"snapshot\":true,\"endpoints\":[" + peers.stream().map(p -> "{\"name\":\"" + p.name
                 + "\",\"address\":\"" + (address == null ? p.address() : address) + "\",\"status\":\"" + p.status
                 + "\",\"weight\":1.0,\"since_ms\":0,\"zone\":\"sala\",\"type\":\"m\"}").collect(Collectors.joining(",")) + "]}";
@@ -52,7 +52,7 @@
 
     @Override
     protected void serve(Socket socket) throws IOException, InterruptedException {
-        Exchange e = new Exchange(socket, PATIENCE_MS);
+        HttpConnection e = new HttpConnection(socket, PATIENCE_MS);
         e.read();
         boolean head = false;
         int told = 0;
@@ -65,10 +65,10 @@
                 }
                 if (told != version || padding > 0) {
                     told = version;
-                    e.write(Cocinero.chunk(padded(list(null)) + "\n"));
+                    e.write(StubWorker.chunk(padded(listJson(null)) + "\n"));
                     saidAt = System.nanoTime();
                 } else if (System.nanoTime() - saidAt > HEARTBEAT_MS * 1_000_000L) {
-                    e.write(Cocinero.chunk("\n"));
+                    e.write(StubWorker.chunk("\n"));
                     saidAt = System.nanoTime();
                 }
             }
--- a/src/main/java/granitefold/standin/Cocinero.java
+++ b/src/main/java/granitefold/standin/StubWorker.java
@@ -13,36 +13,36 @@
  * A stand-in cocinero: a job holds one slot for as long as its {@code X-Estimate} tells (microseconds, else 100 ms)
  * and gives back its body in capitals. It counts how often each id was started.
  */
-public final class Cocinero extends Server {
+public final class StubWorker extends LoopbackServer {
     private static final int PATIENCE_MS = 60_000;
     private static final String UNTOLD = "100000";
 
     /** What it does with connections and jobs. */
-    public enum Mood { WELL, HUNG, FAILING }
+    public enum Behavior { NORMAL, HANGING, FAILING }
 
     public final String name;
     final Map<String, Integer> starts = new ConcurrentHashMap<>();
     volatile String status = "up";
     private final Semaphore slots;
-    private volatile Mood mood = Mood.WELL;
-    private volatile double slowness = 1;
+    private volatile Behavior behavior = Behavior.NORMAL;
+    private volatile double slowdown = 1;
     /** Keys that it keeps, the last one used last, and what a fetch takes. */
     private final Map<String, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
     private volatile int keepMost;
     private volatile long fetchUs;
 
-    public Cocinero(String name, int slots) throws IOException {
+    public StubWorker(String name, int slots) throws IOException {
         this.name = name;
         this.slots = new Semaphore(slots, true);
     }
 
-    public void mood(Mood now) {
-        mood = now;
+    public void behavior(Behavior now) {
+        behavior = now;
     }
 
     /** Jobs take so many times as long. */
-    public void slowness(double factor) {
-        slowness = factor;
+    public void slowdown(double factor) {
+        slowdown = factor;
     }
 
     /** Keeps so many keys ({@code sid}); a job of another one holds its slot for a fetch before it runs. */
@@ -72,15 +72,15 @@
 
     @Override
     protected void serve(Socket socket) throws IOException, InterruptedException {
-        Exchange e = new Exchange(socket, PATIENCE_MS);
+        HttpConnection e = new HttpConnection(socket, PATIENCE_MS);
         while (e.read()) {
-            if (mood == Mood.HUNG) {
+            if (behavior == Behavior.HANGING) {
                 Thread.sleep(PATIENCE_MS);
             }
-            if (mood == Mood.FAILING) {
+            if (behavior == Behavior.FAILING) {
                 return;
             }
-            if (e.first.startsWith("GET ")) {
+            if (e.startLine.startsWith("GET ")) {
                 e.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
@@ -88,13 +88,13 @@
         }
     }
 
-    private void job(Exchange e) throws IOException, InterruptedException {
-        String about = "{\"id\":\"" + e.head.get("x-txn") + "\",\"from\":\"" + name + "\",\"state\":";
+    private void job(HttpConnection e) throws IOException, InterruptedException {
+        String about = "{\"id\":\"" + e.headers.get("x-txn") + "\",\"from\":\"" + name + "\",\"state\":";
         slots.acquire();
         try {
-            starts.merge(e.head.get("x-txn"), 1, Integer::sum);
+            starts.merge(e.headers.get("x-txn"), 1, Integer::sum);
             e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(about + "\"started\"}\n"));
-            long us = (long) (Long.parseLong(e.head.getOrDefault("x-estimate", UNTOLD)) * slowness) + fetch(e.first.split(" ")[1]);
+            long us = (long) (Long.parseLong(e.headers.getOrDefault("x-estimate", UNTOLD)) * slowdown) + fetch(e.startLine.split(" ")[1]);
             Thread.sleep(us / 1000, (int) (us % 1000) * 1000);
         } finally {
             slots.release();
--- a/src/main/java/granitefold/standin/edge/Edge.java
+++ b/src/main/java/granitefold/standin/edge/Edge.java
@@ -23,7 +23,7 @@
     }
 
     /** Whether the edge joins a party of one group with one of the other. */
-    public boolean joins(java.util.Collection<String> a, java.util.Collection<String> b) {
+    public boolean connects(java.util.Collection<String> a, java.util.Collection<String> b) {
         return a.contains(from) && b.contains(to) || b.contains(from) && a.contains(to);
     }
 
--- a/src/main/java/granitefold/standin/edge/Fault.java
+++ b/src/main/java/granitefold/standin/edge/Fault.java
@@ -22,9 +22,9 @@
     /** Silence, both ways: connections stay open. */
     public static final Fault CUT = new Fault(true, true, 0, 0, 0, 0, 0, 0, false);
     /** Silence towards who is reached. */
-    public static final Fault CUT_THERE = new Fault(true, false, 0, 0, 0, 0, 0, 0, false);
+    public static final Fault CUT_FORWARD = new Fault(true, false, 0, 0, 0, 0, 0, 0, false);
     /** Silence towards the opener. */
-    public static final Fault CUT_BACK = new Fault(false, true, 0, 0, 0, 0, 0, 0, false);
+    public static final Fault CUT_BACKWARD = new Fault(false, true, 0, 0, 0, 0, 0, 0, false);
     /** New connections are reset at once. */
     public static final Fault REFUSING = new Fault(false, false, 0, 0, 0, 0, 0, 0, true);
 
@@ -36,7 +36,7 @@
         return new Fault(false, false, 0, 0, loss, doubled, overtaken, 0, false);
     }
 
-    public static Fault dripping(long bytesPerS) {
+    public static Fault throttled(long bytesPerS) {
         return new Fault(false, false, 0, 0, 0, 0, 0, bytesPerS, false);
     }
 
--- a/src/main/java/granitefold/standin/edge/Relays.java
+++ b/src/main/java/granitefold/standin/edge/Relays.java
@@ -71,7 +71,7 @@
     }
 
     /** From now on this is wrong with an edge. What was held back passes on as soon as the fault allows. */
-    public void fault(Edge edge, Fault fault) {
+    public void setFault(Edge edge, Fault fault) {
         faults.put(edge, fault);
         asked.add(() -> open.stream().filter(c -> c.edge.equals(edge)).toList().forEach(TcpRelay::flush));
         selector.wakeup();
@@ -90,7 +90,7 @@
      * Opens a relay for connections. {@code to} is asked for each one; {@code as}: the address that the other side sees
      * them come from, so that it can tell who opened them.
      */
-    public InetSocketAddress tcp(Edge edge, Supplier<InetSocketAddress> to, InetAddress as) {
+    public InetSocketAddress openTcp(Edge edge, Supplier<InetSocketAddress> to, InetAddress as) {
         return call(() -> {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
@@ -118,7 +118,7 @@
      * Opens the two ends of a way for datagrams between two parties: what {@code a} sends to the first address reaches
      * {@code b} from the second one, and the other way round.
      */
-    public List<InetSocketAddress> udp(Edge there, InetSocketAddress a, Edge back, InetSocketAddress b) {
+    public List<InetSocketAddress> openUdp(Edge there, InetSocketAddress a, Edge back, InetSocketAddress b) {
         return call(() -> {
             DatagramChannel first = datagrams();
             DatagramChannel second = datagrams();
--- a/src/main/java/granitefold/standin/faults/SystemCallFaults.java
+++ b/src/main/java/granitefold/standin/faults/SystemCallFaults.java
@@ -70,24 +70,24 @@
     }
 
     /** From now on this happens to so many calls in a hundred. */
-    public void on(SystemCallFault fault, int percent, int value) {
+    public void enable(SystemCallFault fault, int percent, int value) {
         int at = fault.ordinal() * SLOT_BYTES;
         slots.putInt(at + VALUE_AT, value);
         slots.putInt(at, percent);
     }
 
     /** From now on every such call fails so. */
-    public void on(SystemCallFault fault, Errno error) {
-        on(fault, ALWAYS_PERCENT, error.number());
+    public void enable(SystemCallFault fault, Errno error) {
+        enable(fault, ALWAYS_PERCENT, error.number());
     }
 
     /** The next such call fails so, and it alone. */
-    public void next(SystemCallFault fault, Errno error) {
-        on(fault, NEXT_CALL_ONLY, error.number());
+    public void failNext(SystemCallFault fault, Errno error) {
+        enable(fault, NEXT_CALL_ONLY, error.number());
     }
 
     /** From now on such calls are as they should be. */
-    public void off(SystemCallFault fault) {
+    public void disable(SystemCallFault fault) {
         slots.putInt(fault.ordinal() * SLOT_BYTES, 0);
     }
 
--- a/src/main/java/granitefold/standin/ground/Clients.java
+++ b/src/main/java/granitefold/standin/ground/Clients.java
@@ -1,7 +1,7 @@
 package granitefold.standin.ground;
 
-import granitefold.standin.Exchange;
-import granitefold.standin.Server;
+import granitefold.standin.HttpConnection;
+import granitefold.standin.LoopbackServer;
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
@@ -42,10 +42,10 @@
     private record Wanted(long number, long dueUs, String jobClass, String tenant, long workUs, int sid, double impatience, boolean honours) { }
 
     private static final class Kept {
-        final Exchange exchange;
+        final HttpConnection exchange;
         final Member member;
 
-        Kept(Exchange exchange, Member member) {
+        Kept(HttpConnection exchange, Member member) {
             this.exchange = exchange;
             this.member = member;
         }
@@ -81,7 +81,7 @@
     /** Begins to ask; ends by itself. */
     void begin() {
         beganUs = history.now();
-        Server.daemon(this::schedule, "clients");
+        LoopbackServer.startDaemon(this::schedule, "clients");
     }
 
     /** Microseconds since clients began. */
@@ -213,7 +213,7 @@
                 history.add(new Entry(history.now(), What.REFUSED, "client", null, null, null, w.jobClass, w.tenant, null, 0, null));
                 return new Answer(What.REFUSED, 0, null, null);
             }
-            boolean keptOne = k.exchange.first != null;
+            boolean keptOne = k.exchange.startLine != null;
             a = send(k, w, c, key, "r" + w.number + "-" + attempt + (again > 0 ? "-x" : ""));
             if (a.what != What.UNHEARD || !keptOne) {
                 return a;
@@ -246,7 +246,7 @@
                 return null;
             }
             try {
-                return new Kept(Exchange.open(Front.address(m), CONNECT_MS), m);
+                return new Kept(HttpConnection.open(Front.address(m), CONNECT_MS), m);
             } catch (IOException e) {
                 // refused: the front tries the next one
             }
@@ -255,10 +255,10 @@
     }
 
     private Answer send(Kept k, Wanted w, Scenario.JobClass c, String key, String txn) {
-        Exchange e = k.exchange;
+        HttpConnection e = k.exchange;
         long waitsMs = w.impatience > 0 ? Math.max(1, (long) (w.impatience * c.deadlineUs() / 1000)) : c.deadlineUs() / 1000;
         String body = txn.length() > BODY_MOST ? txn.substring(0, BODY_MOST) : txn;
-        boolean fresh = e.first == null;
+        boolean fresh = e.startLine == null;
         What what;
         int status = 0;
         String text = null;
@@ -266,9 +266,9 @@
             String head = "POST /" + w.jobClass + "?sid=" + Integer.toHexString(w.sid) + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + txn + "\r\nX-Org: " + w.tenant
                     + "\r\nX-Remaining-Ms: " + c.deadlineUs() / 1000 + "\r\nX-Estimate: " + w.workUs + "\r\nX-Labels: slots=" + c.slots() + ",memory=1\r\n"
                     + (key == null ? "" : "Idempotency-Key: " + key + "\r\n") + "Content-Length: " + body.length() + "\r\n\r\n" + body;
-            e.head = Map.of();
+            e.headers = Map.of();
             // written down before it is sent: nothing that follows may seem to come first
-            String conn = granitefold.standin.world.Worker.text((java.net.InetSocketAddress) e.socket.getLocalSocketAddress());
+            String conn = granitefold.standin.world.Worker.addressText((java.net.InetSocketAddress) e.socket.getLocalSocketAddress());
             history.add(new Entry(history.now(), What.ASKED, "client", k.member.name, txn, key, w.jobClass, w.tenant, conn, c.deadlineUs() / 1000, null));
             e.write(head);
             e.socket.setSoTimeout((int) (w.impatience > 0 ? waitsMs : waitsMs + LISTENS_MS));
@@ -277,17 +277,17 @@
             } else {
                 what = What.ANSWERED;
                 status = e.status();
-                text = status == 200 ? expected(key, txn, body, e.body) ? "made" : "other" : e.head.get("retry-after");
+                text = status == 200 ? expected(key, txn, body, e.body) ? "made" : "other" : e.headers.get("retry-after");
             }
         } catch (SocketTimeoutException silent) {
             what = w.impatience > 0 ? What.LEFT : What.SILENT;
         } catch (IOException broken) {
-            what = e.begun ? What.CUT : What.UNHEARD;
+            what = e.messageStarted ? What.CUT : What.UNHEARD;
         }
         text = what == What.UNHEARD && fresh ? "new" : text;
         history.add(new Entry(history.now(), what, "client", k.member.name, txn, key, w.jobClass, w.tenant, null, status, text));
         // some connections end for reasons of their own, so that the front can spread them anew
-        boolean keep = what == What.ANSWERED && !"close".equals(e.head.get("connection")) && ThreadLocalRandom.current().nextDouble() >= scenario.load().churn();
+        boolean keep = what == What.ANSWERED && !"close".equals(e.headers.get("connection")) && ThreadLocalRandom.current().nextDouble() >= scenario.load().churn();
         if (keep) {
             synchronized (idle) {
                 idle.add(k);
--- a/src/main/java/granitefold/standin/ground/Disorder.java
+++ b/src/main/java/granitefold/standin/ground/Disorder.java
@@ -1,7 +1,7 @@
 package granitefold.standin.ground;
 
 import granitefold.standin.world.Worker;
-import granitefold.standin.world.Worker.Mood;
+import granitefold.standin.world.Worker.Behavior;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
@@ -34,27 +34,27 @@
 
     void worker(String action, Worker w, double amount) throws IOException {
         switch (action) {
-            case "slow" -> w.slowness(amount);
-            case "hang" -> w.mood(Mood.HUNG);
-            case "stick" -> w.mood(Mood.STUCK);
-            case "fail" -> w.mood(Mood.FAILING);
-            case "truncate" -> w.mood(Mood.TRUNCATING);
-            case "break" -> w.mood(Mood.RESETTING);
-            case "drain" -> ground.registry.status(w, "draining");
+            case "slow" -> w.slowdown(amount);
+            case "hang" -> w.behavior(Behavior.HANGING);
+            case "stick" -> w.behavior(Behavior.STALLED);
+            case "fail" -> w.behavior(Behavior.FAILING);
+            case "truncate" -> w.behavior(Behavior.TRUNCATING);
+            case "break" -> w.behavior(Behavior.RESETTING);
+            case "drain" -> ground.registry.updateStatus(w, "draining");
             case "remove" -> ground.registry.remove(w);
             case "die" -> {
-                w.die();
+                w.kill();
                 ground.registry.remove(w);
             }
             case "replace" -> {
-                w.die();
+                w.kill();
                 ground.registry.remove(w);
                 ground.worker(true);
             }
             default -> {
-                w.mood(Mood.WELL);
-                w.slowness(1);
-                ground.registry.status(w, "up");
+                w.behavior(Behavior.NORMAL);
+                w.slowdown(1);
+                ground.registry.updateStatus(w, "up");
             }
         }
     }
--- a/src/main/java/granitefold/standin/ground/Ground.java
+++ b/src/main/java/granitefold/standin/ground/Ground.java
@@ -9,7 +9,7 @@
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
 import granitefold.standin.history.Terms;
-import granitefold.standin.world.KeyWindow;
+import granitefold.standin.world.DeduplicationWindow;
 import granitefold.standin.world.Registry;
 import granitefold.standin.world.Worker;
 import granitefold.standin.world.WorkerSpec;
@@ -52,7 +52,7 @@
     private final Map<String, Worker> workers = new ConcurrentHashMap<>();
     /** Where a dispatcher finds a cocinero. */
     private final Map<String, InetSocketAddress> ways = new ConcurrentHashMap<>();
-    private final Map<String, KeyWindow> windows = new HashMap<>();
+    private final Map<String, DeduplicationWindow> windows = new HashMap<>();
     private final List<Registry.Agent> agents = new ArrayList<>();
     private final UniformRandomProvider random;
     private int workersMade;
@@ -86,7 +86,7 @@
         });
         scenario.classes().forEach((name, c) -> {
             if (c.effect() == Terms.Effect.KEYED) {
-                windows.put(name, new KeyWindow(c.windowUs()));
+                windows.put(name, new DeduplicationWindow(c.windowUs()));
             }
         });
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
@@ -106,13 +106,13 @@
 
     private void seen(What what, Edge edge, InetSocketAddress conn, long atNs, long number) {
         if (edge.kind() == Kind.PEER && conn != null) {
-            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.text(conn), number, null));
+            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.addressText(conn), number, null));
         }
     }
 
     private void passedOn(What what, Edge edge, InetSocketAddress opener, long atNs) {
         if (edge.kind() == Kind.CLIENT && opener != null) {
-            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.text(opener), 0, null));
+            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.addressText(opener), 0, null));
         }
     }
 
@@ -131,8 +131,8 @@
     Worker worker(boolean cold) throws IOException {
         WorkerSpec s = scenario.cocineros().spec();
         double speed = s.speed() * (1 + scenario.cocineros().spread() * (2 * random.nextDouble() - 1));
-        Worker w = new Worker("s" + workersMade++, new WorkerSpec(s.slots(), speed, s.queue(), s.coldFrom(), s.coldUs(), s.fallMultiple(),
-                s.fallUs(), s.meanWorkUs(), s.keeps(), s.fetchUs()), cold, windows, history, Ground::whose);
+        Worker w = new Worker("s" + workersMade++, new WorkerSpec(s.slots(), speed, s.queueLimit(), s.slowStartFrom(), s.slowStartUs(), s.overloadMultiple(),
+                s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), cold, windows, history, Ground::whose);
         workers.put(w.name, w);
         for (Member m : members) {
             way(m, w);
@@ -143,7 +143,7 @@
 
     private void way(Member m, Worker w) throws IOException {
         Edge e = edge(Kind.PEER, m.name, w.name);
-        ways.put(e.toString(), relays.tcp(e, w::at, as(m)));
+        ways.put(e.toString(), relays.openTcp(e, w::socketAddress, as(m)));
     }
 
     Worker worker(String name) {
@@ -165,16 +165,16 @@
     private void wire(Member m) throws IOException {
         Registry.Agent agent = registry.new Agent(m.name, w -> Member.text(ways.get(m.name + ">" + w)));
         agents.add(agent);
-        InetSocketAddress discovery = relays.tcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::at, as(m));
-        m.front = relays.tcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listen, InetAddress.getLoopbackAddress());
-        m.control = relays.tcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeper, InetAddress.getLoopbackAddress());
+        InetSocketAddress discovery = relays.openTcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::socketAddress, as(m));
+        m.front = relays.openTcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listen, InetAddress.getLoopbackAddress());
+        m.control = relays.openTcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeper, InetAddress.getLoopbackAddress());
         m.config().put("listen", Member.text(m.listen)).put("discovery", Member.text(discovery));
         known(m);
     }
 
     /** What a dispatcher knows of the list when it starts: what there is now. */
     void known(Member m) throws IOException {
-        m.config().set("known", Settings.JSON.readTree(registry.list(w -> Member.text(ways.get(m.name + ">" + w)))));
+        m.config().set("known", Settings.JSON.readTree(registry.listJson(w -> Member.text(ways.get(m.name + ">" + w)))));
     }
 
     private void datagrams() {
@@ -186,7 +186,7 @@
                 // i sends to the first, which j sees as the second; and back
                 Member a = members.get(i);
                 Member b = members.get(j);
-                List<InetSocketAddress> ends = relays.udp(edge(Kind.SIBLING, a.name, b.name), a.siblings, edge(Kind.SIBLING, b.name, a.name), b.siblings);
+                List<InetSocketAddress> ends = relays.openUdp(edge(Kind.SIBLING, a.name, b.name), a.siblings, edge(Kind.SIBLING, b.name, a.name), b.siblings);
                 to[i][j] = ends.get(0);
                 to[j][i] = ends.get(1);
             }
@@ -217,7 +217,7 @@
 
     /** Starts all dispatchers and waits until each serves. */
     public void start() throws IOException, InterruptedException {
-        granitefold.standin.Server.daemon(this::watchLag, "pulse");
+        granitefold.standin.LoopbackServer.startDaemon(this::watchLag, "pulse");
         for (Member m : members) {
             m.start();
         }
@@ -236,7 +236,7 @@
 
     /** It starts, by us or by its keeper: the front takes it in once it serves. */
     void takeInOnceReady(Member m) {
-        granitefold.standin.Server.daemon(() -> {
+        granitefold.standin.LoopbackServer.startDaemon(() -> {
             try {
                 m.awaitReady();
                 front.in(m);
--- a/src/main/java/granitefold/standin/ground/Member.java
+++ b/src/main/java/granitefold/standin/ground/Member.java
@@ -1,7 +1,7 @@
 package granitefold.standin.ground;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import granitefold.standin.Exchange;
+import granitefold.standin.HttpConnection;
 import granitefold.standin.faults.SystemCallFaults;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
@@ -216,7 +216,7 @@
         if (beside && !kept) {
             return ask(life, "check").get(0).startsWith("ACK");
         }
-        try (Exchange e = Exchange.open(listen, CHECK_MS)) {
+        try (HttpConnection e = HttpConnection.open(listen, CHECK_MS)) {
             e.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
             return e.read() && e.status() == 200;
         }
@@ -235,9 +235,9 @@
 
     /** Asks at the second address. */
     List<String> ask(Life life, String call) throws IOException {
-        try (Exchange e = Exchange.open(life.ops(), CHECK_MS)) {
+        try (HttpConnection e = HttpConnection.open(life.ops(), CHECK_MS)) {
             e.write(call + "\n");
-            return e.rest().lines().toList();
+            return e.readToEnd().lines().toList();
         }
     }
 
--- a/src/main/java/granitefold/standin/ground/ProcessFaults.java
+++ b/src/main/java/granitefold/standin/ground/ProcessFaults.java
@@ -64,7 +64,7 @@
             case "release" -> release(m);
             case "crash" -> crash(m, (long) amount);
             case "crowd" -> crowd(m);
-            case WRITES_HELD -> m.faults.on(SystemCallFault.HELD_WRITE, (int) amount, (int) HELD_MS);
+            case WRITES_HELD -> m.faults.enable(SystemCallFault.HELD_WRITE, (int) amount, (int) HELD_MS);
             default -> call(CALLS.get(action), m, (int) (amount > 0 ? amount : ALWAYS));
         }
     }
@@ -73,9 +73,9 @@
         if (action.equals("crowd")) {
             disperse(m);
         } else if (action.equals(WRITES_HELD)) {
-            m.faults.off(SystemCallFault.HELD_WRITE);
+            m.faults.disable(SystemCallFault.HELD_WRITE);
         } else if (CALLS.containsKey(action)) {
-            m.faults.off(CALLS.get(action));
+            m.faults.disable(CALLS.get(action));
         }
     }
 
@@ -87,7 +87,7 @@
         List<Errno> errors = ERRORS.get(fault);
         int value = errors != null ? errors.get(draw(errors.size())).number() : fault == SystemCallFault.WALL_CLOCK
                 ? (draw(2) == 0 ? 1 : -1) * (1 + draw(HOUR_S)) : 0;
-        m.faults.on(fault, percent, value);
+        m.faults.enable(fault, percent, value);
     }
 
     /** Stands still for a moment that the page allows: it excuses nothing. */
@@ -149,9 +149,9 @@
     private void failAccepts(Member m) throws InterruptedException {
         Thread.sleep(draw((int) ACCEPTS_FAIL_FROM_MS));
         List<Errno> errors = ERRORS.get(SystemCallFault.ACCEPT);
-        m.faults.on(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
+        m.faults.enable(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
         Thread.sleep(ACCEPTS_FAIL_MS / 2 + draw((int) ACCEPTS_FAIL_MS / 2));
-        m.faults.off(SystemCallFault.ACCEPT);
+        m.faults.disable(SystemCallFault.ACCEPT);
     }
 
     /** Killed without a word, and started anew after a while. */
--- a/src/main/java/granitefold/standin/ground/Script.java
+++ b/src/main/java/granitefold/standin/ground/Script.java
@@ -137,9 +137,9 @@
         }
         switch (s.action()) {
             case "reset" -> edges(s).forEach(ground.relays::reset);
-            case "discovery-down" -> ground.registry.down(true);
-            case "discovery-up" -> ground.registry.down(false);
-            case "hush" -> ground.registry.hush();
+            case "discovery-down" -> ground.registry.setDown(true);
+            case "discovery-up" -> ground.registry.setDown(false);
+            case "hush" -> ground.registry.silenceOpenWatches();
             case "rate" -> ground.clients.rate(s.amount());
             case "tenant-rate" -> s.to().forEach(t -> ground.clients.tenantRate(t, s.amount()));
             default -> {
@@ -190,12 +190,12 @@
         double a = s.amount();
         return switch (s.action()) {
             case "cut" -> Fault.CUT;
-            case "cut-there" -> Fault.CUT_THERE;
-            case "cut-back" -> Fault.CUT_BACK;
+            case "cut-there" -> Fault.CUT_FORWARD;
+            case "cut-back" -> Fault.CUT_BACKWARD;
             case "refuse" -> Fault.REFUSING;
             case "delay" -> Fault.delayed((long) (a > 0 ? a : DELAY_MS), (long) (a > 0 ? a : DELAY_MS));
             case "lose" -> Fault.lossy(a > 0 ? a : LOSS, LOSS / 3, LOSS / 3);
-            case "drip" -> Fault.dripping((long) (a > 0 ? a : DRIP));
+            case "drip" -> Fault.throttled((long) (a > 0 ? a : DRIP));
             case "heal" -> Fault.NONE;
             default -> null;
         };
@@ -209,7 +209,7 @@
         if (!s.between().isEmpty()) {
             Collection<String> a = s.between().get(0);
             Collection<String> b = s.between().get(1);
-            which = e -> e.joins(a, b);
+            which = e -> e.connects(a, b);
         } else {
             which = e -> s.to().isEmpty() || s.to().contains(e.from()) || s.to().contains(e.to());
         }
@@ -217,7 +217,7 @@
     }
 
     private void set(Edge e, Fault f) {
-        ground.relays.fault(e, f);
+        ground.relays.setFault(e, f);
         ground.history.add(What.FAULT, e.toString(), f.equals(Fault.NONE) ? "none" : f.toString());
     }
 }
--- a/src/main/java/granitefold/standin/ground/Settings.java
+++ b/src/main/java/granitefold/standin/ground/Settings.java
@@ -39,8 +39,8 @@
         set.putArray("hostTypes").add("m");
         set.put("me", number).put("siblings", s.dispatchers().count()).put("tickMs", TICK_MS);
         set.putObject("rules").put("drainGraceMs", Scenario.DRAIN_GRACE_MS).put("graceToAnswerMs", ANSWER_SLACK_MS)
-                .put("coldFrom", s.cocineros().spec().coldFrom()).put("coldMs", s.cocineros().spec().coldUs() / 1000)
-                .put("tipMultiple", s.cocineros().spec().fallMultiple()).put("fallMs", s.cocineros().spec().fallUs() / 1000);
+                .put("coldFrom", s.cocineros().spec().slowStartFrom()).put("coldMs", s.cocineros().spec().slowStartUs() / 1000)
+                .put("tipMultiple", s.cocineros().spec().overloadMultiple()).put("fallMs", s.cocineros().spec().overloadWindowUs() / 1000);
         set.putObject("limits").put("attemptsCap", ATTEMPTS).put("connectTimeoutMs", CONNECT_MS).put("idleCloseMs", IDLE_MS)
                 .put("cancelling", true).put("peers", s.dispatchers().talk()).put("maxRetryAfterMs", RETRY_AFTER_MS);
         return c;
--- a/src/main/java/granitefold/standin/world/KeyWindow.java
+++ b/src/main/java/granitefold/standin/world/DeduplicationWindow.java
@@ -7,7 +7,7 @@
  * The keys of jobs that ran lately, for a group of cocineros that drop each other's repeats. A job that was lost leaves
  * no mark: whoever sends it again starts it over.
  */
-public final class KeyWindow {
+public final class DeduplicationWindow {
     /** What a job with a key finds. */
     public enum Found { NEW, RUNNING, DONE }
 
@@ -16,7 +16,7 @@
     private final long windowUs;
     private final Map<String, Mark> marks = new HashMap<>();
 
-    public KeyWindow(long windowUs) {
+    public DeduplicationWindow(long windowUs) {
         this.windowUs = windowUs;
     }
 
--- a/src/main/java/granitefold/standin/world/Registry.java
+++ b/src/main/java/granitefold/standin/world/Registry.java
@@ -1,7 +1,7 @@
 package granitefold.standin.world;
 
-import granitefold.standin.Exchange;
-import granitefold.standin.Server;
+import granitefold.standin.HttpConnection;
+import granitefold.standin.LoopbackServer;
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
@@ -48,20 +48,20 @@
     }
 
     /** Its state is another one now. */
-    public synchronized void status(Worker w, String status) {
+    public synchronized void updateStatus(Worker w, String status) {
         w.status(status);
         changed(w, status);
     }
 
     /** Discovery cannot be reached by its agents, or can again. */
-    public synchronized void down(boolean now) {
+    public synchronized void setDown(boolean now) {
         down = now;
         history.add(What.FAULT, DISCOVERY, now ? "down" : "none");
         notifyAll();
     }
 
     /** All watches that are open now fall silent, and stay so. */
-    public synchronized void hush() {
+    public synchronized void silenceOpenWatches() {
         hushes++;
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** The list as one dispatcher sees it; {@code addresses}: where it finds each cocinero. */
-    public synchronized String list(UnaryOperator<String> addresses) {
+    public synchronized String listJson(UnaryOperator<String> addresses) {
         StringBuilder b = new StringBuilder("{\"index\":" + version + ",\"snapshot\":true,\"endpoints\":[");
         for (Worker w : workers) {
             b.append(b.charAt(b.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(w.name).append("\",\"address\":\"")
@@ -87,7 +87,7 @@
     }
 
     /** The agent of one dispatcher. */
-    public final class Agent extends Server {
+    public final class Agent extends LoopbackServer {
         private final String dispatcher;
         private final UnaryOperator<String> addresses;
 
@@ -98,11 +98,11 @@
 
         @Override
         protected void serve(Socket socket) throws IOException, InterruptedException {
-            Exchange e = new Exchange(socket, PATIENCE_MS);
+            HttpConnection e = new HttpConnection(socket, PATIENCE_MS);
             if (!e.read()) {
                 return;
             }
-            boolean stream = e.first.contains("stream=1");
+            boolean stream = e.startLine.contains("stream=1");
             boolean head = false;
             int told = 0;
             int opened;
@@ -121,7 +121,7 @@
                         text = null;
                     } else if (told != version) {
                         told = version;
-                        text = list(addresses) + "\n";
+                        text = listJson(addresses) + "\n";
                         news = told();
                     }
                 }
--- a/src/main/java/granitefold/standin/world/Worker.java
+++ b/src/main/java/granitefold/standin/world/Worker.java
@@ -1,7 +1,7 @@
 package granitefold.standin.world;
 
-import granitefold.standin.Exchange;
-import granitefold.standin.Server;
+import granitefold.standin.HttpConnection;
+import granitefold.standin.LoopbackServer;
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
@@ -17,14 +17,14 @@
  * A cocinero on a socket. It takes its time by a {@link WorkerModel}, and writes down what it sees. Its result for a job is
  * the body in capitals.
  */
-public final class Worker extends Server {
+public final class Worker extends LoopbackServer {
     /** What is wrong with it. */
-    public enum Mood {
-        WELL,
+    public enum Behavior {
+        NORMAL,
         /** It takes requests and says nothing. */
-        HUNG,
+        HANGING,
         /** It says that jobs start, and nothing more. */
-        STUCK,
+        STALLED,
         /** It answers 500. */
         FAILING,
         /** It resets connections when a job has begun. */
@@ -40,10 +40,10 @@
     private final History history;
     private final Function<InetSocketAddress, String> dispatchers;
     private final WorkerSpec spec;
-    private final Map<String, KeyWindow> windows;
+    private final Map<String, DeduplicationWindow> windows;
     /** Guarded by itself. */
     private final WorkerModel model;
-    private volatile Mood mood = Mood.WELL;
+    private volatile Behavior behavior = Behavior.NORMAL;
     /** The state that discovery is to tell. */
     private volatile String status = "up";
     final long startedMs;
@@ -54,7 +54,7 @@
      * @param windows by class, where repeats of one are dropped
      * @param dispatchers who connects from an address
      */
-    public Worker(String name, WorkerSpec spec, boolean cold, Map<String, KeyWindow> windows, History history,
+    public Worker(String name, WorkerSpec spec, boolean cold, Map<String, DeduplicationWindow> windows, History history,
             Function<InetSocketAddress, String> dispatchers) throws IOException {
         this.name = name;
         this.spec = spec;
@@ -65,8 +65,8 @@
         startedMs = cold ? System.currentTimeMillis() : 0;
     }
 
-    public void mood(Mood now) {
-        mood = now;
+    public void behavior(Behavior now) {
+        behavior = now;
     }
 
     public String status() {
@@ -82,14 +82,14 @@
     }
 
     /** Jobs that start from now on take so many times as long. */
-    public void slowness(double factor) {
+    public void slowdown(double factor) {
         synchronized (model) {
-            model.slowness(factor);
+            model.slowdown(factor);
         }
     }
 
     /** The process dies: connections are reset, new ones refused. */
-    public void die() throws IOException {
+    public void kill() throws IOException {
         resetAll();
         close();
     }
@@ -97,9 +97,9 @@
     @Override
     protected void serve(Socket socket) throws IOException, InterruptedException {
         InetSocketAddress from = (InetSocketAddress) socket.getRemoteSocketAddress();
-        Exchange e = new Exchange(socket, PATIENCE_MS);
+        HttpConnection e = new HttpConnection(socket, PATIENCE_MS);
         while (e.read()) {
-            if (!e.first.startsWith("POST ")) {
+            if (!e.startLine.startsWith("POST ")) {
                 e.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             } else if (!job(e, new Seen(e, dispatchers.apply(from), from))) {
                 return;
@@ -118,15 +118,15 @@
         /** How long the dispatcher says that it waits. */
         final long toldMs;
 
-        Seen(Exchange e, String dispatcher, InetSocketAddress from) {
+        Seen(HttpConnection e, String dispatcher, InetSocketAddress from) {
             this.dispatcher = dispatcher;
-            conn = text(from);
-            txn = e.head.get("x-txn");
-            key = e.head.get("idempotency-key");
-            String path = e.first.split(" ")[1];
+            conn = addressText(from);
+            txn = e.headers.get("x-txn");
+            key = e.headers.get("idempotency-key");
+            String path = e.startLine.split(" ")[1];
             jobClass = path.substring(1, path.indexOf('?') < 0 ? path.length() : path.indexOf('?'));
-            tenant = e.head.get("x-org");
-            toldMs = Long.parseLong(e.head.getOrDefault("x-remaining-ms", "0"));
+            tenant = e.headers.get("x-org");
+            toldMs = Long.parseLong(e.headers.getOrDefault("x-remaining-ms", "0"));
         }
 
         void add(What what, String text) {
@@ -135,21 +135,21 @@
     }
 
     /** A connection as both sides of a relay write it down. */
-    public static String text(InetSocketAddress a) {
+    public static String addressText(InetSocketAddress a) {
         return a.getAddress().getHostAddress() + ":" + a.getPort();
     }
 
     /** Serves one; false where the connection is not to be used again. */
-    private boolean job(Exchange e, Seen seen) throws IOException, InterruptedException {
+    private boolean job(HttpConnection e, Seen seen) throws IOException, InterruptedException {
         if (seen.txn == null) {
             e.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
         seen.add(What.BEGUN, null);
-        if (mood == Mood.HUNG) {
+        if (behavior == Behavior.HANGING) {
             return !e.closedWithin(PATIENCE_MS);
         }
-        if (mood == Mood.FAILING) {
+        if (behavior == Behavior.FAILING) {
             seen.add(What.ENDED, "failed");
             e.write("HTTP/1.1 " + FAILED + " Failed\r\nContent-Length: 0\r\n\r\n");
             return true;
@@ -157,15 +157,15 @@
         WorkerModel.Ticket ticket;
         synchronized (model) {
             boolean stood = !model.fallen();
-            String target = e.first.split(" ")[1];
-            ticket = model.offer(slots(e), Long.parseLong(e.head.getOrDefault("x-work", e.head.getOrDefault("x-estimate", "100000"))),
+            String target = e.startLine.split(" ")[1];
+            ticket = model.offer(slots(e), Long.parseLong(e.headers.getOrDefault("x-work", e.headers.getOrDefault("x-estimate", "100000"))),
                     target.contains("sid=") ? target.substring(target.indexOf("sid=")) : null, history.now());
             if (stood && model.fallen()) {
                 history.add(What.FELL, name, "sent too much while cold");
             }
         }
         if (fallen()) {
-            die();
+            kill();
             return false;
         }
         if (ticket == null) {
@@ -173,24 +173,24 @@
             e.write("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        KeyWindow window = seen.key == null ? null : windows.get(seen.jobClass);
+        DeduplicationWindow window = seen.key == null ? null : windows.get(seen.jobClass);
         boolean ours = false;
         try {
             if (!await(e, ticket, WorkerModel.State.RUNNING)) {
                 return false;
             }
-            KeyWindow.Found found = window == null ? KeyWindow.Found.NEW : window.begin(seen.key, history.now());
-            ours = window != null && found == KeyWindow.Found.NEW;
-            seen.add(What.STARTED, found == KeyWindow.Found.NEW ? null : "repeat");
+            DeduplicationWindow.Found found = window == null ? DeduplicationWindow.Found.NEW : window.begin(seen.key, history.now());
+            ours = window != null && found == DeduplicationWindow.Found.NEW;
+            seen.add(What.STARTED, found == DeduplicationWindow.Found.NEW ? null : "repeat");
             e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + line(seen, "\"started\"}"));
-            if (mood == Mood.STUCK) {
+            if (behavior == Behavior.STALLED) {
                 return !e.closedWithin(PATIENCE_MS);
             }
-            if (mood == Mood.RESETTING) {
+            if (behavior == Behavior.RESETTING) {
                 e.socket.setSoLinger(true, 0);
                 return false;
             }
-            if (found == KeyWindow.Found.DONE) {
+            if (found == DeduplicationWindow.Found.DONE) {
                 synchronized (model) {
                     model.cancel(ticket, history.now());
                 }
@@ -198,7 +198,7 @@
                 return false;
             }
             String result = result(e);
-            if (found == KeyWindow.Found.DONE && window.result(seen.key) != null) {
+            if (found == DeduplicationWindow.Found.DONE && window.result(seen.key) != null) {
                 result = window.result(seen.key);
             }
             if (ours) {
@@ -207,7 +207,7 @@
             }
             String last = line(seen, "\"done\",\"result\":\"" + result + "\"}");
             seen.add(What.ENDED, "done");
-            if (mood == Mood.TRUNCATING) {
+            if (behavior == Behavior.TRUNCATING) {
                 e.write(last.substring(0, last.length() / 2));
                 return false;
             }
@@ -229,8 +229,8 @@
         }
     }
 
-    private static int slots(Exchange e) {
-        for (String label : e.head.getOrDefault("x-labels", "").split(",")) {
+    private static int slots(HttpConnection e) {
+        for (String label : e.headers.getOrDefault("x-labels", "").split(",")) {
             if (label.startsWith("slots=")) {
                 return (int) Double.parseDouble(label.substring("slots=".length()));
             }
@@ -238,7 +238,7 @@
         return 1;
     }
 
-    private static String result(Exchange e) {
+    private static String result(HttpConnection e) {
         return new String(e.body, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
     }
 
@@ -248,7 +248,7 @@
     }
 
     /** Waits until a job has come to a state; false if the other side closed before, or the cocinero fell over. */
-    private boolean await(Exchange e, WorkerModel.Ticket t, WorkerModel.State wanted) throws IOException {
+    private boolean await(HttpConnection e, WorkerModel.Ticket t, WorkerModel.State wanted) throws IOException {
         while (true) {
             long wait = LOOK_MS;
             synchronized (model) {
--- a/src/main/java/granitefold/standin/world/WorkerModel.java
+++ b/src/main/java/granitefold/standin/world/WorkerModel.java
@@ -51,7 +51,7 @@
     private final List<Ticket> running = new ArrayList<>();
     private final Map<String, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
     private final Deque<Sent> lately = new ArrayDeque<>();
-    private double slowness = 1;
+    private double slowdown = 1;
     private boolean fallen;
 
     /** One that started then; {@link Long#MIN_VALUE}: long ago. */
@@ -61,8 +61,8 @@
     }
 
     /** From now on jobs that start take so many times as long. */
-    public void slowness(double factor) {
-        slowness = factor;
+    public void slowdown(double factor) {
+        slowdown = factor;
     }
 
     /** It was sent too much while it was cold, and does nothing any more. */
@@ -72,10 +72,10 @@
 
     /** Share of its speed that it has by its age. */
     public double warmth(long nowUs) {
-        if (startedAtUs == Long.MIN_VALUE || nowUs - startedAtUs >= spec.coldUs()) {
+        if (startedAtUs == Long.MIN_VALUE || nowUs - startedAtUs >= spec.slowStartUs()) {
             return 1;
         }
-        return spec.coldFrom() + (1 - spec.coldFrom()) * Math.max(0, nowUs - startedAtUs) / spec.coldUs();
+        return spec.slowStartFrom() + (1 - spec.slowStartFrom()) * Math.max(0, nowUs - startedAtUs) / spec.slowStartUs();
     }
 
     /** Takes a job in, or null where there is no room, or it falls over. */
@@ -85,7 +85,7 @@
             return null;
         }
         weigh(workUs, nowUs);
-        if (fallen || slots > spec.slots() || queue.size() >= spec.queue()) {
+        if (fallen || slots > spec.slots() || queue.size() >= spec.queueLimit()) {
             return null;
         }
         Ticket t = new Ticket(slots, workUs, key);
@@ -96,11 +96,11 @@
 
     private void weigh(long workUs, long nowUs) {
         lately.add(new Sent(nowUs, workUs / spec.meanWorkUs()));
-        while (lately.peek().atUs() <= nowUs - spec.fallUs()) {
+        while (lately.peek().atUs() <= nowUs - spec.overloadWindowUs()) {
             lately.remove();
         }
         if (warmth(nowUs) < 1) {
-            double allowed = spec.fallMultiple() * spec.slots() * spec.speed() * warmth(nowUs) * spec.fallUs() / spec.meanWorkUs();
+            double allowed = spec.overloadMultiple() * spec.slots() * spec.speed() * warmth(nowUs) * spec.overloadWindowUs() / spec.meanWorkUs();
             double sent = lately.stream().mapToDouble(Sent::jobs).sum();
             if (sent > allowed + SPREADS * Math.sqrt(allowed) + MORE) {
                 fallen = true;
@@ -136,17 +136,17 @@
             Ticket t = queue.remove();
             free -= t.slots;
             t.state = State.RUNNING;
-            t.endsAtUs = nowUs + (long) (t.workUs * slowness / (spec.speed() * warmth(nowUs))) + fetch(t.key);
+            t.endsAtUs = nowUs + (long) (t.workUs * slowdown / (spec.speed() * warmth(nowUs))) + fetch(t.key);
             running.add(t);
         }
     }
 
     private long fetch(String key) {
-        if (spec.keeps() == 0 || key == null) {
+        if (spec.cachedKeys() == 0 || key == null) {
             return 0;
         }
         boolean here = kept.put(key, true) != null;
-        if (kept.size() > spec.keeps()) {
+        if (kept.size() > spec.cachedKeys()) {
             kept.remove(kept.keySet().iterator().next());
         }
         return here ? 0 : spec.fetchUs();
--- a/src/test/java/granitefold/real/OpsIT.java
+++ b/src/test/java/granitefold/real/OpsIT.java
@@ -7,8 +7,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import granitefold.standin.Fleet;
-import granitefold.standin.KeptClients;
-import granitefold.standin.KeptClients.End;
+import granitefold.standin.ClosedLoopClients;
+import granitefold.standin.ClosedLoopClients.End;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,9 +37,9 @@
     @BeforeMethod
     public void start() throws Exception {
         fleet = new Fleet(3, 8);
-        d = fleet.dispatcher("", fleet.discovery.list(null));
-        d.startBeside();
-        d.awaitYes();
+        d = fleet.dispatcher("", fleet.discovery.listJson(null));
+        d.startAlongside();
+        d.awaitReady();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -62,7 +62,7 @@
     /** The answer, in the time it is due in. */
     private List<String> ask(String call) throws IOException {
         long at = System.nanoTime();
-        List<String> lines = d.ask(call);
+        List<String> lines = d.callOps(call);
         assertTrue(System.nanoTime() - at < DUE_NS, call + " took " + (System.nanoTime() - at) / 1_000_000 + " ms");
         return lines;
     }
@@ -91,7 +91,7 @@
     /** Its rest is not read: the connection ends under a caller that goes on writing, who reads the answer all the same. */
     @Test
     public void aCallOfAMegabyteIsTurnedAwayAndItsRestNotRead() throws Exception {
-        Socket s = open(d.ops(), "");
+        Socket s = open(d.opsAddress(), "");
         s.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(DUE_NS));
         byte[] piece = "x".repeat(READ_MOST).getBytes();
         assertThrows(SocketException.class, () -> {
@@ -167,14 +167,14 @@
     @Test
     public void figuresAreTrueUnderACrowd() throws Exception {
         for (int i = 0; i < 100; i++) {
-            open(d.ops(), i % 2 == 0 ? "" : "che");
+            open(d.opsAddress(), i % 2 == 0 ? "" : "che");
         }
-        try (KeptClients clients = new KeptClients("c", d.address(), 8, 20_000, true)) {
+        try (ClosedLoopClients clients = new ClosedLoopClients("c", d.address(), 8, 20_000, true)) {
             for (int i = 0; i < 2_000; i++) {
                 open(d.address(), i % 3 == 0 ? "POST /ficha HTTP/1.1\r\nHost:" : "");
                 if (i % 100 == 0) {
                     assertEquals(ask("check"), List.of("ACK"));
-                    open(d.ops(), "va");
+                    open(d.opsAddress(), "va");
                     JsonNode during = vars();
                     long served = clients.count(End.SERVED);
                     long success = during.get("replies").get("ficha").get("success").asLong();
@@ -195,7 +195,7 @@
             assertEquals(ficha.get("error").asLong(), clients.count(End.FAILED), clients.toString());
             assertEquals(all.get("concurrent").asLong(), 0);
             // the operators' slack for attempts is 2%
-            assertEquals((double) all.get("dispatches").asLong(), fleet.started(), 3 + 0.02 * fleet.started());
+            assertEquals((double) all.get("dispatches").asLong(), fleet.jobsStarted(), 3 + 0.02 * fleet.jobsStarted());
         }
     }
 }
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -47,11 +47,11 @@
         startWithFaults();
         terminate();
         program.awaitLog("phase: DRAINING");
-        faults.on(SystemCallFault.ACCEPT, error);
+        faults.enable(SystemCallFault.ACCEPT, error);
         Exchange client = send("/ficha", "t1", "");
         sleepUntil(System.nanoTime(), DEADLINE_MS + 300);
         assertTrue(faults.injected(SystemCallFault.ACCEPT) > 0, "no call of accept has failed");
-        faults.off(SystemCallFault.ACCEPT);
+        faults.disable(SystemCallFault.ACCEPT);
         assertFinal(client.status());
         awaitEnd();
     }
@@ -63,7 +63,7 @@
         startWithFaults();
         Exchange client = send("/once", "t1", "");
         a.accept().answer("started");
-        faults.on(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
+        faults.enable(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
         program.client();
         while (faults.injected(SystemCallFault.ACCEPT) == 0) {
             Thread.onSpinWait();
@@ -99,7 +99,7 @@
         long told = terminate();
         sleepUntil(told, HELD_MS);
         goOn();
-        faults.on(SystemCallFault.HELD_WRITE, 100, (int) HELD_MS);
+        faults.enable(SystemCallFault.HELD_WRITE, 100, (int) HELD_MS);
         Thread killer = new Thread(() -> {
             try {
                 killAt(told);
@@ -152,10 +152,10 @@
         Exchange worker = a.accept().answer("started");
         terminate();
         program.awaitLog("phase: DRAINING");
-        faults.on(SystemCallFault.WALL_CLOCK, 100, 3600);
+        faults.enable(SystemCallFault.WALL_CLOCK, 100, 3600);
         Exchange late = send("/ficha", "t2", "");
         Exchange second = a.accept().answer("started");
-        faults.on(SystemCallFault.WALL_CLOCK, 100, -3600);
+        faults.enable(SystemCallFault.WALL_CLOCK, 100, -3600);
         worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
         second.lines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
         assertEquals(client.status() + late.status(), 400);
--- a/src/test/java/granitefold/real/SystemCallsIT.java
+++ b/src/test/java/granitefold/real/SystemCallsIT.java
@@ -27,7 +27,7 @@
     @Test(dataProvider = "failing")
     public void aConnectionThatCannotBeOpenedIsNotWaitedFor(SystemCallFault call, Errno error) throws Exception {
         startWithFaults();
-        faults.next(call, error);
+        faults.failNext(call, error);
         Exchange client = send("/ficha", "t1", "");
         a.server.setSoTimeout(CONNECT_TIMEOUT_MS / 2);
         a.accept().answer("done").end();
@@ -39,7 +39,7 @@
     @Test(dataProvider = "failing")
     public void whereNoConnectionCanBeOpenedTheClientHearsOfItAtOnce(SystemCallFault call, Errno error) throws Exception {
         startWithFaults();
-        faults.on(call, error);
+        faults.enable(call, error);
         long sentNs = System.nanoTime();
         Exchange client = send("/ficha", "t1", "");
         assertEquals(client.status(), 503);
@@ -51,11 +51,11 @@
     @Test(dataProvider = "momentary")
     public void aStartWaitsUntilASocketCanBeOpened(Errno error) throws Exception {
         prepare();
-        faults.on(SystemCallFault.SOCKET, error);
+        faults.enable(SystemCallFault.SOCKET, error);
         launch();
         // the first one may be the JVM's own, before the program's
         sleepUntil(System.nanoTime(), START_FAILS_MS);
-        faults.off(SystemCallFault.SOCKET);
+        faults.disable(SystemCallFault.SOCKET);
         assertTrue(faults.injected(SystemCallFault.SOCKET) > 0, "no socket was asked for");
         program.serving();
         Exchange client = send("/ficha", "t1", "");
@@ -77,10 +77,10 @@
     @Test(dataProvider = "unaccepted")
     public void theTimeThatAnAttemptTellsLeavesOutTheWaitToBeAccepted(Errno error) throws Exception {
         startWithFaults();
-        faults.on(SystemCallFault.ACCEPT, error);
+        faults.enable(SystemCallFault.ACCEPT, error);
         Exchange client = program.client().write(request("/ficha", "t1", "X-Remaining-Ms: 3000\r\nX-Estimate: 2000\r\n", "soup"));
         sleepUntil(System.nanoTime(), 2 * ACCEPT_FAILS_MS);
-        faults.off(SystemCallFault.ACCEPT);
+        faults.disable(SystemCallFault.ACCEPT);
         Exchange worker = a.accept();
         long toldMs = Long.parseLong(worker.head.get("x-remaining-ms"));
         assertTrue(toldMs <= 3000 - 2 * ACCEPT_FAILS_MS + SLACK_MS, "told " + toldMs);
@@ -96,7 +96,7 @@
         Exchange worker = a.accept().answer("done");
         worker.end();
         assertEquals(open.status(), 200);
-        faults.on(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
+        faults.enable(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
         Exchange waiting = send("/once", "t2", "");
         while (faults.injected(SystemCallFault.ACCEPT) == 0) {
             Thread.onSpinWait();
@@ -106,7 +106,7 @@
         assertEquals(third.head.get("x-txn"), "t3");
         third.answer("done").end();
         assertEquals(open.status(), 200);
-        faults.off(SystemCallFault.ACCEPT);
+        faults.disable(SystemCallFault.ACCEPT);
         nextAttempt(worker, third).answer("done").end();
         assertEquals(waiting.status(), 200);
     }
@@ -115,7 +115,7 @@
     @Test
     public void whoWaitsForAContinueGetsItWhole() throws Exception {
         startWithFaults();
-        faults.on(SystemCallFault.SHORT_WRITE, ALWAYS_PERCENT, 0);
+        faults.enable(SystemCallFault.SHORT_WRITE, ALWAYS_PERCENT, 0);
         String raw = request("/ficha", "t1", TIME + "Expect: 100-continue\r\n", "soup");
         Exchange client = program.client().write(raw.substring(0, raw.length() - "soup".length()));
         assertEquals(client.read(), "HTTP/1.1 100 Continue");
@@ -129,7 +129,7 @@
     @Test
     public void interruptedReadsAndWritesEndNoConnection() throws Exception {
         startWithFaults();
-        faults.on(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT / 2, 0);
+        faults.enable(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT / 2, 0);
         Exchange client = program.client();
         List<Exchange> kept = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -148,12 +148,12 @@
         startWithFaults();
         Exchange client = send("/once", "t1", "");
         Exchange worker = a.accept().answer("started");
-        faults.on(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT, 0);
+        faults.enable(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT, 0);
         worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
         Exchange second = send("/once", "t2", "");
         sleepUntil(System.nanoTime(), ACCEPT_FAILS_MS);
         assertTrue(faults.injected(SystemCallFault.INTERRUPTED) > 0, "no call was interrupted");
-        faults.off(SystemCallFault.INTERRUPTED);
+        faults.disable(SystemCallFault.INTERRUPTED);
         assertEquals(client.status() + client.body, "200made");
         nextAttempt(worker).answer("started", "done").end();
         assertEquals(second.status(), 200);
@@ -163,9 +163,9 @@
     @Test
     public void shortReadsAndWritesAndInterruptedWaitsChangeNothing() throws Exception {
         startWithFaults();
-        faults.on(SystemCallFault.SHORT_WRITE, ALWAYS_PERCENT, 0);
-        faults.on(SystemCallFault.SHORT_READ, ALWAYS_PERCENT, 0);
-        faults.on(SystemCallFault.WAIT, ALWAYS_PERCENT / 2, 0);
+        faults.enable(SystemCallFault.SHORT_WRITE, ALWAYS_PERCENT, 0);
+        faults.enable(SystemCallFault.SHORT_READ, ALWAYS_PERCENT, 0);
+        faults.enable(SystemCallFault.WAIT, ALWAYS_PERCENT / 2, 0);
         List<Exchange> kept = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             Exchange client = send("/once", "t" + i, "");
--- a/src/test/java/granitefold/real/UpgradeIT.java
+++ b/src/test/java/granitefold/real/UpgradeIT.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import granitefold.standin.Fleet;
-import granitefold.standin.KeptClients;
-import granitefold.standin.KeptClients.End;
+import granitefold.standin.ClosedLoopClients;
+import granitefold.standin.ClosedLoopClients.End;
 import java.io.IOException;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
@@ -18,9 +18,9 @@
     private static final int PATIENCE_S = 30;
 
     private static Fleet.Dispatcher serving(Fleet fleet) throws Exception {
-        Fleet.Dispatcher d = fleet.dispatcher("", fleet.discovery.list(null));
-        d.startBeside();
-        d.awaitYes();
+        Fleet.Dispatcher d = fleet.dispatcher("", fleet.discovery.listJson(null));
+        d.startAlongside();
+        d.awaitReady();
         return d;
     }
 
@@ -34,12 +34,12 @@
     public void nothingIsLostAndNothingTurnedBackUnheard() throws Exception {
         try (Fleet fleet = new Fleet(4, 8)) {
             Fleet.Dispatcher d = serving(fleet);
-            try (KeptClients kept = new KeptClients("k", d.address(), 8, 20_000, true);
-                    KeptClients fresh = new KeptClients("f", d.address(), 8, 20_000, false)) {
+            try (ClosedLoopClients kept = new ClosedLoopClients("k", d.address(), 8, 20_000, true);
+                    ClosedLoopClients fresh = new ClosedLoopClients("f", d.address(), 8, 20_000, false)) {
                 for (int i = 0; i < UPGRADES; i++) {
                     kept.awaitServed(kept.count(End.SERVED) + 50);
-                    Process old = d.startBeside();
-                    d.awaitYes();
+                    Process old = d.startAlongside();
+                    d.awaitReady();
                     d.awaitLog("upgrade: took over what the old version learned of 4 workers");
                     old.destroy();
                     fresh.awaitServed(fresh.count(End.SERVED) + 50);
@@ -47,14 +47,14 @@
                 }
                 kept.stop();
                 fresh.stop();
-                for (KeptClients c : new KeptClients[] {kept, fresh}) {
+                for (ClosedLoopClients c : new ClosedLoopClients[] {kept, fresh}) {
                     assertEquals(c.count(End.CUT) + c.count(End.FAILED), 0, c.toString());
                     assertTrue(c.count(End.UNHEARD) + c.count(End.REFUSED) <= 2L * UPGRADES, c.toString());
-                    assertEquals(c.count(End.SERVED) + c.count(End.REJECTED), c.asked(), c.toString());
+                    assertEquals(c.count(End.SERVED) + c.count(End.REJECTED), c.requests(), c.toString());
                 }
                 System.out.println(UPGRADES + " upgrades: kept " + kept + "; fresh " + fresh);
             }
-            assertEquals(fleet.repeated(), 0);
+            assertEquals(fleet.jobsRepeated(), 0);
         }
     }
 
@@ -63,9 +63,9 @@
     public void aNewVersionThatEndsEarlyCostsNothing() throws Exception {
         try (Fleet fleet = new Fleet(4, 8)) {
             Fleet.Dispatcher d = serving(fleet);
-            try (KeptClients kept = new KeptClients("k", d.address(), 8, 20_000, true)) {
+            try (ClosedLoopClients kept = new ClosedLoopClients("k", d.address(), 8, 20_000, true)) {
                 kept.awaitServed(50);
-                Process old = d.startBeside();
+                Process old = d.startAlongside();
                 d.kill();
                 kept.awaitServed(kept.count(End.SERVED) + 50);
                 assertTrue(old.isAlive());
@@ -86,24 +86,24 @@
         int clients = 8;
         try (Fleet fleet = new Fleet(4, 8)) {
             Fleet.Dispatcher d = serving(fleet);
-            try (KeptClients kept = new KeptClients("k", d.address(), clients, 20_000, true)) {
+            try (ClosedLoopClients kept = new ClosedLoopClients("k", d.address(), clients, 20_000, true)) {
                 for (int i = 0; i < 4; i++) {
                     kept.awaitServed(kept.count(End.SERVED) + 50);
-                    Process old = d.startBeside();
+                    Process old = d.startAlongside();
                     if (i % 2 == 0) {
                         // mostly before the new one has said yes, which then may say so alone
                         kept.awaitServed(kept.count(End.SERVED) + random.nextInt(300));
                         old.destroyForcibly().waitFor();
-                        d.awaitYes();
+                        d.awaitReady();
                     } else {
-                        d.awaitYes();
+                        d.awaitReady();
                         old.destroy();
                         kept.awaitServed(kept.count(End.SERVED) + random.nextInt(20));
                         Process killed = d.process();
                         // the old one is on its way out: whoever is left over waits for the next start
                         killed.destroyForcibly().waitFor();
-                        d.startBeside();
-                        d.awaitYes();
+                        d.startAlongside();
+                        d.awaitReady();
                     }
                     kept.awaitServed(kept.count(End.SERVED) + 50);
                 }
@@ -112,7 +112,7 @@
                 // of each kill at most what its clients had open
                 assertTrue(kept.count(End.CUT) <= 4L * clients, kept.toString());
             }
-            assertEquals(fleet.repeated(), 0, "no id was started twice");
+            assertEquals(fleet.jobsRepeated(), 0, "no id was started twice");
         }
     }
 
@@ -121,16 +121,16 @@
     public void theOldOneMayBeStoppedMeanwhile() throws Exception {
         try (Fleet fleet = new Fleet(4, 8)) {
             Fleet.Dispatcher d = serving(fleet);
-            Process old = d.startBeside();
-            d.awaitYes();
+            Process old = d.startAlongside();
+            d.awaitReady();
             RealTest.signal(old, "STOP");
             RealTest.signal(old, "TERM");
             RealTest.signal(old, "CONT");
             ended(old);
-            try (KeptClients fresh = new KeptClients("f", d.address(), 4, 20_000, false)) {
+            try (ClosedLoopClients fresh = new ClosedLoopClients("f", d.address(), 4, 20_000, false)) {
                 fresh.awaitServed(50);
                 fresh.stop();
-                assertEquals(fresh.count(End.SERVED), fresh.asked(), fresh.toString());
+                assertEquals(fresh.count(End.SERVED), fresh.requests(), fresh.toString());
             }
         }
     }
--- a/src/test/java/granitefold/standin/BalancerIT.java
+++ b/src/test/java/granitefold/standin/BalancerIT.java
@@ -20,7 +20,7 @@
     /** Four times these are over 20,000 requests. */
     @Test(dataProvider = "protocols")
     public void aDrainUnderLoadEndsNewTrafficAndLosesNothing(CheckRules rules) throws Exception {
-        try (Fleet fleet = new Fleet(4, 8).with(3, "availability.slow-start = 0ms\navailability.slow-start-from = 100\n"
+        try (Fleet fleet = new Fleet(4, 8).startDispatchers(3, "availability.slow-start = 0ms\navailability.slow-start-from = 100\n"
                 + "clients.envoy-headers = true\n"); Balancer balancer = fleet.balancer(rules)) {
             Experiment.Result r = Experiment.drain(fleet, balancer, PER_S, WORK_US, REQUESTS);
             assertTrue(r.endedMs() <= WITHIN_MS, rules.name() + ": new traffic went on for " + r.endedMs() + " ms");
@@ -28,12 +28,12 @@
             assertEquals(r.load().count(Balancer.Outcome.FAILED), 0);
             assertEquals(r.load().count(Balancer.Outcome.SERVED) + r.load().count(Balancer.Outcome.REJECTED), REQUESTS);
             assertTrue(r.load().count(Balancer.Outcome.SERVED) > REQUESTS * 9L / 10);
-            assertEquals(fleet.repeated(), 0, "nothing ran twice");
+            assertEquals(fleet.jobsRepeated(), 0, "nothing ran twice");
             // and it comes back
             String name = fleet.dispatchers.get(0).name;
             long before = balancer.sent(name);
             fleet.dispatchers.get(0).control("ready");
-            Load more = new Load("back", balancer, 100, WORK_US).begin(1_000);
+            OpenLoopLoad more = new OpenLoopLoad("back", balancer, 100, WORK_US).begin(1_000);
             while (balancer.sent(name) == before && !more.await(0)) {
                 Thread.onSpinWait();
             }
--- a/src/test/java/granitefold/standin/KeptClientsTest.java
+++ b/src/test/java/granitefold/standin/ClosedLoopClientsTest.java
@@ -10,16 +10,16 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class KeptClientsTest {
+class ClosedLoopClientsTest {
     private static final int WORK_US = 1_000;
 
     /** Its request was missing from all counts, and nobody was told why. */
     @Test
     void aClientThatEndsByItselfIsTold() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Server.daemon(() -> answerNonsense(server), "server");
-            try (KeptClients clients = new KeptClients("k", (InetSocketAddress) server.getLocalSocketAddress(), 1, WORK_US, true)) {
-                while (clients.asked() == 0) {
+            LoopbackServer.startDaemon(() -> answerNonsense(server), "server");
+            try (ClosedLoopClients clients = new ClosedLoopClients("k", (InetSocketAddress) server.getLocalSocketAddress(), 1, WORK_US, true)) {
+                while (clients.requests() == 0) {
                     Thread.onSpinWait();
                 }
                 assertThrows(IllegalStateException.class, clients::stop);
--- a/src/test/java/granitefold/standin/edge/RelaysTest.java
+++ b/src/test/java/granitefold/standin/edge/RelaysTest.java
@@ -31,7 +31,7 @@
     void open() throws IOException {
         relays = new Relays(1, EdgeListener.NONE);
         server = new ServerSocket(0, 50, HOST);
-        address = relays.tcp(EDGE, () -> (InetSocketAddress) server.getLocalSocketAddress(), HOST);
+        address = relays.openTcp(EDGE, () -> (InetSocketAddress) server.getLocalSocketAddress(), HOST);
     }
 
     @AfterEach
@@ -71,19 +71,19 @@
     @Test
     void aCutIsSilentAndWhatWasSentComesWhenItHeals() throws IOException {
         Pair p = pair();
-        relays.fault(EDGE, Fault.CUT_THERE);
+        relays.setFault(EDGE, Fault.CUT_FORWARD);
         p.there(1);
         assertThrows(SocketTimeoutException.class, () -> p.read(p.b, MOMENT_MS));
         p.b.getOutputStream().write(2);
         assertEquals(2, p.read(p.a, PATIENCE_MS), "the other way is open");
-        relays.fault(EDGE, Fault.NONE);
+        relays.setFault(EDGE, Fault.NONE);
         assertEquals(1, p.read(p.b, PATIENCE_MS));
     }
 
     @Test
     void delaysAreKeptAndNothingOvertakes() throws IOException {
         Pair p = pair();
-        relays.fault(EDGE, Fault.delayed(150, 100));
+        relays.setFault(EDGE, Fault.delayed(150, 100));
         long began = System.nanoTime();
         for (int i = 0; i < 20; i++) {
             p.there(i);
@@ -97,7 +97,7 @@
     @Test
     void aDripIsSlow() throws IOException {
         Pair p = pair();
-        relays.fault(EDGE, Fault.dripping(200));
+        relays.setFault(EDGE, Fault.throttled(200));
         long began = System.nanoTime();
         p.a.getOutputStream().write(new byte[100]);
         for (int i = 0; i < 100; i++) {
@@ -113,7 +113,7 @@
         p.read(p.b, PATIENCE_MS);
         assertEquals(1, relays.reset(EDGE));
         assertThrows(IOException.class, () -> p.read(p.a, PATIENCE_MS));
-        relays.fault(EDGE, Fault.REFUSING);
+        relays.setFault(EDGE, Fault.REFUSING);
         try (Socket refused = new Socket(address.getAddress(), address.getPort())) {
             refused.setSoTimeout(PATIENCE_MS);
             assertThrows(IOException.class, () -> {
@@ -129,15 +129,15 @@
         try (DatagramSocket a = new DatagramSocket(0, HOST); DatagramSocket b = new DatagramSocket(0, HOST)) {
             Edge there = new Edge(Kind.SIBLING, "a", "b");
             Edge back = new Edge(Kind.SIBLING, "b", "a");
-            var ends = relays.udp(there, (InetSocketAddress) a.getLocalSocketAddress(), back, (InetSocketAddress) b.getLocalSocketAddress());
+            var ends = relays.openUdp(there, (InetSocketAddress) a.getLocalSocketAddress(), back, (InetSocketAddress) b.getLocalSocketAddress());
             b.setSoTimeout(PATIENCE_MS);
             send(a, ends.get(0), 1);
             assertEquals(ends.get(1), receive(b).getSocketAddress(), "from the address that b knows a by");
-            relays.fault(there, Fault.lossy(0, 1, 0));
+            relays.setFault(there, Fault.lossy(0, 1, 0));
             send(a, ends.get(0), 2);
             assertEquals(2, receive(b).getData()[0]);
             assertEquals(2, receive(b).getData()[0]);
-            relays.fault(there, Fault.lossy(1, 0, 0));
+            relays.setFault(there, Fault.lossy(1, 0, 0));
             send(a, ends.get(0), 3);
             b.setSoTimeout(MOMENT_MS);
             assertThrows(SocketTimeoutException.class, () -> receive(b));
--- a/src/test/java/granitefold/standin/world/WorkerModelTest.java
+++ b/src/test/java/granitefold/standin/world/WorkerModelTest.java
@@ -39,7 +39,7 @@
                 assertFalse(queued && taken.get(i).state() != State.QUEUED, "a later one has overtaken");
                 queued |= taken.get(i).state() == State.QUEUED;
             }
-            assertTrue(running <= SPEC.slots() && m.waiting() <= SPEC.queue());
+            assertTrue(running <= SPEC.slots() && m.waiting() <= SPEC.queueLimit());
             now += gap;
         }
         for (int i = 0; i < slots.size(); i++) {
@@ -77,14 +77,14 @@
 
     @Test
     void aLostJobLeavesItsKeyFree() {
-        KeyWindow w = new KeyWindow(1000);
-        assertEquals(KeyWindow.Found.NEW, w.begin("k", 0));
-        assertEquals(KeyWindow.Found.RUNNING, w.begin("k", 10));
+        DeduplicationWindow w = new DeduplicationWindow(1000);
+        assertEquals(DeduplicationWindow.Found.NEW, w.begin("k", 0));
+        assertEquals(DeduplicationWindow.Found.RUNNING, w.begin("k", 10));
         w.lost("k");
-        assertEquals(KeyWindow.Found.NEW, w.begin("k", 20));
+        assertEquals(DeduplicationWindow.Found.NEW, w.begin("k", 20));
         w.done("k", "R", 30);
-        assertEquals(KeyWindow.Found.DONE, w.begin("k", 1000));
+        assertEquals(DeduplicationWindow.Found.DONE, w.begin("k", 1000));
         assertEquals("R", w.result("k"));
-        assertEquals(KeyWindow.Found.NEW, w.begin("k", 1031));
+        assertEquals(DeduplicationWindow.Found.NEW, w.begin("k", 1031));
     }
 }
