--- a/src/main/java/granitefold/standin/ground/Clients.java
+++ b/src/main/java/granitefold/standin/ground/Clients.java
@@ -54,7 +54,7 @@
     private final Scenario scenario;
     private final Front front;
     private final History history;
-    final Tallies tallies = new Tallies();
+    final RequestStatistics statistics = new RequestStatistics();
     private final UniformRandomProvider random;
     private final Deque<Kept> idle = new ArrayDeque<>();
     private final Map<String, Double> rates = new HashMap<>();
@@ -195,13 +195,13 @@
         }
         long took = history.now() - dueUs;
         // a result of another request is the checker's matter; here it is an answer
-        Tallies.End end = a.what == What.LEFT ? Tallies.End.LEFT : a.what != What.ANSWERED ? Tallies.End.LOST
-                : a.status == 200 ? took <= c.onTimeUs() + c.stretch() * w.workUs ? Tallies.End.IN_TIME : Tallies.End.LATE
-                : a.status == 503 || a.status == 429 ? Tallies.End.REJECTED : Tallies.End.FAILED;
-        if (end == Tallies.End.IN_TIME || end == Tallies.End.LATE) {
+        RequestStatistics.Outcome end = a.what == What.LEFT ? RequestStatistics.Outcome.LEFT : a.what != What.ANSWERED ? RequestStatistics.Outcome.LOST
+                : a.status == 200 ? took <= c.onTimeUs() + c.stretch() * w.workUs ? RequestStatistics.Outcome.IN_TIME : RequestStatistics.Outcome.LATE
+                : a.status == 503 || a.status == 429 ? RequestStatistics.Outcome.REJECTED : RequestStatistics.Outcome.FAILED;
+        if (end == RequestStatistics.Outcome.IN_TIME || end == RequestStatistics.Outcome.LATE) {
             served.incrementAndGet();
         }
-        tallies.add(w.dueUs, w.jobClass, w.tenant, a.dispatcher, end, c.worth() * Math.max(1, w.workUs) / Math.max(1, c.workUs()), took);
+        statistics.add(w.dueUs, w.jobClass, w.tenant, a.dispatcher, end, c.worth() * Math.max(1, w.workUs) / Math.max(1, c.workUs()), took);
     }
 
     /** One sending, and once more on a new connection where a kept one ended with no byte of an answer. */
--- a/src/main/java/granitefold/standin/ground/Ground.java
+++ b/src/main/java/granitefold/standin/ground/Ground.java
@@ -249,7 +249,7 @@
     }
 
     /** How often each kind of fault in system calls was injected. */
-    Map<String, Long> injected() {
+    Map<String, Long> injectedFaults() {
         Map<String, Long> counts = new java.util.TreeMap<>();
         for (Member m : members) {
             for (SystemCallFault fault : m.faults == null ? new SystemCallFault[0] : SystemCallFault.values()) {
--- a/src/main/java/granitefold/standin/ground/GroundCommand.java
+++ b/src/main/java/granitefold/standin/ground/GroundCommand.java
@@ -86,7 +86,7 @@
         private boolean quiet;
         @Spec
         private CommandSpec spec;
-        private volatile Play.Running running;
+        private volatile TestRun.InProgress running;
 
         @Override
         public Integer call() throws Exception {
@@ -94,14 +94,14 @@
             PrintWriter out = spec.commandLine().getOut();
             Thread rescue = new Thread(this::rescue);
             Runtime.getRuntime().addShutdownHook(rescue);
-            List<Play> plays = new ArrayList<>();
+            List<TestRun> plays = new ArrayList<>();
             for (int i = 0; i < repeat; i++) {
                 if (!quiet) {
                     out.printf("%s, seed %d: %d dispatchers, %d cocineros, %d s%n", s.name(), seed + i, s.dispatchers().count(), s.cocineros().count(),
                             s.lengthUs() / 1_000_000);
                     out.flush();
                 }
-                Play p = Play.run(s, seed + i, jar, r -> running = r);
+                TestRun p = TestRun.run(s, seed + i, jar, r -> running = r);
                 plays.add(p);
                 print(out, p);
                 write(p, plays);
@@ -110,7 +110,7 @@
             if (plays.size() > 1) {
                 out.println(interval(plays));
             }
-            return plays.stream().allMatch(Play::well) ? 0 : BROKEN_RULE;
+            return plays.stream().allMatch(TestRun::passed) ? 0 : BROKEN_RULE;
         }
 
         private static Path find(String name) {
@@ -120,10 +120,10 @@
 
         /** Broken off by hand: what there is so far is still of use. */
         private void rescue() {
-            Play.Running r = running;
+            TestRun.InProgress r = running;
             if (r != null) {
                 try {
-                    Play p = r.so(true);
+                    TestRun p = r.snapshot(true);
                     write(p, List.of(p));
                 } catch (IOException e) {
                     System.err.println("granitefold-standin: no report: " + e);
@@ -131,7 +131,7 @@
             }
         }
 
-        private void write(Play p, List<Play> plays) throws IOException {
+        private void write(TestRun p, List<TestRun> plays) throws IOException {
             if (json != null) {
                 Object all = plays.size() == 1 ? Report.json(p) : plays.stream().map(Report::json).toList();
                 Files.writeString(json, Settings.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(all) + "\n");
@@ -144,22 +144,22 @@
             }
         }
 
-        private static void print(PrintWriter out, Play p) {
-            Tallies.Row all = p.tallies().all();
+        private static void print(PrintWriter out, TestRun p) {
+            RequestStatistics.Summary all = p.statistics().all();
             out.printf(Locale.ROOT, "  asked %d, service %.3f, in time %d, late %d, rejected %d, failed %d, lost %d, left %d; p50 %.0f ms, p99 %.0f ms%n",
-                    all.asked, all.service(), all.count(Tallies.End.IN_TIME), all.count(Tallies.End.LATE), all.count(Tallies.End.REJECTED),
-                    all.count(Tallies.End.FAILED), all.count(Tallies.End.LOST), all.count(Tallies.End.LEFT), all.latencyMs(50), all.latencyMs(99));
-            if (p.failed() != null) {
-                out.println("  the script failed: " + p.failed());
+                    all.requests, all.servedValueShare(), all.count(RequestStatistics.Outcome.IN_TIME), all.count(RequestStatistics.Outcome.LATE), all.count(RequestStatistics.Outcome.REJECTED),
+                    all.count(RequestStatistics.Outcome.FAILED), all.count(RequestStatistics.Outcome.LOST), all.count(RequestStatistics.Outcome.LEFT), all.latencyMs(50), all.latencyMs(99));
+            if (p.scriptError() != null) {
+                out.println("  the script failed: " + p.scriptError());
             }
             p.violations().stream().limit(5).forEach(v -> out.println("  " + v));
             out.println(p.violations().isEmpty() ? "  no rule broken" : "  " + p.violations().size() + " times a rule was broken");
             out.flush();
         }
 
-        private static String interval(List<Play> plays) {
+        private static String interval(List<TestRun> plays) {
             SummaryStatistics s = new SummaryStatistics();
-            plays.forEach(p -> s.addValue(p.tallies().all().service()));
+            plays.forEach(p -> s.addValue(p.statistics().all().servedValueShare()));
             double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(SURE) * s.getStandardDeviation() / Math.sqrt(s.getN());
             return String.format(Locale.ROOT, "service over %d plays: %.3f, 95%% interval %.3f to %.3f; rules broken in %d", s.getN(), s.getMean(),
                     s.getMean() - half, s.getMean() + half, plays.stream().filter(p -> !p.violations().isEmpty()).count());
--- a/src/main/java/granitefold/standin/ground/Variant.java
+++ b/src/main/java/granitefold/standin/ground/PatchedJar.java
@@ -15,7 +15,7 @@
 import javax.tools.ToolProvider;
 
 /** The built jar with a few lines of its sources replaced: a version with a planted defect, or one that does worse. */
-public final class Variant {
+public final class PatchedJar {
     private static final Path SOURCES = Path.of("src/main/java/granitefold");
     private static final String TAKEN_IN = "        if (owed.size() >= core.bounds.requests()) {";
 
@@ -24,10 +24,10 @@
     /** In a source file, below the package's folder, one text takes the place of another, which has to be there. */
     public record Patch(String file, String from, String to) { }
 
-    private Variant() { }
+    private PatchedJar() { }
 
     /** Builds one, named so, in a folder. */
-    public static Path make(Path jar, Path folder, String name, Patch... patches) throws IOException {
+    public static Path build(Path jar, Path folder, String name, Patch... patches) throws IOException {
         Path classes = Files.createDirectories(folder.resolve(name + "-classes"));
         for (Patch p : patches) {
             Path source = folder.resolve(name).resolve(p.file());
@@ -64,47 +64,47 @@
     }
 
     /** Rejects a share of the requests, drawn by their ids, with no regard to anything. */
-    public static Patch loses(double share) {
+    public static Patch rejectShare(double share) {
         return new Patch("core/Requests.java", TAKEN_IN, String.format(Locale.ROOT,
                 "        if (owed.size() >= core.bounds.requests() || Math.floorMod(s.name().hashCode() * 0x9E3779B9 >>> 7, 1000) < %d) {", Math.round(share * 1000)));
     }
 
     /** Rejects whatever a tenant asks, by its place in the settings. */
-    public static Patch refuses(int tenant) {
+    public static Patch rejectTenant(int tenant) {
         return new Patch("core/Requests.java", TAKEN_IN, "        if (owed.size() >= core.bounds.requests() || s.tenant() == " + tenant + ") {");
     }
 
     /** Gives each answer so much later. */
-    public static Patch slower(long ms) {
+    public static Patch delayAnswers(long ms) {
         return new Patch("core/Requests.java", ANSWERED, "        core.timers.at(core.now + " + ms * 1000 + "L, t -> {\n            if (!c.over) {\n                over(c);\n"
                         + "                reply(c.client, c.submission, answer);\n            }\n        });");
     }
 
     /** Takes requests in and never answers, though it says that it serves. */
-    public static Patch mute() {
+    public static Patch neverAnswer() {
         return new Patch("core/Requests.java", ANSWERED, "        if (core.now > 0) {\n            return;\n        }\n" + ANSWERED);
     }
 
     /** Ends by itself so long after its first request. */
-    public static Patch ends(long ms) {
+    public static Patch exitAfter(long ms) {
         return new Patch("core/Requests.java", TAKEN_IN, "        if (System.nanoTime() - BORN.updateAndGet(b -> b == 0 ? System.nanoTime() : b) > "
                 + ms * 1_000_000 + "L) {\n            Runtime.getRuntime().halt(3);\n        }\n" + TAKEN_IN);
     }
 
-    /** Goes with {@link #ends}: the field that it keeps. */
-    public static Patch born() {
+    /** Goes with {@link #exitAfter}: the field that it keeps. */
+    public static Patch exitTimerField() {
         return new Patch("core/Requests.java", "    private long lastId;",
                 "    private static final java.util.concurrent.atomic.AtomicLong BORN = new java.util.concurrent.atomic.AtomicLong();\n    private long lastId;");
     }
 
     /** Keeps so many bytes of each request for good, outside the heap. */
-    public static Patch leaks(int bytes) {
+    public static Patch leakMemory(int bytes) {
         return new Patch("core/Requests.java", TAKEN_IN, "        java.nio.ByteBuffer leak = java.nio.ByteBuffer.allocateDirect(" + bytes
                 + ");\n        while (leak.hasRemaining()) {\n            leak.put((byte) 1);\n        }\n        LEAK.add(leak);\n" + TAKEN_IN);
     }
 
-    /** Goes with {@link #leaks}: the field that it fills. */
-    public static Patch leak() {
+    /** Goes with {@link #leakMemory}: the field that it fills. */
+    public static Patch leakField() {
         return new Patch("core/Requests.java", "    private long lastId;",
                 "    private static final java.util.List<Object> LEAK = new java.util.ArrayList<>();\n    private long lastId;");
     }
--- a/src/main/java/granitefold/standin/ground/Report.java
+++ b/src/main/java/granitefold/standin/ground/Report.java
@@ -29,21 +29,21 @@
     private Report() { }
 
     // ---------------------------------------------------------------- JSON
-    static ObjectNode json(Play p) {
+    static ObjectNode json(TestRun p) {
         ObjectNode o = Settings.JSON.createObjectNode();
         o.put("scenario", p.scenario().name()).put("about", p.scenario().about()).put("seed", p.seed());
-        o.put("well", p.well()).put("cut", p.cut());
-        if (p.failed() != null) {
-            o.put("script_failed", p.failed());
+        o.put("well", p.passed()).put("cut", p.aborted());
+        if (p.scriptError() != null) {
+            o.put("script_failed", p.scriptError());
         }
-        row(o.putObject("all"), p.tallies().all());
-        rows(o.putObject("classes"), p.tallies().classes());
-        rows(o.putObject("tenants"), p.tallies().tenants());
-        rows(o.putObject("dispatchers"), p.tallies().dispatchers());
+        row(o.putObject("all"), p.statistics().all());
+        rows(o.putObject("classes"), p.statistics().classes());
+        rows(o.putObject("tenants"), p.statistics().tenants());
+        rows(o.putObject("dispatchers"), p.statistics().dispatchers());
         ArrayNode seconds = o.putArray("seconds");
-        p.tallies().seconds().forEach(r -> seconds.addObject().put("asked", r.asked).put("service", rounded(r.service())));
-        ArrayNode marks = o.putArray("marks");
-        p.marks().forEach(m -> marks.addObject().put("at_ms", m.sinceUs() / 1000).put("what", m.what()));
+        p.statistics().seconds().forEach(r -> seconds.addObject().put("asked", r.requests).put("service", rounded(r.servedValueShare())));
+        ArrayNode timeline = o.putArray("marks");
+        p.timeline().forEach(m -> timeline.addObject().put("at_ms", m.sinceUs() / 1000).put("what", m.what()));
         ArrayNode broken = o.putArray("violations");
         p.violations().stream().limit(VIOLATIONS_MOST).forEach(v -> {
             ObjectNode b = broken.addObject().put("rule", v.rule().name()).put("at_ms", v.atUs() / 1000).put("what", v.what());
@@ -54,13 +54,13 @@
         return o;
     }
 
-    private static void rows(ObjectNode o, Map<String, Tallies.Row> rows) {
+    private static void rows(ObjectNode o, Map<String, RequestStatistics.Summary> rows) {
         rows.forEach((name, r) -> row(o.putObject(name), r));
     }
 
-    private static void row(ObjectNode o, Tallies.Row r) {
-        o.put("asked", r.asked).put("service", rounded(r.service()));
-        for (Tallies.End e : Tallies.End.values()) {
+    private static void row(ObjectNode o, RequestStatistics.Summary r) {
+        o.put("asked", r.requests).put("service", rounded(r.servedValueShare()));
+        for (RequestStatistics.Outcome e : RequestStatistics.Outcome.values()) {
             o.put(e.name().toLowerCase(Locale.ROOT), r.count(e));
         }
         ObjectNode l = o.putObject("latency_ms");
@@ -74,27 +74,27 @@
     }
 
     // ---------------------------------------------------------------- a page
-    static void html(Play p, Path file) throws IOException {
+    static void html(TestRun p, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         StringBuilder b = new StringBuilder("<!DOCTYPE html><html lang=\"en\"><meta charset=\"utf-8\"><title>").append(text(p.scenario().name()))
                 .append("</title><style>body{font:15px sans-serif;max-width:940px;margin:2em auto}td,th{padding:2px 10px;text-align:right}"
                         + "td:first-child,th:first-child{text-align:left}.bad{color:#b00}pre{background:#f4f4f4;padding:8px;overflow:auto}</style><h1>")
                 .append(text(p.scenario().name())).append(", seed ").append(p.seed()).append("</h1><p>").append(text(p.scenario().about())).append("</p>");
-        if (p.cut()) {
+        if (p.aborted()) {
             b.append("<p class=bad>Broken off: the figures are those up to then.</p>");
         }
-        if (p.failed() != null) {
-            b.append("<p class=bad>The script failed: ").append(text(p.failed())).append("</p>");
+        if (p.scriptError() != null) {
+            b.append("<p class=bad>The script failed: ").append(text(p.scriptError())).append("</p>");
         }
         b.append(p.violations().isEmpty() ? "<p>No rule broken.</p>" : "<p class=bad>" + p.violations().size() + " times a rule was broken.</p>");
-        table(b, "", Map.of("all", p.tallies().all()));
+        table(b, "", Map.of("all", p.statistics().all()));
         b.append("<h2>Service by second</h2>").append(image(service(p)));
         b.append("<table><tr><th>second<th>what was done</tr>");
-        p.marks().forEach(m -> b.append(String.format(Locale.ROOT, "<tr><td>%.2f<td style=\"text-align:left\">%s</tr>", m.sinceUs() / 1e6, text(m.what()))));
+        p.timeline().forEach(m -> b.append(String.format(Locale.ROOT, "<tr><td>%.2f<td style=\"text-align:left\">%s</tr>", m.sinceUs() / 1e6, text(m.what()))));
         b.append("</table>");
-        table(b, "By class", p.tallies().classes());
-        table(b, "By tenant", p.tallies().tenants());
-        table(b, "By dispatcher", p.tallies().dispatchers());
+        table(b, "By class", p.statistics().classes());
+        table(b, "By tenant", p.statistics().tenants());
+        table(b, "By dispatcher", p.statistics().dispatchers());
         b.append(image(ends(p)));
         if (!p.violations().isEmpty()) {
             b.append("<h2>Broken rules</h2>");
@@ -120,15 +120,15 @@
         return s.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    private static void table(StringBuilder b, String title, Map<String, Tallies.Row> rows) {
+    private static void table(StringBuilder b, String title, Map<String, RequestStatistics.Summary> rows) {
         b.append("<h2>").append(title).append("</h2><table><tr><th><th>asked<th>service");
-        for (Tallies.End e : Tallies.End.values()) {
+        for (RequestStatistics.Outcome e : RequestStatistics.Outcome.values()) {
             b.append("<th>").append(e.name().toLowerCase(Locale.ROOT).replace('_', ' '));
         }
         b.append("<th>p50 ms<th>p99 ms</tr>");
         rows.forEach((name, r) -> {
-            b.append("<tr><td>").append(text(name)).append("<td>").append(r.asked).append(String.format(Locale.ROOT, "<td>%.3f", r.service()));
-            for (Tallies.End e : Tallies.End.values()) {
+            b.append("<tr><td>").append(text(name)).append("<td>").append(r.requests).append(String.format(Locale.ROOT, "<td>%.3f", r.servedValueShare()));
+            for (RequestStatistics.Outcome e : RequestStatistics.Outcome.values()) {
                 b.append("<td>").append(r.count(e));
             }
             b.append(String.format(Locale.ROOT, "<td>%.0f<td>%.0f</tr>", r.latencyMs(50), r.latencyMs(99)));
@@ -136,35 +136,35 @@
         b.append("</table>");
     }
 
-    private static XYChart service(Play p) {
+    private static XYChart service(TestRun p) {
         XYChart c = new XYChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle("seconds after clients began").yAxisTitle("worth served in time").build();
         c.getStyler().setYAxisMin(0.0).setYAxisMax(1.0).setLegendVisible(false).setAnnotationLineColor(new Color(176, 0, 0, 120));
         List<Double> at = new ArrayList<>();
         List<Double> service = new ArrayList<>();
-        List<Tallies.Row> seconds = p.tallies().seconds();
+        List<RequestStatistics.Summary> seconds = p.statistics().seconds();
         for (int i = 0; i < seconds.size(); i++) {
             at.add(i + 0.5);
-            service.add(seconds.get(i).service());
+            service.add(seconds.get(i).servedValueShare());
         }
         if (at.isEmpty()) {
             at.add(0.0);
             service.add(0.0);
         }
         c.addSeries("service", at, service).setMarker(SeriesMarkers.CIRCLE);
-        for (Script.Mark m : p.marks()) {
+        for (Script.Mark m : p.timeline()) {
             AnnotationLine line = new AnnotationLine(m.sinceUs() / 1e6, true, false);
             c.addAnnotation(line);
         }
         return c;
     }
 
-    private static CategoryChart ends(Play p) {
+    private static CategoryChart ends(TestRun p) {
         CategoryChart c = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).yAxisTitle("requests").build();
         c.getStyler().setStacked(true);
-        List<String> names = p.tallies().dispatchers().isEmpty() ? List.of("none") : List.copyOf(p.tallies().dispatchers().keySet());
-        for (Tallies.End e : Tallies.End.values()) {
+        List<String> names = p.statistics().dispatchers().isEmpty() ? List.of("none") : List.copyOf(p.statistics().dispatchers().keySet());
+        for (RequestStatistics.Outcome e : RequestStatistics.Outcome.values()) {
             c.addSeries(e.name().toLowerCase(Locale.ROOT).replace('_', ' '), names, names.stream().map(n ->
-                    p.tallies().dispatchers().containsKey(n) ? (Number) p.tallies().dispatchers().get(n).count(e) : 0L).toList());
+                    p.statistics().dispatchers().containsKey(n) ? (Number) p.statistics().dispatchers().get(n).count(e) : 0L).toList());
         }
         return c;
     }
--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -1,8 +1,8 @@
 package granitefold.standin.ground;
 
-import granitefold.standin.ground.Rolling.Pace;
-import granitefold.standin.ground.Rolling.Result;
-import granitefold.standin.ground.Variant.Patch;
+import granitefold.standin.ground.RolloutTestBed.PlanParameters;
+import granitefold.standin.ground.RolloutTestBed.Result;
+import granitefold.standin.ground.PatchedJar.Patch;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -60,14 +60,14 @@
         ExecutorService threads = Executors.newFixedThreadPool(parallel);
         PrintWriter out = spec.commandLine().getOut();
         try {
-            Path fresh = Variant.make(jar, folder, "fresh", loss > 0 ? Variant.loses(loss) : new Patch("core/Phase.java", "/** The program's", "/** Our"));
+            Path fresh = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss) : new Patch("core/Phase.java", "/** The program's", "/** Our"));
             List<Future<Outcome>> staged = new ArrayList<>();
             List<Future<Outcome>> atOnce = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
                 long seed = first + i;
-                staged.add(threads.submit(() -> play(seed, fresh, Pace.QUICK)));
+                staged.add(threads.submit(() -> play(seed, fresh, PlanParameters.QUICK)));
                 if (!stagedOnly) {
-                    atOnce.add(threads.submit(() -> play(seed, fresh, new Pace("all", 2, 6, 40, 20, false, false, ""))));
+                    atOnce.add(threads.submit(() -> play(seed, fresh, new PlanParameters("all", 2, 6, 40, 20, false, false, ""))));
                 }
             }
             report(out, staged, atOnce);
@@ -80,33 +80,33 @@
         return 0;
     }
 
-    private Outcome play(long seed, Path fresh, Pace pace) throws IOException, InterruptedException, granitefold.operator.InvalidFileException {
+    private Outcome play(long seed, Path fresh, PlanParameters parameters) throws IOException, InterruptedException, granitefold.operator.InvalidFileException {
         Scenario s = Scenario.read("rollouts", "for = 600s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = 200\n");
-        try (Rolling r = new Rolling(s, seed, jar)) {
+        try (RolloutTestBed r = new RolloutTestBed(s, seed, jar)) {
             r.awaitServed(BEFORE_REQUESTS);
             int began = (int) (r.sinceUs() / 1_000_000);
-            r.plan("rollout", fresh, pace);
+            r.writePlan("rollout", fresh, parameters);
             r.start();
-            Result result = r.result(PATIENCE_S);
+            Result result = r.awaitResult(PATIENCE_S);
             r.awaitSecond(began + windowS);
-            int broken = r.end().size();
-            return new Outcome(seed, result, lost(r.tallies().seconds(), began, windowS), broken);
+            int broken = r.finish().size();
+            return new Outcome(seed, result, lost(r.statistics().seconds(), began, windowS), broken);
         }
     }
 
-    private static double lost(List<Tallies.Row> seconds, int began, int windowS) {
+    private static double lost(List<RequestStatistics.Summary> seconds, int began, int windowS) {
         double before = 0;
         double asked = 0;
         for (int i = SETTLED_S; i < began; i++) {
-            before += seconds.get(i).worthServed;
-            asked += seconds.get(i).worthAsked;
+            before += seconds.get(i).servedValue;
+            asked += seconds.get(i).requestedValue;
         }
         double level = before / asked;
         double lost = 0;
         double all = 0;
         for (int i = began; i < Math.min(seconds.size(), began + windowS); i++) {
-            lost += level * seconds.get(i).worthAsked - seconds.get(i).worthServed;
-            all += seconds.get(i).worthAsked;
+            lost += level * seconds.get(i).requestedValue - seconds.get(i).servedValue;
+            all += seconds.get(i).requestedValue;
         }
         return lost / all;
     }
--- a/src/main/java/granitefold/standin/ground/Rolling.java
+++ b/src/main/java/granitefold/standin/ground/RolloutTestBed.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** A ground whose dispatchers have keepers, and a controller that takes them from one version to another, as processes. */
-public final class Rolling implements Closeable {
+public final class RolloutTestBed implements Closeable {
     private static final long SLACK_MS = 550;
 
     /** How a plan is played here; times in seconds. {@code borne}: what is borne, as a plan writes it; empty for what holds without it. */
-    public record Pace(String stages, double warm, double least, double most, double step, boolean back, boolean controls, String borne) {
+    public record PlanParameters(String stages, double warmupS, double minLookS, double maxLookS, double stepS, boolean rollBack, boolean controls, String tolerances) {
         /** As an operator's plan, but for shorter looks. */
-        public static final Pace QUICK = new Pace("\"1\", all", 2, 6, 40, 12, true, true, "");
+        public static final PlanParameters QUICK = new PlanParameters("\"1\", all", 2, 6, 40, 12, true, true, "");
         /**
          * Fit for a test on a machine that is busy with others: what is borne is wide enough that nothing is held for want of answers,
          * and far below what the versions of the tests lose.
          */
-        public static final Pace TEST = new Pace("\"1\", all", 2, 6, 90, 20, true, true,
+        public static final PlanParameters TEST = new PlanParameters("\"1\", all", 2, 6, 90, 20, true, true,
                 "served = 0.05, refused = 0.06, errors = 0.06, time = 2, memory = 2");
     }
 
@@ -37,7 +37,7 @@
     private Path plan;
     private long startedUs;
 
-    public Rolling(Scenario scenario, long seed, Path jar) throws IOException, InterruptedException {
+    public RolloutTestBed(Scenario scenario, long seed, Path jar) throws IOException, InterruptedException {
         this.jar = jar;
         ground = new Ground(scenario, seed, jar);
         folder = Files.createDirectories(ground.folder.resolve("rollout"));
@@ -71,17 +71,17 @@
     }
 
     /** Writes the plan to another version; {@code numbered}: a name of its own gives it a folder of its own. */
-    public void plan(String name, Path fresh, Pace pace) throws IOException {
+    public void writePlan(String name, Path fresh, PlanParameters parameters) throws IOException {
         StringBuilder b = new StringBuilder("name = " + name + "\nfolder = \"" + folder.resolve(name) + "\"\ndispatchers = [\n");
         for (Member m : ground.members) {
             b.append("  { name = ").append(m.name).append(", keeper = \"").append(Member.text(m.control)).append("\" }\n");
         }
         b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"").append(fresh.toAbsolutePath())
-                .append("\" }\nstages = [").append(pace.stages).append("]\nlook { warm = ").append(ms(pace.warm)).append(", least = ").append(ms(pace.least))
-                .append(", most = ").append(ms(pace.most)).append(" }\nstep = ").append(ms(pace.step)).append("\nworse = ").append(pace.back ? "back" : "stop")
-                .append("\ncontrols = ").append(pace.controls).append("\nclasses = [").append(String.join(", ", ground.scenario.classes().keySet())).append("]\n");
-        if (!pace.borne.isEmpty()) {
-            b.append("borne { ").append(pace.borne).append(" }\n");
+                .append("\" }\nstages = [").append(parameters.stages).append("]\nlook { warm = ").append(ms(parameters.warmupS)).append(", least = ").append(ms(parameters.minLookS))
+                .append(", most = ").append(ms(parameters.maxLookS)).append(" }\nstep = ").append(ms(parameters.stepS)).append("\nworse = ").append(parameters.rollBack ? "back" : "stop")
+                .append("\ncontrols = ").append(parameters.controls).append("\nclasses = [").append(String.join(", ", ground.scenario.classes().keySet())).append("]\n");
+        if (!parameters.tolerances.isEmpty()) {
+            b.append("borne { ").append(parameters.tolerances).append(" }\n");
         }
         plan = folder.resolve(name + ".plan");
         Files.writeString(plan, b);
@@ -107,7 +107,7 @@
     }
 
     /** Says a word to the rollout, as an operator does; its status. */
-    public int say(String word) throws IOException, InterruptedException {
+    public int sendCommand(String word) throws IOException, InterruptedException {
         Process p = command(folder.resolve("word.log"), word);
         return p.waitFor();
     }
@@ -139,13 +139,13 @@
     }
 
     /** A step of a scenario, now. */
-    public void disturb(String step) throws Exception {
+    public void injectStep(String step) throws Exception {
         Scenario s = Scenario.read("step", "steps = [ " + step + " ]");
         new Script(ground).now(s.steps().get(0));
     }
 
     /** Waits for the controller's end. */
-    public Result result(long seconds) throws IOException, InterruptedException {
+    public Result awaitResult(long seconds) throws IOException, InterruptedException {
         Process p = controllers.get(controllers.size() - 1);
         if (!p.waitFor(seconds, TimeUnit.SECONDS)) {
             throw new IllegalStateException("the rollout has no end after " + seconds + " s\n" + lastLines());
@@ -168,15 +168,15 @@
     }
 
     /** Ends the load and the fleet, and judges what was seen. */
-    public List<Violation> end() throws InterruptedException {
+    public List<Violation> finish() throws InterruptedException {
         ground.clients.stop();
         Await.until("the last client's answer", 2 * Member.PATIENCE_S, ground.clients::over, this::lastLines);
         ground.end();
         return Checker.check(ground.scenario.terms(SLACK_MS), ground.history.sorted());
     }
 
-    public Tallies tallies() {
-        return ground.clients.tallies;
+    public RequestStatistics statistics() {
+        return ground.clients.statistics;
     }
 
     @Override
--- a/src/main/java/granitefold/standin/ground/Script.java
+++ b/src/main/java/granitefold/standin/ground/Script.java
@@ -26,9 +26,9 @@
     private final Ground ground;
     private final Disorder disorder;
     private final ProcessFaults processFaults;
-    private final List<Mark> marks = new ArrayList<>();
+    private final List<Mark> timeline = new ArrayList<>();
     private final List<Thread> threads = new ArrayList<>();
-    private volatile String failed;
+    private volatile String scriptError;
 
     Script(Ground ground) {
         this.ground = ground;
@@ -36,13 +36,13 @@
         processFaults = new ProcessFaults(ground);
     }
 
-    synchronized List<Mark> marks() {
-        return List.copyOf(marks);
+    synchronized List<Mark> timeline() {
+        return List.copyOf(timeline);
     }
 
     /** What went wrong with the script itself, or null. */
-    String failed() {
-        return failed;
+    String scriptError() {
+        return scriptError;
     }
 
     /** Begins with the clients. */
@@ -98,7 +98,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | RuntimeException e) {
-            failed = s.action() + " " + s.to() + ": " + e;
+            scriptError = s.action() + " " + s.to() + ": " + e;
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     private synchronized void mark(String what) {
-        marks.add(new Mark(ground.clients.sinceUs(), what));
+        timeline.add(new Mark(ground.clients.sinceUs(), what));
     }
 
     /** Performs a step at once, and does not undo it. */
--- a/src/main/java/granitefold/standin/ground/Play.java
+++ b/src/main/java/granitefold/standin/ground/TestRun.java
@@ -12,46 +12,46 @@
 /**
  * One play of a scenario and what came of it.
  *
- * @param marks what was done, and when
+ * @param timeline what was done, and when
  * @param violations broken rules, the first one first
- * @param failed what went wrong with the script itself, or null
- * @param cut the play was broken off: figures are those up to then
+ * @param scriptError what went wrong with the script itself, or null
+ * @param aborted the play was broken off: figures are those up to then
  * @param injected faults in system calls, by their kind, over all processes
  */
-public record Play(Scenario scenario, long seed, Tallies tallies, List<Script.Mark> marks, List<Violation> violations, String failed,
-        boolean cut, List<Entry> history, Map<String, Long> injected) {
+public record TestRun(Scenario scenario, long seed, RequestStatistics statistics, List<Script.Mark> timeline, List<Violation> violations, String scriptError,
+        boolean aborted, List<Entry> history, Map<String, Long> injectedFaults) {
     /** By how much a time limit may be passed: the wire's 50 ms, half a second in which an answer only earns nothing. */
     private static final long SLACK_MS = 550;
 
     /** A play that goes on. */
-    public static final class Running {
+    public static final class InProgress {
         private final Ground ground;
         private final Script script;
 
-        Running(Ground ground) {
+        InProgress(Ground ground) {
             this.ground = ground;
             script = new Script(ground);
         }
 
         /** What there is so far. */
-        public Play so(boolean cut) {
+        public TestRun snapshot(boolean aborted) {
             List<Entry> all = ground.history.sorted();
-            return new Play(ground.scenario, ground.seed, ground.clients.tallies, script.marks(),
-                    Checker.check(ground.scenario.terms(SLACK_MS), all), script.failed(), cut, all, ground.injected());
+            return new TestRun(ground.scenario, ground.seed, ground.clients.statistics, script.timeline(),
+                    Checker.check(ground.scenario.terms(SLACK_MS), all), script.scriptError(), aborted, all, ground.injectedFaults());
         }
     }
 
     /** Whether no rule was broken and the script could be played. */
-    public boolean well() {
-        return violations.isEmpty() && failed == null;
+    public boolean passed() {
+        return violations.isEmpty() && scriptError == null;
     }
 
     /** Plays a scenario from the start of its processes to their end. {@code began}: hears of the play once it is on. */
-    public static Play run(Scenario scenario, long seed, Path jar, java.util.function.Consumer<Running> began)
+    public static TestRun run(Scenario scenario, long seed, Path jar, java.util.function.Consumer<InProgress> began)
             throws IOException, InterruptedException {
         try (Ground ground = new Ground(scenario, seed, jar)) {
             ground.start();
-            Running running = new Running(ground);
+            InProgress running = new InProgress(ground);
             began.accept(running);
             ground.clients.begin();
             running.script.begin();
@@ -64,7 +64,7 @@
             for (Member m : ground.members) {
                 m.noteReports();
             }
-            return running.so(false);
+            return running.snapshot(false);
         }
     }
 }
--- a/src/main/java/granitefold/standin/soak/SoakCommand.java
+++ b/src/main/java/granitefold/standin/soak/SoakCommand.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import granitefold.standin.ground.Play;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.ground.Scenario;
-import granitefold.standin.ground.Tallies;
+import granitefold.standin.ground.RequestStatistics;
 import granitefold.standin.history.History;
 import granitefold.standin.history.Violation;
 import java.io.IOException;
@@ -64,12 +64,12 @@
                 spec.commandLine().getOut().println(SoakPlan.text(seed, 1000 * lengthS));
                 continue;
             }
-            Play p = Play.run(scenario(seed, lengthS), seed, jar, r -> { });
-            broken += p.well() ? 0 : 1;
+            TestRun p = TestRun.run(scenario(seed, lengthS), seed, jar, r -> { });
+            broken += p.passed() ? 0 : 1;
             told(p);
             plays.add(json(p));
             write(plays);
-            if (!p.well() && histories != null) {
+            if (!p.passed() && histories != null) {
                 History.write(p.history(), Files.createDirectories(histories).resolve("seed-" + seed + ".jsonl"));
             }
         }
@@ -94,30 +94,30 @@
         }
     }
 
-    private void told(Play p) {
+    private void told(TestRun p) {
         PrintWriter out = spec.commandLine().getOut();
-        Tallies.Row all = p.tallies().all();
-        out.printf(Locale.ROOT, "seed %d: asked %d, service %.3f, rejected %d, failed %d, lost %d, left %d: %s%n", p.seed(), all.asked, all.service(),
-                all.count(Tallies.End.REJECTED), all.count(Tallies.End.FAILED), all.count(Tallies.End.LOST), all.count(Tallies.End.LEFT),
-                p.failed() != null ? "the script failed: " + p.failed() : p.violations().isEmpty() ? "no rule broken" : "BROKEN " + counts(p));
+        RequestStatistics.Summary all = p.statistics().all();
+        out.printf(Locale.ROOT, "seed %d: asked %d, service %.3f, rejected %d, failed %d, lost %d, left %d: %s%n", p.seed(), all.requests, all.servedValueShare(),
+                all.count(RequestStatistics.Outcome.REJECTED), all.count(RequestStatistics.Outcome.FAILED), all.count(RequestStatistics.Outcome.LOST), all.count(RequestStatistics.Outcome.LEFT),
+                p.scriptError() != null ? "the script failed: " + p.scriptError() : p.violations().isEmpty() ? "no rule broken" : "BROKEN " + counts(p));
         p.violations().stream().limit(SHOWN_MOST).forEach(v -> out.println("  " + v));
         out.flush();
     }
 
-    private static Map<Violation.Rule, Integer> counts(Play p) {
+    private static Map<Violation.Rule, Integer> counts(TestRun p) {
         Map<Violation.Rule, Integer> counts = new TreeMap<>();
         p.violations().forEach(v -> counts.merge(v.rule(), 1, Integer::sum));
         return counts;
     }
 
-    private static ObjectNode json(Play p) {
-        ObjectNode o = JSON.createObjectNode().put("seed", p.seed()).put("well", p.well()).put("asked", p.tallies().all().asked)
-                .put("service", p.tallies().all().service());
-        if (p.failed() != null) {
-            o.put("script_failed", p.failed());
+    private static ObjectNode json(TestRun p) {
+        ObjectNode o = JSON.createObjectNode().put("seed", p.seed()).put("well", p.passed()).put("asked", p.statistics().all().requests)
+                .put("service", p.statistics().all().servedValueShare());
+        if (p.scriptError() != null) {
+            o.put("script_failed", p.scriptError());
         }
         ObjectNode faults = o.putObject("injected");
-        p.injected().forEach(faults::put);
+        p.injectedFaults().forEach(faults::put);
         ArrayNode violations = o.putArray("violations");
         p.violations().stream().limit(TOLD_MOST).forEach(v -> violations.addObject().put("rule", v.rule().name()).put("at_ms", v.atUs() / 1000)
                 .put("what", v.what()));
--- a/src/test/java/granitefold/real/InternalErrorIT.java
+++ b/src/test/java/granitefold/real/InternalErrorIT.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.ground.Play;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.ground.Scenario;
-import granitefold.standin.ground.Variant;
-import granitefold.standin.ground.Variant.Patch;
+import granitefold.standin.ground.PatchedJar;
+import granitefold.standin.ground.PatchedJar.Patch;
 import granitefold.standin.history.Violation.Rule;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,12 +21,12 @@
     public void anErrorBehindAnAnswerDoesNotTakeTheAnswerAlong() throws Exception {
         Path folder = Files.createTempDirectory("errors");
         try {
-            Path jar = Variant.make(Path.of("target/granitefold.jar"), folder, "error", new Patch("core/Requests.java",
+            Path jar = PatchedJar.build(Path.of("target/granitefold.jar"), folder, "error", new Patch("core/Requests.java",
                     "        reply(c.client, c.submission, answer);", "        reply(c.client, c.submission, answer);\n"
                             + "        if (c.id % 5 == 0) {\n            throw new IllegalStateException(\"planted\");\n        }"));
-            Play play = Play.run(Scenario.read("error", "for = 3s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }\n"
+            TestRun play = TestRun.run(Scenario.read("error", "for = 3s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }\n"
                     + "load { rate = 60, retries = 0 }"), 7, jar, r -> { });
-            assertEquals(play.failed(), null);
+            assertEquals(play.scriptError(), null);
             assertTrue(play.violations().stream().anyMatch(v -> v.rule() == Rule.SELF_REPORTED), "no error was planted");
             assertTrue(play.violations().stream().allMatch(v -> v.rule() == Rule.SELF_REPORTED), play.violations().toString());
         } finally {
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.ground.Variant;
-import granitefold.standin.ground.Variant.Patch;
-import granitefold.standin.ground.Play;
+import granitefold.standin.ground.PatchedJar;
+import granitefold.standin.ground.PatchedJar.Patch;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.ground.Scenario;
 import granitefold.standin.history.Violation.Rule;
 import java.nio.file.Files;
@@ -110,7 +110,7 @@
     /** All of them, unless single ones go by their numbers, as {@code -Dplanted=7,9}. */
     private static final List<Integer> PLAYED = numbers(System.getProperty("planted", ALL));
 
-    private final java.util.Map<String, Play> cleared = new java.util.concurrent.ConcurrentHashMap<>();
+    private final java.util.Map<String, TestRun> cleared = new java.util.concurrent.ConcurrentHashMap<>();
     private Path folder;
 
     @BeforeClass
@@ -139,7 +139,7 @@
         return PLAYED.stream().map(i -> new Object[] {i, DEFECTS[i][0]}).toArray(Object[][]::new);
     }
 
-    private static Set<Rule> broken(Play p) {
+    private static Set<Rule> broken(TestRun p) {
         Set<Rule> rules = EnumSet.noneOf(Rule.class);
         p.violations().forEach(v -> rules.add(v.rule()));
         return rules;
@@ -150,19 +150,19 @@
         Object[] d = DEFECTS[number];
         Patch[] patches = Stream.of(d).skip(3).toArray(Patch[]::new);
         Scenario scenario = Scenario.read("planted" + number, (String) d[2]);
-        Path jar = Variant.make(Path.of("target/granitefold.jar"), folder, "defect" + number, patches);
-        Play bad = Play.run(scenario, 7, jar, r -> { });
-        assertEquals(bad.failed(), null);
-        assertTrue(broken(bad).contains(d[1]), what + ": found " + bad.violations() + ", " + bad.tallies().all().asked + " asked");
+        Path jar = PatchedJar.build(Path.of("target/granitefold.jar"), folder, "defect" + number, patches);
+        TestRun bad = TestRun.run(scenario, 7, jar, r -> { });
+        assertEquals(bad.scriptError(), null);
+        assertTrue(broken(bad).contains(d[1]), what + ": found " + bad.violations() + ", " + bad.statistics().all().requests + " asked");
         // several defects are shown on one day, which the built program plays once
-        Play good = cleared.computeIfAbsent((String) d[2], text -> play(scenario));
-        assertEquals(good.failed(), null);
+        TestRun good = cleared.computeIfAbsent((String) d[2], text -> play(scenario));
+        assertEquals(good.scriptError(), null);
         assertTrue(good.violations().isEmpty(), what + ": the built program too: " + good.violations());
     }
 
-    private static Play play(Scenario scenario) {
+    private static TestRun play(Scenario scenario) {
         try {
-            return Play.run(scenario, 7, Path.of("target/granitefold.jar"), r -> { });
+            return TestRun.run(scenario, 7, Path.of("target/granitefold.jar"), r -> { });
         } catch (java.io.IOException e) {
             throw new java.io.UncheckedIOException(e);
         } catch (InterruptedException e) {
--- a/src/test/java/granitefold/real/RolloutIT.java
+++ b/src/test/java/granitefold/real/RolloutIT.java
@@ -4,12 +4,12 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.ground.Rolling;
-import granitefold.standin.ground.Rolling.Pace;
-import granitefold.standin.ground.Rolling.Result;
+import granitefold.standin.ground.RolloutTestBed;
+import granitefold.standin.ground.RolloutTestBed.PlanParameters;
+import granitefold.standin.ground.RolloutTestBed.Result;
 import granitefold.standin.ground.Scenario;
-import granitefold.standin.ground.Variant;
-import granitefold.standin.ground.Variant.Patch;
+import granitefold.standin.ground.PatchedJar;
+import granitefold.standin.ground.PatchedJar.Patch;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
@@ -37,7 +37,7 @@
     private Path folder;
 
     private interface Story {
-        void play(Rolling r, Path fresh) throws Exception;
+        void play(RolloutTestBed r, Path fresh) throws Exception;
     }
 
     /** {@code loses}: what the new version had taken is lost with it; nothing else ever may be. */
@@ -52,83 +52,83 @@
 
     private final List<Case> cases = List.of(
             new Case("a version that is no worse takes over, and nobody notices", (r, fresh) -> {
-                r.plan("good", fresh, Pace.TEST);
+                r.writePlan("good", fresh, PlanParameters.TEST);
                 r.start();
-                done(r.result(PATIENCE_S));
+                done(r.awaitResult(PATIENCE_S));
             }, SAME),
             new Case("a fleet stands mixed with a later version and goes over to it", (r, fresh) -> {
-                r.plan("later", fresh, new Pace("\"2\", all", 2, 10, 90, 20, true, false, Pace.TEST.borne()));
+                r.writePlan("later", fresh, new PlanParameters("\"2\", all", 2, 10, 90, 20, true, false, PlanParameters.TEST.tolerances()));
                 r.start();
-                done(r.result(PATIENCE_S));
+                done(r.awaitResult(PATIENCE_S));
             }, LATER),
             new Case("a version that refuses one in ten goes back", (r, fresh) -> {
-                r.plan("loses", fresh, Pace.TEST);
+                r.writePlan("loses", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.result(PATIENCE_S), "served|refused");
-            }, Variant.loses(0.1)),
+                returned(r.awaitResult(PATIENCE_S), "served|refused");
+            }, PatchedJar.rejectShare(0.1)),
             new Case("a version that refuses a tenant goes back", (r, fresh) -> {
-                r.plan("refuses", fresh, Pace.TEST);
+                r.writePlan("refuses", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.result(PATIENCE_S), "served|refused");
-            }, Variant.refuses(1)),
+                returned(r.awaitResult(PATIENCE_S), "served|refused");
+            }, PatchedJar.rejectTenant(1)),
             new Case("a version that is slow goes back", (r, fresh) -> {
-                r.plan("slow", fresh, Pace.TEST);
+                r.writePlan("slow", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.result(PATIENCE_S), "time");
-            }, Variant.slower(60)),
+                returned(r.awaitResult(PATIENCE_S), "time");
+            }, PatchedJar.delayAnswers(60)),
             new Case("a version that does not start gives way to the old one", (r, fresh) -> {
                 Files.write(fresh, new byte[] {1, 2, 3});
-                r.plan("broken", fresh, Pace.TEST);
+                r.writePlan("broken", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.result(PATIENCE_S), "n0 to the new version");
+                returned(r.awaitResult(PATIENCE_S), "n0 to the new version");
             }),
             new Case("a version that ends after a while goes back", true, (r, fresh) -> {
-                r.plan("ends", fresh, Pace.TEST);
+                r.writePlan("ends", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.result(PATIENCE_S), "ends by themselves|does not come|did not come");
-            }, Variant.born(), Variant.ends(4000)),
+                returned(r.awaitResult(PATIENCE_S), "ends by themselves|does not come|did not come");
+            }, PatchedJar.exitTimerField(), PatchedJar.exitAfter(4000)),
             new Case("a controller is killed again and again, and the rollout comes to its end", (r, fresh) -> {
-                r.plan("killed", fresh, Pace.TEST);
+                r.writePlan("killed", fresh, PlanParameters.TEST);
                 for (String line : new String[] {"CHANGING stage 1", "LOOKING stage 1", "CHANGING stage 2"}) {
                     Process p = r.start();
                     r.awaitLog(line);
                     p.destroyForcibly().waitFor();
                 }
                 r.start();
-                done(r.result(PATIENCE_S));
+                done(r.awaitResult(PATIENCE_S));
             }, SAME),
             new Case("a second controller is refused, and keepers are killed on the way", (r, fresh) -> {
-                r.plan("second", fresh, Pace.TEST);
+                r.writePlan("second", fresh, PlanParameters.TEST);
                 Process first = r.start();
                 r.awaitLog("LOOKING stage 1");
                 Process second = r.start();
                 assertNotEquals(second.waitFor(), 0);
                 r.awaitLog("is held by another process");
-                r.disturb("{ do = kill-keeper, to = [n0, n1, n2, n3] }");
+                r.injectStep("{ do = kill-keeper, to = [n0, n1, n2, n3] }");
                 assertTrue(first.isAlive());
                 assertTrue(first.waitFor(PATIENCE_S, TimeUnit.SECONDS), r.lastLines());
                 assertEquals(r.status().path("state").asText(), "DONE", r.lastLines());
             }, SAME),
             new Case("cut off from half of the dispatchers it holds, and goes back once it reaches them", (r, fresh) -> {
                 // the dispatcher that the new one is compared with is cut off as well: the look ends when its time is over
-                r.plan("cut", fresh, new Pace("\"1\", all", 2, 6, 30, 20, true, true, Pace.TEST.borne()));
+                r.writePlan("cut", fresh, new PlanParameters("\"1\", all", 2, 6, 30, 20, true, true, PlanParameters.TEST.tolerances()));
                 r.start();
                 r.awaitLog("LOOKING stage 1");
-                r.disturb("{ do = cut, between = [\"controller\", \"n2 n3\"], edges = [control] }");
+                r.injectStep("{ do = cut, between = [\"controller\", \"n2 n3\"], edges = [control] }");
                 r.awaitLog("HELD");
                 assertTrue(r.status().path("new").size() < 4, "who was not reached was not changed");
-                assertEquals(r.say("back"), 0);
+                assertEquals(r.sendCommand("back"), 0);
                 r.awaitLog("RETURNING");
-                r.disturb("{ do = heal, edges = [control] }");
-                returned(r.result(PATIENCE_S), "operator");
+                r.injectStep("{ do = heal, edges = [control] }");
+                returned(r.awaitResult(PATIENCE_S), "operator");
             }, SAME),
             new Case("a version that says that it serves and answers nothing goes back", true, (r, fresh) -> {
-                r.plan("mute", fresh, Pace.TEST);
+                r.writePlan("mute", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.result(PATIENCE_S), "time");
-            }, Variant.mute()),
+                returned(r.awaitResult(PATIENCE_S), "time");
+            }, PatchedJar.neverAnswer()),
             new Case("a controller is stopped, another one is refused, and the first goes on", (r, fresh) -> {
-                r.plan("stopped", fresh, Pace.TEST);
+                r.writePlan("stopped", fresh, PlanParameters.TEST);
                 Process first = r.start();
                 r.awaitLog("LOOKING stage 1");
                 RealTest.signal(first, "STOP");
@@ -141,29 +141,29 @@
                 assertEquals(r.status().path("state").asText(), "DONE", r.lastLines());
             }, SAME),
             new Case("discovery goes and a worker hangs in a stage, for old and new alike, and nothing is stopped", (r, fresh) -> {
-                r.plan("alike", fresh, Pace.TEST);
+                r.writePlan("alike", fresh, PlanParameters.TEST);
                 r.start();
                 r.awaitLog("LOOKING stage 1");
-                r.disturb("{ do = discovery-down }");
-                r.disturb("{ do = hang, to = [s0] }");
+                r.injectStep("{ do = discovery-down }");
+                r.injectStep("{ do = hang, to = [s0] }");
                 r.awaitServed(4 * RATE);
-                r.disturb("{ do = well, to = [s0] }");
-                r.disturb("{ do = discovery-up }");
-                done(r.result(PATIENCE_S));
+                r.injectStep("{ do = well, to = [s0] }");
+                r.injectStep("{ do = discovery-up }");
+                done(r.awaitResult(PATIENCE_S));
             }, SAME),
             new Case("all are killed in a stage, come back as they were, and the rollout comes to its end", (r, fresh) -> {
-                r.plan("blackout", fresh, Pace.TEST);
+                r.writePlan("blackout", fresh, PlanParameters.TEST);
                 r.start();
                 r.awaitLog("LOOKING stage 1");
-                r.disturb("{ do = kill, to = [n0, n1, n2, n3] }");
-                done(r.result(PATIENCE_S));
+                r.injectStep("{ do = kill, to = [n0, n1, n2, n3] }");
+                done(r.awaitResult(PATIENCE_S));
             }, SAME),
             new Case("a version that leaks goes back", (r, fresh) -> {
-                r.plan("leaks", fresh, new Pace("\"1\", all", 2, 6, 90, 20, true, true,
+                r.writePlan("leaks", fresh, new PlanParameters("\"1\", all", 2, 6, 90, 20, true, true,
                         "served = 0.05, refused = 0.06, errors = 0.06, time = 2, memory = 1.5"));
                 r.start();
-                returned(r.result(PATIENCE_S), "memory");
-            }, Variant.leak(), Variant.leaks(16 << 10)));
+                returned(r.awaitResult(PATIENCE_S), "memory");
+            }, PatchedJar.leakField(), PatchedJar.leakMemory(16 << 10)));
 
     /** A later version's siblings tell each other things that this one does not know. */
     private static final Patch LATER = new Patch("policy/SiblingMessage.java", "        m[at] = sum(m, at);",
@@ -203,12 +203,12 @@
     @Test(dataProvider = "stories")
     public void comesToItsEndWithNothingLost(int number, String what) throws Exception {
         Case c = cases.get(number);
-        Path fresh = Variant.make(BUILT, folder, "version" + number, c.patches.length > 0 ? c.patches : new Patch[] {SAME});
-        try (Rolling r = new Rolling(Scenario.read("rolling" + number, FLEET), 11 + number, BUILT)) {
+        Path fresh = PatchedJar.build(BUILT, folder, "version" + number, c.patches.length > 0 ? c.patches : new Patch[] {SAME});
+        try (RolloutTestBed r = new RolloutTestBed(Scenario.read("rolling" + number, FLEET), 11 + number, BUILT)) {
             r.awaitServed(200);
             c.story.play(r, fresh);
             r.awaitServed(200);
-            assertTrue(r.end().stream().allMatch(v -> c.loses && v.rule() == granitefold.standin.history.Violation.Rule.LOST), r.end().toString());
+            assertTrue(r.finish().stream().allMatch(v -> c.loses && v.rule() == granitefold.standin.history.Violation.Rule.LOST), r.finish().toString());
         }
     }
 }
--- a/src/test/java/granitefold/real/SoakIT.java
+++ b/src/test/java/granitefold/real/SoakIT.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.ground.Play;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.ground.Scenario;
 import granitefold.standin.soak.SoakCommand;
 import java.nio.file.Path;
@@ -22,10 +22,10 @@
 
     @Test(dataProvider = "seeds")
     public void randomOverlappingFaultsBreakNoRule(long seed) throws Exception {
-        Play p = Play.run(SoakCommand.scenario(seed, LENGTH_S), seed, Path.of("target/granitefold.jar"), r -> { });
-        assertEquals(p.failed(), null);
+        TestRun p = TestRun.run(SoakCommand.scenario(seed, LENGTH_S), seed, Path.of("target/granitefold.jar"), r -> { });
+        assertEquals(p.scriptError(), null);
         assertTrue(p.violations().isEmpty(), p.violations().toString());
-        assertTrue(p.injected().values().stream().mapToLong(n -> n).sum() > 0, "no system call has failed");
+        assertTrue(p.injectedFaults().values().stream().mapToLong(n -> n).sum() > 0, "no system call has failed");
     }
 
     @Test
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -6,7 +6,7 @@
 
 import granitefold.standin.faults.Errno;
 import granitefold.standin.faults.SystemCallFault;
-import granitefold.standin.ground.Variant;
+import granitefold.standin.ground.PatchedJar;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
@@ -169,7 +169,7 @@
     public void aTermDuringTheStartStillAnswersWhoHasConnected() throws Exception {
         deadlines(DEADLINE_MS);
         Path folder = Files.createTempDirectory("start");
-        Path jar = Variant.make(Path.of("target/granitefold.jar"), folder, "slow-start", new Variant.Patch("net/EventLoop.java",
+        Path jar = PatchedJar.build(Path.of("target/granitefold.jar"), folder, "slow-start", new PatchedJar.Patch("net/EventLoop.java",
                 "        selectorThread.start();", "        Thread.sleep(" + START_MS + ");\n        selectorThread.start();"));
         program = new RealProgram(null, Map.of(RealProgram.JAR, jar.toString()), fields, a);
         Exchange client = program.connect(program.addressIn(" listening on "), null);
