--- a/src/main/java/granitefold/core/ActionGuard.java
+++ b/src/main/java/granitefold/core/ActionGuard.java
@@ -46,27 +46,27 @@
     }
 
     /** Whether a request may be taken in: by the time of the last answers it could not be served any more. */
-    boolean mayTake() {
-        return !closing && core.now < core.endsAt;
+    boolean mayAccept() {
+        return !closing && core.now < core.answersDueAt;
     }
 
     /** Whether an attempt, the first or a further one, may be written to its worker. */
-    boolean maySend(Attempt t) {
-        RequestContext c = t.context;
-        if (c.attempts.stream().anyMatch(other -> other != t && other.outcome == null) && !secondCopies) {
-            return violated(Rule.TWO_ATTEMPTS_OUT, c);
+    boolean maySend(Attempt attempt) {
+        RequestContext request = attempt.context;
+        if (request.attempts.stream().anyMatch(other -> other != attempt && other.outcome == null) && !secondCopies) {
+            return violated(Rule.TWO_ATTEMPTS_OUT, request);
         }
-        if (classes.get(c.submission.jobClass()).effect() == Effect.UNSAFE
-                && c.attempts.stream().anyMatch(other -> other != t && (other.outcome == null || !other.outcome.neverRan()))) {
-            return violated(Rule.UNSAFE_REPEAT, c);
+        if (classes.get(request.submission.jobClass()).effect() == Effect.UNSAFE
+                && request.attempts.stream().anyMatch(other -> other != attempt && (other.outcome == null || !other.outcome.neverRan()))) {
+            return violated(Rule.UNSAFE_REPEAT, request);
         }
         // while its connection came up the client left, the worker was told to drain, or a time ran out
-        return !c.over && t.worker.state == State.READY && core.now < t.startsBy && core.now < t.expiresAt;
+        return !request.finished && attempt.worker.state == State.READY && core.now < attempt.startsBy && core.now < attempt.expiresAt;
     }
 
     /** Whether a request may get this as its final answer. */
-    boolean mayAnswer(RequestContext c) {
-        return !c.over || violated(Rule.ANSWERED_TWICE, c);
+    boolean mayAnswer(RequestContext request) {
+        return !request.finished || violated(Rule.ANSWERED_TWICE, request);
     }
 
     /** Whether the process may stop, so many requests being owed an answer. */
@@ -74,8 +74,8 @@
         return owed == 0 || violated(Rule.STOPPED_OWING, owed + " requests");
     }
 
-    private boolean violated(Rule rule, RequestContext c) {
-        return violated(rule, c.submission.name());
+    private boolean violated(Rule rule, RequestContext request) {
+        return violated(rule, request.submission.name());
     }
 
     private boolean violated(Rule rule, String what) {
--- a/src/main/java/granitefold/core/Attempts.java
+++ b/src/main/java/granitefold/core/Attempts.java
@@ -6,168 +6,168 @@
 /** The attempts of request contexts, on connections to workers: never two of one context at once. */
 final class Attempts {
     /** How long the end of an answer may follow its last line. */
-    private static final long SETTLE_US = 1_000_000;
+    private static final long ANSWER_END_TIMEOUT_US = 1_000_000;
 
     private final CoreContext core;
     private final Requests requests;
-    private final WorkerRegistry list;
+    private final WorkerRegistry registry;
 
-    Attempts(CoreContext parts, Requests requests, WorkerRegistry list) {
-        core = parts;
+    Attempts(CoreContext coreContext, Requests requests, WorkerRegistry registry) {
+        core = coreContext;
         this.requests = requests;
-        this.list = list;
+        this.registry = registry;
     }
 
-    void send(RequestContext c, Worker worker, long waitUs, long startUs) {
-        long expiresAt = waitUs > 0 ? Math.min(c.moduleDeadline, core.now + waitUs) : c.moduleDeadline;
-        Attempt t = new Attempt(c, c.attempts.size(), worker, expiresAt, startUs > Long.MAX_VALUE / 2 ? Long.MAX_VALUE : core.now + startUs);
-        c.attempts.add(t);
+    void send(RequestContext context, Worker worker, long waitUs, long startUs) {
+        long expiresAt = waitUs > 0 ? Math.min(context.moduleDeadline, core.now + waitUs) : context.moduleDeadline;
+        Attempt attempt = new Attempt(context, context.attempts.size(), worker, expiresAt, startUs > Long.MAX_VALUE / 2 ? Long.MAX_VALUE : core.now + startUs);
+        context.attempts.add(attempt);
         WorkerConnection idle = core.pool.takeIdle(worker, core.now);
-        t.connection = idle != null ? idle : core.pool.connect(worker);
-        if (t.connection == null) {
+        attempt.connection = idle != null ? idle : core.pool.connect(worker);
+        if (attempt.connection == null) {
             // want of room here says nothing of the worker
-            endAfterwards(t, Outcome.MOOT);
+            endDeferred(attempt, Outcome.MOOT);
             return;
         }
-        t.connection.carries = t;
-        core.trace.begun(t);
-        if (idle != null && core.guard.maySend(t)) {
-            write(t);
+        attempt.connection.currentAttempt = attempt;
+        core.trace.begun(attempt);
+        if (idle != null && core.guard.maySend(attempt)) {
+            write(attempt);
         } else if (idle != null) {
-            core.pool.drop(t);
-            endAfterwards(t, Outcome.MOOT);
+            core.pool.drop(attempt);
+            endDeferred(attempt, Outcome.MOOT);
         } else {
             // it may be up by now and only not read yet: a busy loop must not pass for a dead worker
-            t.timer = core.timers.at(Math.min(expiresAt, core.now + core.bounds.connectTimeoutUs()),
-                    at -> core.effects.add(new Effect.PollSockets(t.connection.id)));
+            attempt.timer = core.timers.at(Math.min(expiresAt, core.now + core.bounds.connectTimeoutUs()),
+                    at -> core.effects.add(new Effect.PollSockets(attempt.connection.id)));
         }
     }
 
-    private void write(Attempt t) {
-        core.timers.cancel(t.timer);
-        t.timer = core.timers.at(t.expiresAt, at -> {
-            core.pool.drop(t);
-            end(t, Outcome.TIMED_OUT);
+    private void write(Attempt attempt) {
+        core.timers.cancel(attempt.timer);
+        attempt.timer = core.timers.at(attempt.expiresAt, at -> {
+            core.pool.drop(attempt);
+            end(attempt, Outcome.TIMED_OUT);
         });
-        t.connection.state = WorkerConnection.State.SENDING;
-        if (core.recollection != null) {
-            core.recollection.sent(t.context.submission, core.now);
+        attempt.connection.state = WorkerConnection.State.SENDING;
+        if (core.statePersistence != null) {
+            core.statePersistence.sent(attempt.context.submission, core.now);
         }
-        core.trace.sent(t, t.expiresAt - core.now);
-        core.effects.add(new Effect.SendRequest(t.connection.id, t.context.client, t.context.submission.payload(), t.expiresAt));
+        core.trace.sent(attempt, attempt.expiresAt - core.now);
+        core.effects.add(new Effect.SendRequest(attempt.connection.id, attempt.context.client, attempt.context.submission.payload(), attempt.expiresAt));
     }
 
     /** Its client has gone, so that nothing of it was written. */
-    void notSent(WorkerConnection c) {
-        if (c != null && c.carries != null) {
-            Attempt t = c.carries;
-            core.pool.drop(t);
-            end(t, Outcome.MOOT);
+    void notSent(WorkerConnection connection) {
+        if (connection != null && connection.currentAttempt != null) {
+            Attempt attempt = connection.currentAttempt;
+            core.pool.drop(attempt);
+            end(attempt, Outcome.MOOT);
         }
     }
 
     /** The time to connect is up, and all that had come by then has been read. */
-    void looked(WorkerConnection c) {
-        if (c != null && c.state == WorkerConnection.State.CONNECTING && c.carries != null) {
-            Attempt t = c.carries;
-            core.pool.drop(t);
-            end(t, core.now < t.expiresAt ? Outcome.UNREACHABLE : Outcome.MOOT);
+    void socketsPolled(WorkerConnection connection) {
+        if (connection != null && connection.state == WorkerConnection.State.CONNECTING && connection.currentAttempt != null) {
+            Attempt attempt = connection.currentAttempt;
+            core.pool.drop(attempt);
+            end(attempt, core.now < attempt.expiresAt ? Outcome.UNREACHABLE : Outcome.MOOT);
         }
     }
 
-    void workerConnected(WorkerConnection c) {
-        if (c == null || c.carries == null) {
+    void workerConnected(WorkerConnection connection) {
+        if (connection == null || connection.currentAttempt == null) {
             return;
         }
-        Attempt t = c.carries;
-        if (core.guard.maySend(t)) {
-            write(t);
+        Attempt attempt = connection.currentAttempt;
+        if (core.guard.maySend(attempt)) {
+            write(attempt);
         } else {
-            core.pool.drop(t);
-            end(t, Outcome.MOOT);
+            core.pool.drop(attempt);
+            end(attempt, Outcome.MOOT);
         }
     }
 
-    void workerSaid(WorkerConnection c, AttemptUpdate news) {
-        Attempt t = c == null ? null : c.carries;
-        if (t == null) {
+    void attemptUpdated(WorkerConnection connection, AttemptUpdate update) {
+        Attempt attempt = connection == null ? null : connection.currentAttempt;
+        if (attempt == null) {
             return;
         }
-        c.stale = false;
-        if (news instanceof AttemptUpdate.Started) {
-            core.module.started(core.now, t.context.id, t.number);
-        } else if (news instanceof AttemptUpdate.Progressed p) {
-            core.module.progressed(core.now, t.context.id, t.number, p.share());
+        connection.stale = false;
+        if (update instanceof AttemptUpdate.Started) {
+            core.module.started(core.now, attempt.context.id, attempt.number);
+        } else if (update instanceof AttemptUpdate.Progressed progressed) {
+            core.module.progressed(core.now, attempt.context.id, attempt.number, progressed.share());
         } else {
-            c.carries = null;
-            core.pool.settle(c, core.now + SETTLE_US);
-            if (news instanceof AttemptUpdate.Served s) {
-                if (!t.context.over) {
-                    requests.answer(t.context, new FinalAnswer.Served(s.result()));
+            connection.currentAttempt = null;
+            core.pool.awaitAnswerEnd(connection, core.now + ANSWER_END_TIMEOUT_US);
+            if (update instanceof AttemptUpdate.Served served) {
+                if (!attempt.context.finished) {
+                    requests.answer(attempt.context, new FinalAnswer.Served(served.result()));
                 }
-                end(t, Outcome.SERVED);
-            } else if (news instanceof AttemptUpdate.Returned) {
-                end(t, Outcome.FULL);
+                end(attempt, Outcome.SERVED);
+            } else if (update instanceof AttemptUpdate.Returned) {
+                end(attempt, Outcome.FULL);
             } else {
-                end(t, news instanceof AttemptUpdate.Failed ? Outcome.ERROR : Outcome.BROKEN);
+                end(attempt, update instanceof AttemptUpdate.Failed ? Outcome.ERROR : Outcome.BROKEN);
             }
         }
     }
 
-    void answerEnded(WorkerConnection c, boolean reusable) {
-        if (c == null) {
+    void answerEnded(WorkerConnection connection, boolean reusable) {
+        if (connection == null) {
             return;
         }
-        Attempt t = c.carries;
-        c.carries = null;
-        if (reusable && t == null && c.worker.state == State.READY && c.address.equals(c.worker.address)) {
-            core.pool.release(c, core.now);
+        Attempt attempt = connection.currentAttempt;
+        connection.currentAttempt = null;
+        if (reusable && attempt == null && connection.worker.state == State.READY && connection.address.equals(connection.worker.address)) {
+            core.pool.release(connection, core.now);
         } else {
-            core.pool.close(c, ConnectionPool.Reason.NOT_REUSABLE);
+            core.pool.close(connection, ConnectionPool.Reason.NOT_REUSABLE);
         }
-        if (t != null) {
+        if (attempt != null) {
             // the answer ended without its last line: the job may have run, and the connection is not trusted
-            end(t, Outcome.BROKEN);
+            end(attempt, Outcome.BROKEN);
         }
     }
 
-    void workerClosed(WorkerConnection c, String why) {
-        if (c == null) {
+    void workerClosed(WorkerConnection connection, String reason) {
+        if (connection == null) {
             return;
         }
-        core.trace.workerClosed(c.id, why);
-        core.pool.forget(c);
-        if (c.stale) {
+        core.trace.workerClosed(connection.id, reason);
+        core.pool.forget(connection);
+        if (connection.stale) {
             // what ended this kept connection has most likely ended the others too
-            core.pool.closeIdle(c.worker);
+            core.pool.closeIdle(connection.worker);
         }
-        if (c.carries != null) {
+        if (connection.currentAttempt != null) {
             // that a kept one ended before the last byte was written says nothing of the worker
-            end(c.carries, c.state == WorkerConnection.State.WAITING ? Outcome.BROKEN : c.stale ? Outcome.MOOT : Outcome.UNREACHABLE);
+            end(connection.currentAttempt, connection.state == WorkerConnection.State.WAITING ? Outcome.BROKEN : connection.stale ? Outcome.MOOT : Outcome.UNREACHABLE);
         }
     }
 
-    private void end(Attempt t, Outcome outcome) {
-        core.timers.cancel(t.timer);
-        t.outcome = outcome;
-        core.trace.ended(t, outcome);
-        core.attendance.tried(outcome);
-        core.module.ended(core.now, t.context.id, t.number, t.context.over, outcome, null);
+    private void end(Attempt attempt, Outcome outcome) {
+        core.timers.cancel(attempt.timer);
+        attempt.outcome = outcome;
+        core.trace.ended(attempt, outcome);
+        core.availabilityMonitor.attemptEnded(outcome);
+        core.module.ended(core.now, attempt.context.id, attempt.number, attempt.context.finished, outcome, null);
         if (core.health != null) {
-            list.judged(core.health.tried(t.worker.id, outcome, core.now));
+            registry.healthChanged(core.health.attemptEnded(attempt.worker.id, outcome, core.now));
         }
-        requests.forget(t.context);
+        requests.forget(attempt.context);
     }
 
-    void endAfterwards(Attempt t, Outcome outcome) {
-        t.outcome = outcome;
-        core.afterwards.add(() -> end(t, outcome));
+    void endDeferred(Attempt attempt, Outcome outcome) {
+        attempt.outcome = outcome;
+        core.deferred.add(() -> end(attempt, outcome));
     }
 
     /** The last byte of a request was written. */
-    void written(WorkerConnection c) {
-        if (c != null && c.state == WorkerConnection.State.SENDING) {
-            c.state = WorkerConnection.State.WAITING;
+    void written(WorkerConnection connection) {
+        if (connection != null && connection.state == WorkerConnection.State.SENDING) {
+            connection.state = WorkerConnection.State.WAITING;
         }
     }
 }
--- a/src/main/java/granitefold/core/AvailabilityMonitor.java
+++ b/src/main/java/granitefold/core/AvailabilityMonitor.java
@@ -18,50 +18,50 @@
  */
 final class AvailabilityMonitor {
     /** What was answered longer ago than this counts half and less. */
-    private static final double HALF_US = 1_000_000;
+    private static final double HALF_LIFE_US = 1_000_000;
 
     private final Reducer reducer;
     private final int connections;
     private final Timers timers;
     private final List<Effect> effects;
-    private AvailabilitySettings set;
-    private Availability machine;
+    private AvailabilitySettings settings;
+    private Availability availability;
     private Availability.State state;
-    private Wish wish = Wish.READY;
+    private Wish requestedMode = Wish.READY;
     private ResourceUsage resources = ResourceUsage.UNKNOWN;
     private long startedAt;
-    private long heardAt;
-    private long listedAt;
+    private long lastUpdateAt;
+    private long lastListAt;
     private boolean confirmed;
-    private int reached;
-    private int missed;
+    private int reachedAttempts;
+    private int unreachableAttempts;
     private long served;
     private long rejected;
     private long failed;
     /** Answers and rejects of late, fading, and as of when. */
-    private double answers;
-    private double rejects;
-    private long fadedAt;
+    private double recentAnswers;
+    private double recentRejects;
+    private long decayedAt;
 
-    AvailabilityMonitor(AvailabilitySettings set, int connections, Reducer reducer, Timers timers, List<Effect> effects) {
+    AvailabilityMonitor(AvailabilitySettings settings, int connections, Reducer reducer, Timers timers, List<Effect> effects) {
         this.connections = connections;
         this.reducer = reducer;
         this.timers = timers;
         this.effects = effects;
-        retuned(set);
+        settingsChanged(settings);
     }
 
     /** Other figures from now on. */
-    void retuned(AvailabilitySettings figures) {
-        if (set == null || figures != null) {
-            set = figures;
-            machine = set == null ? null : new Availability(set, connections);
+    void settingsChanged(AvailabilitySettings newSettings) {
+        if (settings == null || newSettings != null) {
+            settings = newSettings;
+            availability = settings == null ? null : new Availability(settings, connections);
         }
     }
 
     void opened(long now) {
-        if (machine != null) {
-            startedAt = heardAt = listedAt = fadedAt = now;
+        if (availability != null) {
+            startedAt = lastUpdateAt = lastListAt = decayedAt = now;
             state = Availability.State.first(now);
             sample(now);
         }
@@ -69,88 +69,88 @@
 
     private void sample(long now) {
         effects.add(new Effect.SampleResources());
-        timers.at(now + set.intervalUs(), this::sample);
+        timers.at(now + settings.intervalUs(), this::sample);
     }
 
-    /** Discovery has said something; {@code list}: what it said was a list. */
-    void heard(boolean list, long now) {
-        heardAt = now;
+    /** Discovery has said something; {@code accepted}: what it said was a list. */
+    void discoveryUpdated(boolean accepted, long now) {
+        lastUpdateAt = now;
         // an empty line says that the version told in the request still holds
         confirmed = true;
-        if (list) {
-            listedAt = now;
+        if (accepted) {
+            lastListAt = now;
         }
     }
 
     void answered(FinalAnswer answer, long now) {
-        if (machine == null) {
+        if (availability == null) {
             return;
         }
-        fade(now);
-        answers++;
+        decay(now);
+        recentAnswers++;
         if (answer instanceof FinalAnswer.Served) {
             served++;
         } else if (answer instanceof FinalAnswer.Rejected) {
             rejected++;
-            rejects++;
+            recentRejects++;
         } else {
             failed++;
         }
     }
 
-    void tried(Outcome outcome) {
+    void attemptEnded(Outcome outcome) {
         if (outcome == Outcome.UNREACHABLE) {
-            missed++;
+            unreachableAttempts++;
         } else if (outcome != Outcome.MOOT && outcome != Outcome.CANCELLED && outcome != Outcome.TIMED_OUT) {
-            reached++;
+            reachedAttempts++;
         }
     }
 
-    void sampled(ResourceUsage news, long now) {
+    void resourcesSampled(ResourceUsage news, long now) {
         resources = news;
         evaluate(now);
     }
 
-    void wished(Wish news, long now) {
-        wish = news;
+    void modeRequested(Wish news, long now) {
+        requestedMode = news;
         evaluate(now);
     }
 
     /** Clients are told to leave: others are there for them, as far as the operator knows. */
-    boolean sendsAway() {
-        return state != null && wish != Wish.READY && !state.standing().serves();
+    boolean closesClients() {
+        return state != null && requestedMode != Wish.READY && !state.standing().serves();
     }
 
     /** Something of weight has happened, or time has passed. */
     void evaluate(long now) {
-        if (machine == null || state == null) {
+        if (availability == null || state == null) {
             return;
         }
-        fade(now);
+        decay(now);
         Dispatcher.Pressure pressure = reducer.pressure();
-        double wait = pressure.waitUs() / Math.max(1, pressure.boundUs());
-        double share = rejects / Math.max(1, answers);
-        Availability.State next = machine.next(state, new Signals(life(), wish, confirmed, now - Math.max(listedAt, heardAt),
-                now - heardAt, pressure.ready(), reached, missed, share,
-                (double) pressure.full() / Math.max(1, pressure.ready()), wait, reducer.clientShare(),
+        double waitRatio = pressure.waitUs() / Math.max(1, pressure.boundUs());
+        double rejectShare = recentRejects / Math.max(1, recentAnswers);
+        Availability.State nextState = availability.next(state, new Signals(processStage(), requestedMode, confirmed, now - Math.max(lastListAt, lastUpdateAt),
+                now - lastUpdateAt, pressure.ready(), reachedAttempts, unreachableAttempts, rejectShare,
+                (double) pressure.full() / Math.max(1, pressure.ready()), waitRatio, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
-        log(state.standing(), next);
-        state = next;
-        Verdict verdict = machine.verdict(state);
-        double perS = answers * Math.log(2) / HALF_US * 1e6;
-        effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), wish, reducer.owed(), reducer.clients(),
+        logTransition(state.standing(), nextState);
+        state = nextState;
+        Verdict verdict = availability.verdict(state);
+        double answersPerSecond = recentAnswers * Math.log(2) / HALF_LIFE_US * 1e6;
+        effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), requestedMode, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
-                now - Math.max(listedAt, heardAt), now - heardAt, wait, share, perS, resources, now - startedAt, served,
+                now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, waitRatio, rejectShare, answersPerSecond, resources, now - startedAt, served,
                 rejected, failed)));
     }
 
-    private void log(Standing from, Availability.State to) {
-        if (from != to.standing()) {
-            effects.add(new Effect.Log(LogEvent.AVAILABILITY, from, to.standing(), to.weight(), to.reason()));
+    private void logTransition(Standing previous, Availability.State current) {
+        if (previous != current.standing()) {
+            effects.add(new Effect.Log(LogEvent.AVAILABILITY, previous, current.standing(), current.weight(), current.reason()));
         }
     }
 
-    private Life life() {
+    private Life processStage() {
         return switch (reducer.phase()) {
             case STARTING -> Life.STARTING;
             case SERVING -> Life.SERVING;
@@ -159,10 +159,10 @@
         };
     }
 
-    private void fade(long now) {
-        double left = Math.pow(0.5, (now - fadedAt) / HALF_US);
-        answers *= left;
-        rejects *= left;
-        fadedAt = now;
+    private void decay(long now) {
+        double remaining = Math.pow(0.5, (now - decayedAt) / HALF_LIFE_US);
+        recentAnswers *= remaining;
+        recentRejects *= remaining;
+        decayedAt = now;
     }
 }
--- a/src/main/java/granitefold/core/ClientConnections.java
+++ b/src/main/java/granitefold/core/ClientConnections.java
@@ -16,145 +16,145 @@
      * A whole request must have come so long after its connection, or after its own first byte on a kept one. Slow lines
      * take 2 s over one, and whoever takes longer is to hear of it within 3 s.
      */
-    static final long REQUEST_US = 2_800_000;
+    static final long REQUEST_TIMEOUT_US = 2_800_000;
     /** How long an answer may take to write to a client that does not read it. */
-    static final long WRITE_US = 2_000_000;
+    static final long WRITE_TIMEOUT_US = 2_000_000;
     /** How long a client that was told to close may take to read that, while what it sends is thrown away. */
-    static final long LINGER_US = 500_000;
+    static final long LINGER_TIMEOUT_US = 500_000;
     /** A new connection brings its request at once; one silent for longer makes room for others. */
-    static final long SILENT_US = 200_000;
+    static final long SILENT_CONNECT_US = 200_000;
 
     /** Who writes a request slowly is seldom silent for longer within it. */
-    static final long STOPPED_US = 1_000_000;
+    static final long STALLED_REQUEST_US = 1_000_000;
 
     private enum State {
         /** It has connected and sent nothing yet. */
-        READING,
+        CONNECTED,
         /** A part of a request has come. */
-        BEGUN,
-        OWED,
+        RECEIVING,
+        AWAITING_ANSWER,
         WRITING,
         IDLE,
         /** Idle, and has never brought a job: it asked something else once, and stayed. */
-        VISITING,
+        IDLE_WITHOUT_JOBS,
         /** It has its answer and was told to close. */
         LINGERING,
         /** We have closed it, and will hear so. */
         CLOSING
     }
 
-    private static final class Place {
+    private static final class Entry {
         final long client;
         State state;
-        boolean broughtJob;
+        boolean sentJob;
         long since;
         Timers.Timer timer;
 
-        Place(long client) {
+        Entry(long client) {
             this.client = client;
         }
     }
 
-    private final Map<Long, Place> places = new HashMap<>();
+    private final Map<Long, Entry> entries = new HashMap<>();
     /** The places in each state, the longest there first. */
-    private final Map<State, LinkedHashMap<Long, Place>> in = new EnumMap<>(State.class);
-    private final int most;
+    private final Map<State, LinkedHashMap<Long, Entry>> byState = new EnumMap<>(State.class);
+    private final int maxConnections;
     private final Timers timers;
     private final List<Effect> effects;
 
-    ClientConnections(int most, Timers timers, List<Effect> effects) {
-        this.most = most;
+    ClientConnections(int maxConnections, Timers timers, List<Effect> effects) {
+        this.maxConnections = maxConnections;
         this.timers = timers;
         this.effects = effects;
         for (State s : State.values()) {
-            in.put(s, new LinkedHashMap<>());
+            byState.put(s, new LinkedHashMap<>());
         }
     }
 
     /** Those that are open. */
     int size() {
-        return places.size() - in.get(State.CLOSING).size();
+        return entries.size() - byState.get(State.CLOSING).size();
     }
 
     void opened(long client, long now) {
-        if (size() >= most) {
+        if (size() >= maxConnections) {
             makeRoom(now);
         }
-        Place p = new Place(client);
-        places.put(client, p);
-        move(p, State.READING, now);
+        Entry entry = new Entry(client);
+        entries.put(client, entry);
+        move(entry, State.CONNECTED, now);
     }
 
     /** The first bytes of another request have come. */
-    void begun(long client, long now) {
-        move(places.get(client), State.BEGUN, now);
+    void requestStarted(long client, long now) {
+        move(entries.get(client), State.RECEIVING, now);
     }
 
     /** More of a request has come, but not its end: its time runs on, and of those it has been silent for the least. */
-    void heard(long client, long now) {
-        Place p = places.get(client);
-        if (p != null && (p.state == State.READING || p.state == State.BEGUN)) {
-            in.get(p.state).remove(client);
-            p.state = State.BEGUN;
-            p.since = now;
-            in.get(State.BEGUN).put(client, p);
+    void received(long client, long now) {
+        Entry entry = entries.get(client);
+        if (entry != null && (entry.state == State.CONNECTED || entry.state == State.RECEIVING)) {
+            byState.get(entry.state).remove(client);
+            entry.state = State.RECEIVING;
+            entry.since = now;
+            byState.get(State.RECEIVING).put(client, entry);
         }
     }
 
     /** A whole request has come. */
     void arrived(long client, long now) {
-        Place p = places.get(client);
-        if (p != null) {
-            p.broughtJob = true;
+        Entry entry = entries.get(client);
+        if (entry != null) {
+            entry.sentJob = true;
         }
-        move(p, State.OWED, now);
+        move(entry, State.AWAITING_ANSWER, now);
     }
 
     void answering(long client, long now) {
-        move(places.get(client), State.WRITING, now);
+        move(entries.get(client), State.WRITING, now);
     }
 
     /** An answer is out; it was the {@code last} one if the client was told to close. */
     void written(long client, boolean last, long now) {
-        Place p = places.get(client);
-        move(p, last ? State.LINGERING : p != null && p.broughtJob ? State.IDLE : State.VISITING, now);
+        Entry entry = entries.get(client);
+        move(entry, last ? State.LINGERING : entry != null && entry.sentJob ? State.IDLE : State.IDLE_WITHOUT_JOBS, now);
     }
 
     /** It was idle, and was told that no more is read. */
-    void shut(long client, long now) {
-        move(places.get(client), State.LINGERING, now);
+    void halfClosed(long client, long now) {
+        move(entries.get(client), State.LINGERING, now);
     }
 
     void closed(long client) {
-        Place p = places.remove(client);
-        if (p != null) {
-            timers.cancel(p.timer);
-            in.get(p.state).remove(client);
+        Entry entry = entries.remove(client);
+        if (entry != null) {
+            timers.cancel(entry.timer);
+            byState.get(entry.state).remove(client);
         }
     }
 
-    private void move(Place p, State to, long now) {
-        if (p == null) {
+    private void move(Entry entry, State to, long now) {
+        if (entry == null) {
             return;
         }
-        timers.cancel(p.timer);
-        if (p.state != null) {
-            in.get(p.state).remove(p.client);
+        timers.cancel(entry.timer);
+        if (entry.state != null) {
+            byState.get(entry.state).remove(entry.client);
         }
-        p.state = to;
-        p.since = now;
-        in.get(to).put(p.client, p);
-        p.timer = switch (to) {
-            case READING, BEGUN -> timers.at(now + REQUEST_US, t -> effects.add(new Effect.TimeOutClient(p.client)));
-            case WRITING -> timers.at(now + WRITE_US, t -> close(p, CloseReason.TIMED_OUT, t));
-            case LINGERING -> timers.at(now + LINGER_US, t -> close(p, CloseReason.LINGERED, t));
+        entry.state = to;
+        entry.since = now;
+        byState.get(to).put(entry.client, entry);
+        entry.timer = switch (to) {
+            case CONNECTED, RECEIVING -> timers.at(now + REQUEST_TIMEOUT_US, t -> effects.add(new Effect.TimeOutClient(entry.client)));
+            case WRITING -> timers.at(now + WRITE_TIMEOUT_US, t -> close(entry, CloseReason.TIMED_OUT, t));
+            case LINGERING -> timers.at(now + LINGER_TIMEOUT_US, t -> close(entry, CloseReason.LINGERED, t));
             default -> null;
         };
     }
 
-    private void close(Place p, CloseReason reason, long now) {
-        move(p, State.CLOSING, now);
-        effects.add(new Effect.CloseClient(p.client, reason));
+    private void close(Entry entry, CloseReason reason, long now) {
+        move(entry, State.CLOSING, now);
+        effects.add(new Effect.CloseClient(entry.client, reason));
     }
 
     /**
@@ -164,34 +164,34 @@
      * slow writers are for a while, and would lose it.
      */
     private void makeRoom(long now) {
-        Place silent = first(State.READING);
-        Place goes = first(State.LINGERING);
-        if (goes == null && silent != null && now - silent.since >= SILENT_US) {
-            goes = silent;
+        Entry silent = first(State.CONNECTED);
+        Entry victim = first(State.LINGERING);
+        if (victim == null && silent != null && now - silent.since >= SILENT_CONNECT_US) {
+            victim = silent;
         }
-        Place begun = first(State.BEGUN);
-        if (goes == null && begun != null && now - begun.since >= STOPPED_US) {
-            goes = begun;
+        Entry stalled = first(State.RECEIVING);
+        if (victim == null && stalled != null && now - stalled.since >= STALLED_REQUEST_US) {
+            victim = stalled;
         }
-        if (goes == null) {
-            goes = first(State.VISITING);
+        if (victim == null) {
+            victim = first(State.IDLE_WITHOUT_JOBS);
         }
-        if (goes == null) {
-            goes = first(State.IDLE);
+        if (victim == null) {
+            victim = first(State.IDLE);
         }
-        if (goes == null) {
-            goes = begun;
+        if (victim == null) {
+            victim = stalled;
         }
-        if (goes == null) {
-            goes = silent;
+        if (victim == null) {
+            victim = silent;
         }
-        if (goes != null) {
-            close(goes, CloseReason.NO_ROOM, now);
+        if (victim != null) {
+            close(victim, CloseReason.NO_ROOM, now);
         }
     }
 
-    private Place first(State state) {
-        Iterator<Place> i = in.get(state).values().iterator();
-        return i.hasNext() ? i.next() : null;
+    private Entry first(State state) {
+        Iterator<Entry> iterator = byState.get(state).values().iterator();
+        return iterator.hasNext() ? iterator.next() : null;
     }
 }
--- a/src/main/java/granitefold/core/ConnectionPool.java
+++ b/src/main/java/granitefold/core/ConnectionPool.java
@@ -9,23 +9,23 @@
 /** The bookkeeping of worker connections: which are open, which of them are idle and since when. */
 final class ConnectionPool {
     /** A worker closes an idle connection after a told time; ours goes by this share of it, lest a request meet that. */
-    private static final double IDLE_SHARE = 0.7;
+    private static final double IDLE_CLOSE_FRACTION = 0.7;
     /**
      * What a worker still says of one request must not be taken for its answer to the next: a second answer, say, that comes some
      * milliseconds late, and tells by its status alone that nothing ran. For so long a connection rests; it is the protocol's slack.
      */
-    static final long REST_US = 50_000;
+    static final long REUSE_DELAY_US = 50_000;
 
     private final Map<Long, WorkerConnection> open = new HashMap<>();
     /** Connections without an attempt, the longest idle first, and those that only wait for the end of an answer. */
     private final LinkedHashSet<WorkerConnection> idle = new LinkedHashSet<>();
-    private final LinkedHashSet<WorkerConnection> settled = new LinkedHashSet<>();
-    private final int most;
-    private final long idleUs;
+    private final LinkedHashSet<WorkerConnection> awaitingEnd = new LinkedHashSet<>();
+    private final int maxConnections;
+    private final long maxIdleUs;
     private final Timers timers;
     private final List<Effect> effects;
     private final RequestTrace trace;
-    private long number;
+    private long nextId;
 
     /** Why we close a connection to a worker. */
     enum Reason {
@@ -43,9 +43,9 @@
         NO_ROOM
     }
 
-    ConnectionPool(int most, long idleCloseUs, Timers timers, List<Effect> effects, RequestTrace trace) {
-        this.most = most;
-        idleUs = (long) (idleCloseUs * IDLE_SHARE);
+    ConnectionPool(int maxConnections, long idleCloseUs, Timers timers, List<Effect> effects, RequestTrace trace) {
+        this.maxConnections = maxConnections;
+        maxIdleUs = (long) (idleCloseUs * IDLE_CLOSE_FRACTION);
         this.timers = timers;
         this.effects = effects;
         this.trace = trace;
@@ -57,14 +57,14 @@
 
     /** An idle connection to the worker that is fresh enough for a request, and has been silent since its last one; or null. */
     WorkerConnection takeIdle(Worker worker, long now) {
-        for (WorkerConnection c : worker.idle) {
-            if (now - c.idleSince >= idleUs) {
+        for (WorkerConnection connection : worker.idle) {
+            if (now - connection.idleSince >= maxIdleUs) {
                 break;
             }
-            if (now - c.idleSince >= REST_US) {
-                idle.remove(c);
-                worker.idle.remove(c);
-                return c;
+            if (now - connection.idleSince >= REUSE_DELAY_US) {
+                idle.remove(connection);
+                worker.idle.remove(connection);
+                return connection;
             }
         }
         return null;
@@ -72,60 +72,60 @@
 
     /** A new connection, or null where as many are open as the limits allow. */
     WorkerConnection connect(Worker worker) {
-        if (open.size() >= most && !makeRoom()) {
+        if (open.size() >= maxConnections && !makeRoom()) {
             return null;
         }
-        WorkerConnection c = new WorkerConnection(number++, worker);
-        open.put(c.id, c);
+        WorkerConnection connection = new WorkerConnection(nextId++, worker);
+        open.put(connection.id, connection);
         worker.open++;
-        effects.add(new Effect.ConnectWorker(c.id, c.address));
-        return c;
+        effects.add(new Effect.ConnectWorker(connection.id, connection.address));
+        return connection;
     }
 
     /** Keeps a connection for another request. */
-    void release(WorkerConnection c, long now) {
-        c.state = WorkerConnection.State.IDLE;
-        c.idleSince = now;
-        c.stale = true;
-        unsettle(c);
-        c.worker.idle.addFirst(c);
-        idle.add(c);
+    void release(WorkerConnection connection, long now) {
+        connection.state = WorkerConnection.State.IDLE;
+        connection.idleSince = now;
+        connection.stale = true;
+        cancelAnswerWait(connection);
+        connection.worker.idle.addFirst(connection);
+        idle.add(connection);
     }
 
     /** Its attempt has ended, the end of the answer is awaited for so long: a worker must not keep it for good. */
-    void settle(WorkerConnection c, long until) {
-        c.state = WorkerConnection.State.SETTLED;
-        settled.add(c);
-        c.timer = timers.at(until, t -> close(c, Reason.UNFINISHED));
+    void awaitAnswerEnd(WorkerConnection connection, long until) {
+        connection.state = WorkerConnection.State.AWAITING_END;
+        awaitingEnd.add(connection);
+        connection.timer = timers.at(until, attempt -> close(connection, Reason.UNFINISHED));
     }
 
-    private void unsettle(WorkerConnection c) {
-        timers.cancel(c.timer);
-        settled.remove(c);
+    private void cancelAnswerWait(WorkerConnection connection) {
+        timers.cancel(connection.timer);
+        awaitingEnd.remove(connection);
     }
 
-    void close(WorkerConnection c, Reason reason) {
-        trace.workerClosed(c.id, reason);
-        forget(c);
-        effects.add(new Effect.CloseWorker(c.id));
+    void close(WorkerConnection connection, Reason reason) {
+        trace.workerClosed(connection.id, reason);
+        forget(connection);
+        effects.add(new Effect.CloseWorker(connection.id));
     }
 
     /** The connection is closed already. */
-    void forget(WorkerConnection c) {
-        if (open.remove(c.id) != null) {
-            c.worker.open--;
-            unsettle(c);
-            if (idle.remove(c)) {
-                c.worker.idle.remove(c);
+    void forget(WorkerConnection connection) {
+        if (open.remove(connection.id) != null) {
+            connection.worker.open--;
+            cancelAnswerWait(connection);
+            if (idle.remove(connection)) {
+                connection.worker.idle.remove(connection);
             }
         }
     }
 
     /** Stops waiting for an attempt: its connection closes at once, before anything else can be sent. */
-    void drop(Attempt t) {
-        timers.cancel(t.timer);
-        t.connection.carries = null;
-        close(t.connection, Reason.GIVEN_UP);
+    void drop(Attempt attempt) {
+        timers.cancel(attempt.timer);
+        attempt.connection.currentAttempt = null;
+        close(attempt.connection, Reason.GIVEN_UP);
     }
 
     void closeIdle(Worker worker) {
@@ -136,20 +136,20 @@
 
     /** Closes what has been idle for too long. */
     void sweep(Collection<Worker> workers, long now) {
-        for (Worker p : workers) {
-            while (!p.idle.isEmpty() && now - p.idle.getLast().idleSince >= idleUs) {
-                close(p.idle.getLast(), Reason.IDLE);
+        for (Worker worker : workers) {
+            while (!worker.idle.isEmpty() && now - worker.idle.getLast().idleSince >= maxIdleUs) {
+                close(worker.idle.getLast(), Reason.IDLE);
             }
         }
     }
 
     /** Closes the longest idle connection, or else one whose attempt is over; false if all carry attempts. */
     private boolean makeRoom() {
-        LinkedHashSet<WorkerConnection> from = idle.isEmpty() ? settled : idle;
-        if (from.isEmpty()) {
+        LinkedHashSet<WorkerConnection> candidates = idle.isEmpty() ? awaitingEnd : idle;
+        if (candidates.isEmpty()) {
             return false;
         }
-        close(from.iterator().next(), Reason.NO_ROOM);
+        close(candidates.iterator().next(), Reason.NO_ROOM);
         return true;
     }
 }
--- a/src/main/java/granitefold/core/CoreContext.java
+++ b/src/main/java/granitefold/core/CoreContext.java
@@ -16,20 +16,20 @@
     final ClientConnections clients;
     final Map<Long, Worker> workers = new LinkedHashMap<>();
     /** Outcomes of attempts that ended within a call of the module, which is told once that call is over. */
-    final ArrayDeque<Runnable> afterwards = new ArrayDeque<>();
+    final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     Dispatcher module;
-    AvailabilityMonitor attendance;
-    FiguresPublisher books;
+    AvailabilityMonitor availabilityMonitor;
+    FiguresPublisher figuresPublisher;
     /** Null where neither probes nor attempts are to say which workers look dead. */
     WorkerHealth health;
     /** Null where nothing outlives the process. */
-    StatePersistence recollection;
+    StatePersistence statePersistence;
     /** From then on answers close their connections. */
-    long listensUntil = Long.MAX_VALUE;
+    long listenUntil = Long.MAX_VALUE;
     /** By then every request is to have its answer. */
-    long endsAt = Long.MAX_VALUE;
+    long answersDueAt = Long.MAX_VALUE;
     /** By then what clients sent across our last words has been read. */
-    long closesAt = Long.MAX_VALUE;
+    long closingEndsAt = Long.MAX_VALUE;
     long now;
 
     final RequestTrace trace;
--- a/src/main/java/granitefold/core/FiguresPublisher.java
+++ b/src/main/java/granitefold/core/FiguresPublisher.java
@@ -8,7 +8,7 @@
 /** Keeps the figures and publishes them at an interval. Where nobody may ask for them it does nothing. */
 final class FiguresPublisher {
     /** Figures may be half a second old when they are read. */
-    static final long EVERY_US = 100_000;
+    static final long INTERVAL_US = 100_000;
 
     private final Reducer reducer;
     private final Timers timers;
@@ -25,7 +25,7 @@
     void opened(long now) {
         if (tally != null) {
             publish();
-            timers.at(now + EVERY_US, this::opened);
+            timers.at(now + INTERVAL_US, this::opened);
         }
     }
 
--- a/src/main/java/granitefold/core/FinalAnswer.java
+++ b/src/main/java/granitefold/core/FinalAnswer.java
@@ -10,11 +10,11 @@
 
     /** A reject: trying again does no harm, best after {@code retryAfterUs} (0: no advice). */
     record Rejected(long retryAfterUs, Refusal reason) implements FinalAnswer {
-        private static final long ADVICE_US = 1_000_000;
+        private static final long DEFAULT_RETRY_AFTER_US = 1_000_000;
 
         /** For a reject that is no decision of the module's. */
         public static Rejected withDefaultRetry(Refusal reason) {
-            return new Rejected(ADVICE_US, reason);
+            return new Rejected(DEFAULT_RETRY_AFTER_US, reason);
         }
     }
 
--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -16,32 +16,32 @@
  */
 final class Lifecycle {
     /** What clients sent to a connection that is shut comes in so much later at the most. */
-    static final long LAST_READ_US = 100_000;
+    static final long IN_FLIGHT_US = 100_000;
     /** A listener whose queue could not be emptied is tried again after this. */
-    static final long RETRY_US = 10_000;
+    static final long LISTENER_RETRY_US = 10_000;
 
     private final CoreContext core;
     private final Requests requests;
     private final SiblingTracker siblings;
-    private final ShutdownSchedule ending;
+    private final ShutdownSchedule schedule;
     /** Hands in requests that still wait for discovery's first word. */
-    private final Runnable handIn;
+    private final Runnable submitEarlyRequests;
     private Phase phase = Phase.STARTING;
     /** Another process of this dispatcher serves: this one ends once its clients have gone over. */
-    private boolean relieved;
+    private boolean takenOver;
     private boolean listenerClosed;
     /** Resting clients were shut, and the time for what they sent before is over. */
-    private boolean clientsShut;
+    private boolean clientsHalfClosed;
     /** Since then all that had come to the sockets was read. */
     private boolean clientsRead;
-    private boolean looking;
+    private boolean polling;
 
-    Lifecycle(CoreContext core, Requests requests, SiblingTracker siblings, ShutdownSchedule ending, Runnable handIn) {
+    Lifecycle(CoreContext core, Requests requests, SiblingTracker siblings, ShutdownSchedule schedule, Runnable submitEarlyRequests) {
         this.core = core;
         this.requests = requests;
         this.siblings = siblings;
-        this.ending = ending;
-        this.handIn = handIn;
+        this.schedule = schedule;
+        this.submitEarlyRequests = submitEarlyRequests;
     }
 
     Phase phase() {
@@ -51,8 +51,8 @@
     private void enter(Phase next) {
         phase = next;
         core.effects.add(new Effect.Log(LogEvent.PHASE, next));
-        core.attendance.evaluate(core.now);
-        core.books.publish();
+        core.availabilityMonitor.evaluate(core.now);
+        core.figuresPublisher.publish();
     }
 
     /** A worker is known, or there is none to be known for now. */
@@ -71,52 +71,52 @@
      * connection is the other's. Clients that have one are sent over by what they are answered, since closing it might cross a
      * request.
      */
-    void terminated(boolean other) {
+    void shutdownRequested(boolean anotherServes) {
         if (phase.compareTo(Phase.DRAINING) >= 0) {
             return;
         }
-        relieved = other;
+        takenOver = anotherServes;
         enter(Phase.DRAINING);
-        boolean company = siblings.company(core.now);
-        core.listensUntil = core.now + (relieved ? 0 : company ? ending.handOverUs() : ending.serveOnUs());
-        core.endsAt = core.now + ending.finishUs();
-        core.closesAt = core.now + ending.closeUs();
-        if (relieved) {
+        boolean siblingUp = siblings.siblingUp(core.now);
+        core.listenUntil = core.now + (takenOver ? 0 : siblingUp ? schedule.handOverUs() : schedule.serveAloneUs());
+        core.answersDueAt = core.now + schedule.finishUs();
+        core.closingEndsAt = core.now + schedule.closeUs();
+        if (takenOver) {
             core.module.relieved();
             core.effects.add(new Effect.CloseSiblingSocket());
         } else {
-            siblings.leave(core.now);
+            siblings.announceLeaving(core.now);
         }
-        core.timers.at(core.listensUntil, t -> core.effects.add(new Effect.StopListening()));
-        long keepsUntil = relieved ? core.now + ending.serveOnUs() : core.listensUntil;
-        core.timers.at(keepsUntil, t -> core.effects.add(new Effect.HalfCloseIdleClients()));
-        core.timers.at(keepsUntil + LAST_READ_US, t -> readOut());
-        core.timers.at(core.endsAt, t -> giveUpAll());
-        core.timers.at(core.closesAt, t -> look());
+        core.timers.at(core.listenUntil, t -> core.effects.add(new Effect.StopListening()));
+        long keepAliveUntil = takenOver ? core.now + schedule.serveAloneUs() : core.listenUntil;
+        core.timers.at(keepAliveUntil, t -> core.effects.add(new Effect.HalfCloseIdleClients()));
+        core.timers.at(keepAliveUntil + IN_FLIGHT_US, t -> readRemaining());
+        core.timers.at(core.answersDueAt, t -> giveUpAll());
+        core.timers.at(core.closingEndsAt, t -> pollSockets());
     }
 
-    private void readOut() {
-        clientsShut = true;
-        look();
+    private void readRemaining() {
+        clientsHalfClosed = true;
+        pollSockets();
     }
 
     private void giveUpAll() {
-        handIn.run();
+        submitEarlyRequests.run();
         requests.giveUpAll();
     }
 
     /** Asks for all that has come to the sockets by now. */
-    private void look() {
-        if (!looking) {
-            looking = true;
+    private void pollSockets() {
+        if (!polling) {
+            polling = true;
             core.effects.add(new Effect.PollSockets(Effect.PollSockets.SHUTDOWN));
         }
     }
 
     /** All that had come to the sockets when that was asked for has been read. */
-    void looked() {
-        looking = false;
-        clientsRead |= clientsShut;
+    void socketsPolled() {
+        polling = false;
+        clientsRead |= clientsHalfClosed;
         if (phase == Phase.CLOSING && mayStop() && core.guard.mayStop(requests.owed())) {
             enter(Phase.STOPPED);
             core.effects.add(new Effect.Stop());
@@ -127,33 +127,33 @@
     void listenerClosed(boolean emptied) {
         listenerClosed = emptied;
         if (!emptied) {
-            core.timers.at(core.now + RETRY_US, t -> core.effects.add(new Effect.StopListening()));
+            core.timers.at(core.now + LISTENER_RETRY_US, t -> core.effects.add(new Effect.StopListening()));
         }
     }
 
     private boolean mayStop() {
-        return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closesAt);
+        return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closingEndsAt);
     }
 
     /** Goes on to the next phase where all that the present one owes has been done; after each event. */
     void advance() {
-        if (phase == Phase.DRAINING && relieved && listenerClosed && !clientsShut && core.clients.size() == 0) {
-            readOut();
+        if (phase == Phase.DRAINING && takenOver && listenerClosed && !clientsHalfClosed && core.clients.size() == 0) {
+            readRemaining();
         }
-        if (phase == Phase.DRAINING && clientsRead && (listenerClosed || core.now >= core.endsAt)) {
+        if (phase == Phase.DRAINING && clientsRead && (listenerClosed || core.now >= core.answersDueAt)) {
             enter(Phase.FINISHING);
         }
         if (phase == Phase.FINISHING && requests.owed() == 0) {
             enter(Phase.CLOSING);
             core.guard.close();
-            if (core.recollection != null) {
+            if (core.statePersistence != null) {
                 // no more is learned: the disk has until the end of the process for it
-                core.recollection.give(core.now);
+                core.statePersistence.save(core.now);
             }
             core.effects.add(new Effect.HalfCloseAllClients());
         }
         if (phase == Phase.CLOSING && mayStop()) {
-            look();
+            pollSockets();
         }
     }
 }
--- a/src/main/java/granitefold/core/ModuleActions.java
+++ b/src/main/java/granitefold/core/ModuleActions.java
@@ -9,8 +9,8 @@
     private final Requests requests;
     private final Attempts attempts;
 
-    ModuleActions(CoreContext parts, Requests requests, Attempts attempts) {
-        core = parts;
+    ModuleActions(CoreContext coreContext, Requests requests, Attempts attempts) {
+        core = coreContext;
         this.requests = requests;
         this.attempts = attempts;
     }
@@ -30,7 +30,7 @@
         Attempt t = c == null || attempt >= c.attempts.size() ? null : c.attempts.get(attempt);
         if (t != null && t.outcome == null) {
             core.pool.drop(t);
-            attempts.endAfterwards(t, Outcome.CANCELLED);
+            attempts.endDeferred(t, Outcome.CANCELLED);
         }
     }
 
@@ -47,7 +47,7 @@
 
     private void finish(long request, FinalAnswer answer) {
         RequestContext c = requests.get(request);
-        if (c != null && !c.over) {
+        if (c != null && !c.finished) {
             requests.answer(c, answer);
             requests.forget(c);
         }
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -20,30 +20,30 @@
  */
 public final class Reducer {
     /** With no worker known, the program starts to serve after this, if discovery has sent no word before. */
-    static final long START_US = 500_000;
+    static final long START_TIMEOUT_US = 500_000;
     /**
      * The agent of discovery is on this machine and answers at once, and what it has counts as told from the first moment of a
      * process. So long at the most requests wait for its first word; while discovery is down it has none.
      */
-    static final long FIRST_WORD_US = 200_000;
-    private static final long SWEEP_US = 500_000;
+    static final long FIRST_LIST_TIMEOUT_US = 200_000;
+    private static final long SWEEP_INTERVAL_US = 500_000;
 
     private final CoreContext core;
     private final Requests requests;
-    private final WorkerRegistry list;
+    private final WorkerRegistry registry;
     private final Attempts attempts;
     private DiscoveryWatch watch;
-    private final ShutdownSchedule ending;
+    private final ShutdownSchedule shutdownSchedule;
     private final Lifecycle lifecycle;
     private final long seed;
     private final SiblingTracker siblings;
     /** Discovery has spoken, or the wait for its first word is over. */
     private boolean listKnown;
     /** Requests that came before. */
-    private final Map<Long, Early> early = new LinkedHashMap<>();
+    private final Map<Long, EarlyRequest> early = new LinkedHashMap<>();
     private long wakeAt = Long.MAX_VALUE;
 
-    private record Early(Submission submission, long at) { }
+    private record EarlyRequest(Submission submission, long at) { }
 
     /** The limits that the settings for the module don't carry. */
     public record Bounds(int clientConnections, int requests, int workerConnections, long connectTimeoutUs,
@@ -56,18 +56,18 @@
     public Reducer(Settings settings, Bounds bounds, long seed, OptionalFeatures features) {
         core = new CoreContext(bounds, features.trace());
         core.guard = new ActionGuard(core, settings.classes(), settings.limits().secondCopies());
-        ending = ShutdownSchedule.of(settings.classes());
+        shutdownSchedule = ShutdownSchedule.of(settings.classes());
         this.seed = seed;
         siblings = new SiblingTracker(settings, core.timers, core.effects);
         requests = new Requests(core);
-        lifecycle = new Lifecycle(core, requests, siblings, ending, this::handInEarly);
-        list = new WorkerRegistry(core);
-        attempts = new Attempts(core, requests, list);
-        core.attendance = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
-        core.books = new FiguresPublisher(features.figures(), settings.classes().size(), this, core.timers, core.effects);
+        lifecycle = new Lifecycle(core, requests, siblings, shutdownSchedule, this::submitEarlyRequests);
+        registry = new WorkerRegistry(core);
+        attempts = new Attempts(core, requests, registry);
+        core.availabilityMonitor = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
+        core.figuresPublisher = new FiguresPublisher(features.figures(), settings.classes().size(), this, core.timers, core.effects);
         core.health = features.health() == null ? null : new WorkerHealth(features.health(), seed, core.timers, core.effects);
         core.module = new Decide(settings, seed, new ModuleActions(core, requests, attempts));
-        core.recollection = features.persistence() == null ? null
+        core.statePersistence = features.persistence() == null ? null
                 : new StatePersistence(features.persistence(), settings.classes(), core.module, core.timers, core.effects);
     }
 
@@ -103,7 +103,7 @@
 
     /** So long after the word to end the process ends, whatever is left. */
     public long shutdownTimeoutUs() {
-        return ending.exitUs();
+        return shutdownSchedule.shutdownTimeoutUs();
     }
 
     int workersDown() {
@@ -147,8 +147,8 @@
     }
 
     private void settle() {
-        while (!core.afterwards.isEmpty()) {
-            core.afterwards.remove().run();
+        while (!core.deferred.isEmpty()) {
+            core.deferred.remove().run();
         }
     }
 
@@ -159,27 +159,27 @@
             core.trace.clientOpened(e.client());
             core.clients.opened(e.client(), core.now);
         } else if (event instanceof Event.RequestStarted e) {
-            core.clients.begun(e.client(), core.now);
+            core.clients.requestStarted(e.client(), core.now);
         } else if (event instanceof Event.RequestContinued e) {
-            core.clients.heard(e.client(), core.now);
+            core.clients.received(e.client(), core.now);
         } else if (event instanceof Event.RequestArrived e) {
             core.clients.arrived(e.client(), core.now);
             if (listKnown) {
                 requests.arrived(e.client(), e.submission(), core.now - e.unreadUs());
             } else {
-                waitForWord(e.client(), new Early(e.submission(), core.now - e.unreadUs()));
+                holdUntilFirstList(e.client(), new EarlyRequest(e.submission(), core.now - e.unreadUs()));
             }
         } else if (event instanceof Event.AnsweredLocally e) {
             core.clients.answering(e.client(), core.now);
         } else if (event instanceof Event.AnswerWritten e) {
-            core.books.written(e.client());
+            core.figuresPublisher.written(e.client());
             core.clients.written(e.client(), e.last(), core.now);
         } else if (event instanceof Event.ClientHalfClosed e) {
-            core.clients.shut(e.client(), core.now);
+            core.clients.halfClosed(e.client(), core.now);
         } else if (event instanceof Event.ClientClosed e) {
             core.trace.clientClosed(e.client(), e.reason());
             early.remove(e.client());
-            core.books.closed(e.client());
+            core.figuresPublisher.closed(e.client());
             core.clients.closed(e.client());
             requests.clientGone(e.client());
         } else if (event instanceof Event.WorkerConnected e) {
@@ -187,62 +187,62 @@
         } else if (event instanceof Event.SocketsPolled e && e.connection() == Effect.PollSockets.NO_CONNECTION) {
             listKnown();
         } else if (event instanceof Event.SocketsPolled e && e.connection() == Effect.PollSockets.SHUTDOWN) {
-            lifecycle.looked();
+            lifecycle.socketsPolled();
         } else if (event instanceof Event.SocketsPolled e) {
-            attempts.looked(core.pool.get(e.connection()));
+            attempts.socketsPolled(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestNotSent e) {
             attempts.notSent(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestWritten e) {
-            core.books.dispatched();
+            core.figuresPublisher.dispatched();
             attempts.written(core.pool.get(e.connection()));
         } else if (event instanceof Event.AttemptUpdated e) {
-            attempts.workerSaid(core.pool.get(e.connection()), e.update());
+            attempts.attemptUpdated(core.pool.get(e.connection()), e.update());
         } else if (event instanceof Event.WorkerAnswerEnded e) {
             attempts.answerEnded(core.pool.get(e.connection()), e.reusable());
         } else if (event instanceof Event.WorkerClosed e) {
             attempts.workerClosed(core.pool.get(e.connection()), e.reason());
         } else if (event instanceof Event.WatchUpdated e) {
-            DiscoveryWatch.ListAcceptance heed = watch.heard(e.list(), !core.workers.isEmpty(), core.now);
-            core.attendance.heard(heed == DiscoveryWatch.ListAcceptance.ALL, core.now);
-            if (heed == DiscoveryWatch.ListAcceptance.ALL) {
-                list.listed(e.list().whole() ? ListNews.WHOLE : ListNews.CHANGES, e.list());
-            } else if (heed == DiscoveryWatch.ListAcceptance.DRAINS) {
-                list.drained(e.list());
+            DiscoveryWatch.ListAcceptance acceptance = watch.received(e.list(), !core.workers.isEmpty(), core.now);
+            core.availabilityMonitor.discoveryUpdated(acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED, core.now);
+            if (acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED) {
+                registry.listed(e.list().whole() ? ListNews.WHOLE : ListNews.CHANGES, e.list());
+            } else if (acceptance == DiscoveryWatch.ListAcceptance.DRAINS_ONLY) {
+                registry.applyDrains(e.list());
             }
             listKnown();
         } else if (event instanceof Event.WatchEnded e) {
             watch.ended(e.reason(), core.now);
         } else if (event instanceof Event.DiscoveryAddressChanged e) {
-            watch.move(e.address(), core.now);
+            watch.changeAddress(e.address(), core.now);
         } else if (event instanceof Event.SiblingMessage e) {
-            if (!siblings.heard(e.from(), e.message(), core.now)) {
+            if (!siblings.received(e.from(), e.message(), core.now)) {
                 core.module.heard(core.now, e.from(), e.message());
             }
         } else if (event instanceof Event.ShutdownRequested e) {
-            lifecycle.terminated(e.takenOver());
+            lifecycle.shutdownRequested(e.takenOver());
         } else if (event instanceof Event.ListenerClosed e) {
             lifecycle.listenerClosed(e.emptied());
         } else if (event instanceof Event.ResourcesSampled e) {
-            core.attendance.sampled(e.resources(), core.now);
+            core.availabilityMonitor.resourcesSampled(e.resources(), core.now);
         } else if (event instanceof Event.ModeRequested e) {
-            core.attendance.wished(e.mode(), core.now);
+            core.availabilityMonitor.modeRequested(e.mode(), core.now);
         } else if (event instanceof Event.AvailabilitySettingsChanged e) {
-            core.attendance.retuned(e.settings());
-        } else if (event instanceof Event.StateRecovered e && core.recollection != null) {
-            core.recollection.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
+            core.availabilityMonitor.settingsChanged(e.settings());
+        } else if (event instanceof Event.StateRecovered e && core.statePersistence != null) {
+            core.statePersistence.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
         } else if (event instanceof Event.StateInherited e) {
             core.module.restore(core.now, e.learned());
             core.effects.add(new Effect.Log(LogEvent.INHERITED, e.learned().workers().size(), e.learned().buckets().size()));
         } else if (event instanceof Event.ProbeEnded e && core.health != null) {
-            list.judged(core.health.probed(e.worker(), e.healthy(), e.reason(), core.now));
+            registry.healthChanged(core.health.probed(e.worker(), e.healthy(), e.reason(), core.now));
         }
     }
 
     // ---------------------------------------------------------------- phases
     private void opened(WorkerList known, String discovery) {
         core.module.start(core.now);
-        core.attendance.opened(core.now);
-        list.listed(ListNews.SAVED, known);
+        core.availabilityMonitor.opened(core.now);
+        registry.listed(ListNews.SAVED, known);
         watch = new DiscoveryWatch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
@@ -250,15 +250,15 @@
             lifecycle.serve();
         }
         // a busy loop, as after a start, may have it in its sockets by then
-        core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_WORD_US : START_US),
+        core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_LIST_TIMEOUT_US : START_TIMEOUT_US),
                 t -> core.effects.add(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)));
         sweep(core.now);
-        core.books.opened(core.now);
-        if (core.recollection != null) {
-            core.recollection.begin(core.now);
+        core.figuresPublisher.opened(core.now);
+        if (core.statePersistence != null) {
+            core.statePersistence.begin(core.now);
         }
         if (core.health != null) {
-            core.health.begin(list::judged, core.workers, core.now);
+            core.health.begin(registry::healthChanged, core.workers, core.now);
         }
     }
 
@@ -267,21 +267,21 @@
         boolean first = !listKnown;
         listKnown = true;
         lifecycle.serve();
-        handInEarly();
+        submitEarlyRequests();
         if (first) {
-            core.books.publish();
+            core.figuresPublisher.publish();
         }
     }
 
-    private void handInEarly() {
+    private void submitEarlyRequests() {
         early.forEach((client, e) -> requests.arrived(client, e.submission(), e.at()));
         early.clear();
     }
 
     /** Holds a request until discovery's first word, or until there is only the time left for its answer. */
-    private void waitForWord(long client, Early request) {
+    private void holdUntilFirstList(long client, EarlyRequest request) {
         early.put(client, request);
-        long until = request.at() + request.submission().remainingUs() - Requests.ANSWER_US;
+        long until = request.at() + request.submission().remainingUs() - Requests.ANSWER_MARGIN_US;
         core.timers.at(Math.max(core.now, until), t -> {
             if (early.remove(client, request)) {
                 requests.arrived(client, request.submission(), request.at());
@@ -291,6 +291,6 @@
 
     private void sweep(long at) {
         core.pool.sweep(core.workers.values(), at);
-        core.timers.at(at + SWEEP_US, this::sweep);
+        core.timers.at(at + SWEEP_INTERVAL_US, this::sweep);
     }
 }
--- a/src/main/java/granitefold/core/RequestContext.java
+++ b/src/main/java/granitefold/core/RequestContext.java
@@ -15,7 +15,7 @@
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Answers it shortly before its deadline, whatever keeps the module. */
     Timers.Timer timer;
-    boolean over;
+    boolean finished;
 
     RequestContext(long id, long client, Submission submission, long deadline, long moduleDeadline) {
         this.id = id;
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -13,7 +13,7 @@
 /** The request contexts: each is owed one final answer by its deadline. */
 final class Requests {
     /** The client's clock runs since it sent the request; so much of its time is kept for the way back. */
-    static final long ANSWER_US = 20_000;
+    static final long ANSWER_MARGIN_US = 20_000;
 
     private final CoreContext core;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
@@ -22,8 +22,8 @@
     private final Set<String> names = new HashSet<>();
     private long lastId;
 
-    Requests(CoreContext parts) {
-        core = parts;
+    Requests(CoreContext coreContext) {
+        core = coreContext;
     }
 
     RequestContext get(long id) {
@@ -40,89 +40,89 @@
     }
 
     /** One that came at a time, which its own time is counted from. */
-    void arrived(long client, Submission s, long at) {
-        if (!core.guard.mayTake()) {
-            reply(client, s, FinalAnswer.Rejected.withDefaultRetry(Refusal.ENDING));
+    void arrived(long client, Submission submitted, long at) {
+        if (!core.guard.mayAccept()) {
+            reply(client, submitted, FinalAnswer.Rejected.withDefaultRetry(Refusal.ENDING));
             return;
         }
         if (owed.size() >= core.bounds.requests()) {
-            reply(client, s, FinalAnswer.Rejected.withDefaultRetry(Refusal.LIMIT));
+            reply(client, submitted, FinalAnswer.Rejected.withDefaultRetry(Refusal.LIMIT));
             return;
         }
-        long blocked = core.recollection == null ? 0 : core.recollection.blocked(s, core.now);
-        if (blocked > 0) {
+        long blockedForUs = core.statePersistence == null ? 0 : core.statePersistence.blockedForUs(submitted, core.now);
+        if (blockedForUs > 0) {
             // a former life of ours may have sent it: by the end of its window a repeat is a job of its own
-            reply(client, s, new FinalAnswer.Rejected(blocked, Refusal.FORMER_PROCESS));
+            reply(client, submitted, new FinalAnswer.Rejected(blockedForUs, Refusal.FORMER_PROCESS));
             return;
         }
-        if (!names.add(s.name())) {
+        if (!names.add(submitted.name())) {
             // an answer or a cancel for one of the two would be taken for the other's
-            reply(client, s, new FinalAnswer.Duplicate());
+            reply(client, submitted, new FinalAnswer.Duplicate());
             return;
         }
-        long deadline = Math.min(at + s.remainingUs(), core.endsAt);
-        RequestContext c = new RequestContext(++lastId, client, s, deadline, Math.max(core.now, deadline - ANSWER_US));
-        contexts.put(c.id, c);
-        owed.put(client, c);
-        core.trace.taken(c, core.now);
-        c.timer = core.timers.at(c.deadline - ANSWER_US / 4, t -> {
+        long deadline = Math.min(at + submitted.remainingUs(), core.answersDueAt);
+        RequestContext context = new RequestContext(++lastId, client, submitted, deadline, Math.max(core.now, deadline - ANSWER_MARGIN_US));
+        contexts.put(context.id, context);
+        owed.put(client, context);
+        core.trace.taken(context, core.now);
+        context.timer = core.timers.at(context.deadline - ANSWER_MARGIN_US / 4, attempt -> {
             // the module has answered long before; whatever keeps it, the client gets its answer
-            giveUp(c);
+            giveUp(context);
         });
-        core.module.requested(core.now, new Dispatcher.Request(c.id, s.jobClass(), s.tenant(), c.moduleDeadline - core.now,
-                s.workUs(), s.slots(), s.memory(), s.key()));
+        core.module.requested(core.now, new Dispatcher.Request(context.id, submitted.jobClass(), submitted.tenant(), context.moduleDeadline - core.now,
+                submitted.workUs(), submitted.slots(), submitted.memory(), submitted.key()));
     }
 
     void clientGone(long client) {
-        RequestContext c = owed.remove(client);
-        if (c != null) {
-            over(c);
-            core.trace.abandoned(c);
-            core.module.expired(core.now, c.id);
-            forget(c);
+        RequestContext context = owed.remove(client);
+        if (context != null) {
+            finish(context);
+            core.trace.abandoned(context);
+            core.module.expired(core.now, context.id);
+            forget(context);
         }
     }
 
-    void answer(RequestContext c, FinalAnswer answer) {
-        if (!core.guard.mayAnswer(c)) {
+    void answer(RequestContext context, FinalAnswer answer) {
+        if (!core.guard.mayAnswer(context)) {
             return;
         }
-        over(c);
-        reply(c.client, c.submission, answer);
+        finish(context);
+        reply(context.client, context.submission, answer);
     }
 
-    private void over(RequestContext c) {
-        c.over = true;
-        core.timers.cancel(c.timer);
-        owed.remove(c.client);
+    private void finish(RequestContext context) {
+        context.finished = true;
+        core.timers.cancel(context.timer);
+        owed.remove(context.client);
     }
 
-    private void reply(long client, Submission s, FinalAnswer answer) {
-        core.trace.answered(s.name(), answer);
+    private void reply(long client, Submission submitted, FinalAnswer answer) {
+        core.trace.answered(submitted.name(), answer);
         core.clients.answering(client, core.now);
-        core.books.answering(client, s.jobClass(), answer);
-        core.attendance.answered(answer, core.now);
-        core.effects.add(new Effect.Answer(client, answer, core.now >= core.listensUntil || core.attendance.sendsAway()));
+        core.figuresPublisher.answering(client, submitted.jobClass(), answer);
+        core.availabilityMonitor.answered(answer, core.now);
+        core.effects.add(new Effect.Answer(client, answer, core.now >= core.listenUntil || core.availabilityMonitor.closesClients()));
     }
 
     /** Ends a context without the module: a reject where nothing ran, else failed. */
-    void giveUp(RequestContext c) {
-        for (Attempt t : c.attempts) {
-            if (t.outcome == null) {
-                t.outcome = t.connection.state == WorkerConnection.State.WAITING ? Outcome.CANCELLED : Outcome.MOOT;
-                core.pool.drop(t);
-                core.module.ended(core.now, c.id, t.number, true, t.outcome, null);
+    void giveUp(RequestContext context) {
+        for (Attempt attempt : context.attempts) {
+            if (attempt.outcome == null) {
+                attempt.outcome = attempt.connection.state == WorkerConnection.State.WAITING ? Outcome.CANCELLED : Outcome.MOOT;
+                core.pool.drop(attempt);
+                core.module.ended(core.now, context.id, attempt.number, true, attempt.outcome, null);
             }
         }
-        answer(c, c.neverRan() ? FinalAnswer.Rejected.withDefaultRetry(Refusal.TIME) : new FinalAnswer.Failed(core.now >= c.moduleDeadline));
-        core.module.expired(core.now, c.id);
-        forget(c);
+        answer(context, context.neverRan() ? FinalAnswer.Rejected.withDefaultRetry(Refusal.TIME) : new FinalAnswer.Failed(core.now >= context.moduleDeadline));
+        core.module.expired(core.now, context.id);
+        forget(context);
     }
 
-    void forget(RequestContext c) {
-        if (c.over && c.attempts.stream().allMatch(t -> t.outcome != null)) {
-            if (contexts.remove(c.id) != null) {
-                names.remove(c.submission.name());
+    void forget(RequestContext context) {
+        if (context.finished && context.attempts.stream().allMatch(attempt -> attempt.outcome != null)) {
+            if (contexts.remove(context.id) != null) {
+                names.remove(context.submission.name());
             }
         }
     }
--- a/src/main/java/granitefold/core/SiblingTracker.java
+++ b/src/main/java/granitefold/core/SiblingTracker.java
@@ -13,55 +13,55 @@
  */
 final class SiblingTracker {
     /** A sibling that was heard so lately is up. */
-    static final long COMPANY_US = 1_000_000;
-    private static final long AGAIN_US = 100_000;
-    private static final int TIMES = 3;
+    static final long UP_WINDOW_US = 1_000_000;
+    private static final long REPEAT_INTERVAL_US = 100_000;
+    private static final int REPEATS = 3;
     /** No message of the module begins so, and versions that do not know this one ignore it. */
     private static final byte[] LEAVING = {'L', 'V', 1};
 
     /** How long one that leaves may still send words: by then it is killed. */
-    private final long leavesUs;
-    private final boolean on;
-    private final int me;
-    private final int count;
+    private final long leavingTimeoutUs;
+    private final boolean enabled;
+    private final int self;
+    private final int siblingCount;
     private final Timers timers;
     private final List<Effect> effects;
-    private final Map<Integer, Long> heardAt = new HashMap<>();
+    private final Map<Integer, Long> lastReceivedAt = new HashMap<>();
     private final Map<Integer, Long> leftAt = new HashMap<>();
 
     SiblingTracker(Settings settings, Timers timers, List<Effect> effects) {
-        leavesUs = ShutdownSchedule.of(settings.classes()).killedUs();
-        on = settings.limits().siblings();
-        me = settings.me();
-        count = settings.siblings();
+        leavingTimeoutUs = ShutdownSchedule.of(settings.classes()).killAfterUs();
+        enabled = settings.limits().siblings();
+        self = settings.me();
+        siblingCount = settings.siblings();
         this.timers = timers;
         this.effects = effects;
     }
 
     /** A word has come; true if it was for this class alone. */
-    boolean heard(int from, byte[] message, long now) {
+    boolean received(int from, byte[] message, long now) {
         if (Arrays.equals(message, LEAVING)) {
             leftAt.put(from, now);
             return true;
         }
-        if (now - leftAt.getOrDefault(from, now - leavesUs) >= leavesUs) {
-            heardAt.put(from, now);
+        if (now - leftAt.getOrDefault(from, now - leavingTimeoutUs) >= leavingTimeoutUs) {
+            lastReceivedAt.put(from, now);
         }
         return false;
     }
 
     /** Whether a sibling is up that can take clients over. */
-    boolean company(long now) {
-        return heardAt.entrySet().stream().anyMatch(e -> now - e.getValue() < COMPANY_US
+    boolean siblingUp(long now) {
+        return lastReceivedAt.entrySet().stream().anyMatch(e -> now - e.getValue() < UP_WINDOW_US
                 && leftAt.getOrDefault(e.getKey(), 0L) < e.getValue());
     }
 
     /** We were told to end. */
-    void leave(long now) {
-        for (int i = 0; on && i < TIMES; i++) {
-            timers.at(now + i * AGAIN_US, t -> {
-                for (int s = 0; s < count; s++) {
-                    if (s != me) {
+    void announceLeaving(long now) {
+        for (int i = 0; enabled && i < REPEATS; i++) {
+            timers.at(now + i * REPEAT_INTERVAL_US, t -> {
+                for (int s = 0; s < siblingCount; s++) {
+                    if (s != self) {
                         effects.add(new Effect.SendToSibling(s, LEAVING));
                     }
                 }
--- a/src/main/java/granitefold/core/StatePersistence.java
+++ b/src/main/java/granitefold/core/StatePersistence.java
@@ -23,19 +23,19 @@
  */
 final class StatePersistence {
     /** Keys held at the most, about a hundred bytes each; past it the oldest go, which the workers' own window covers. */
-    private static final int KEYS_MOST = 16_384;
+    private static final int MAX_KEYS = 16_384;
 
-    private final OptionalFeatures.Persistence set;
+    private final OptionalFeatures.Persistence settings;
     private final List<JobClass> classes;
     private final Dispatcher module;
     private final Timers timers;
     private final List<Effect> effects;
     /** Keys sent in this life, the oldest first, and those of former lives, with the ends of their windows. */
-    private final LinkedHashMap<Long, Long> sent = new LinkedHashMap<>();
-    private final Map<Long, Long> former = new HashMap<>();
+    private final LinkedHashMap<Long, Long> sentKeys = new LinkedHashMap<>();
+    private final Map<Long, Long> previousKeys = new HashMap<>();
 
-    StatePersistence(OptionalFeatures.Persistence set, List<JobClass> classes, Dispatcher module, Timers timers, List<Effect> effects) {
-        this.set = set;
+    StatePersistence(OptionalFeatures.Persistence settings, List<JobClass> classes, Dispatcher module, Timers timers, List<Effect> effects) {
+        this.settings = settings;
         this.classes = classes;
         this.module = module;
         this.timers = timers;
@@ -43,44 +43,44 @@
     }
 
     void begin(long now) {
-        timers.at(now + set.intervalUs(), this::keep);
+        timers.at(now + settings.intervalUs(), this::savePeriodically);
     }
 
     /** Gives out what is known now, and again at the interval. */
-    private void keep(long now) {
-        give(now);
-        timers.at(now + set.intervalUs(), this::keep);
+    private void savePeriodically(long now) {
+        save(now);
+        timers.at(now + settings.intervalUs(), this::savePeriodically);
     }
 
-    void give(long now) {
-        sent.values().removeIf(until -> until <= now);
-        former.values().removeIf(until -> until <= now);
-        List<Learned.Key> keys = new ArrayList<>(sent.size() + former.size());
-        former.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
-        sent.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
-        Learned l = module.learned(now);
-        effects.add(new Effect.SaveState(new Learned(l.at(), l.fetchUs(), l.kept(), l.meanWork(), l.works(), l.kinds(), l.workers(),
-                l.buckets(), keys)));
+    void save(long now) {
+        sentKeys.values().removeIf(until -> until <= now);
+        previousKeys.values().removeIf(until -> until <= now);
+        List<Learned.Key> keys = new ArrayList<>(sentKeys.size() + previousKeys.size());
+        previousKeys.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
+        sentKeys.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
+        Learned state = module.learned(now);
+        effects.add(new Effect.SaveState(new Learned(state.at(), state.fetchUs(), state.kept(), state.meanWork(), state.works(), state.kinds(), state.workers(),
+                state.buckets(), keys)));
     }
 
     /** A former life has left this. */
-    void recovered(Learned old, List<Dispatcher.Worker> list, long now) {
-        Ageing.Aged aged = new Ageing(set.ageing()).age(old, list, now);
-        Learned l = aged.learned();
-        module.restore(now, l);
-        l.keys().forEach(k -> former.merge(k.key(), k.until(), Math::max));
+    void recovered(Learned saved, List<Dispatcher.Worker> list, long now) {
+        Ageing.Aged aged = new Ageing(settings.ageing()).age(saved, list, now);
+        Learned state = aged.learned();
+        module.restore(now, state);
+        state.keys().forEach(k -> previousKeys.merge(k.key(), k.until(), Math::max));
         aged.reasons().forEach(reason -> effects.add(new Effect.Log(LogEvent.STATE_DROPPED, reason)));
-        effects.add(new Effect.Log(LogEvent.STATE_RECOVERED, Math.max(0, now - old.at()) / 1000, l.workers().size(),
-                l.buckets().size(), l.keys().size()));
+        effects.add(new Effect.Log(LogEvent.STATE_RECOVERED, Math.max(0, now - saved.at()) / 1000, state.workers().size(),
+                state.buckets().size(), state.keys().size()));
     }
 
     /** An attempt of the request is about to be written: from now on it may run. */
-    void sent(Submission s, long now) {
-        if (s.repeatKey() != null) {
-            long until = now + classes.get(s.jobClass()).keepUs();
-            sent.merge(hash(s), until, Math::max);
-            Iterator<Long> oldest = sent.keySet().iterator();
-            while (sent.size() > KEYS_MOST) {
+    void sent(Submission submission, long now) {
+        if (submission.repeatKey() != null) {
+            long until = now + classes.get(submission.jobClass()).keepUs();
+            sentKeys.merge(hash(submission), until, Math::max);
+            Iterator<Long> oldest = sentKeys.keySet().iterator();
+            while (sentKeys.size() > MAX_KEYS) {
                 oldest.next();
                 oldest.remove();
             }
@@ -88,15 +88,15 @@
     }
 
     /** For how long yet a request must not be sent, as a former life may have sent it; 0: it may go. */
-    long blocked(Submission s, long now) {
-        Long until = s.repeatKey() == null || former.isEmpty() ? null : former.get(hash(s));
+    long blockedForUs(Submission submission, long now) {
+        Long until = submission.repeatKey() == null || previousKeys.isEmpty() ? null : previousKeys.get(hash(submission));
         return until == null ? 0 : Math.max(0, until - now);
     }
 
-    private static long hash(Submission s) {
+    private static long hash(Submission submission) {
         try {
             // the tenant is part of it: another's key is another key
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest((s.tenant() + " " + s.jobClass() + " " + s.repeatKey())
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest((submission.tenant() + " " + submission.jobClass() + " " + submission.repeatKey())
                     .getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/granitefold/core/Timers.java
+++ b/src/main/java/granitefold/core/Timers.java
@@ -10,10 +10,10 @@
             Comparator.comparingLong(Timer::at).thenComparingLong(Timer::number));
     private long number;
 
-    record Timer(long at, long number, LongConsumer then) { }
+    record Timer(long at, long number, LongConsumer action) { }
 
-    Timer at(long at, LongConsumer then) {
-        Timer timer = new Timer(at, number++, then);
+    Timer at(long at, LongConsumer action) {
+        Timer timer = new Timer(at, number++, action);
         queue.add(timer);
         return timer;
     }
@@ -27,7 +27,7 @@
 
     /** The next that is due by now, taken out, or null. */
     LongConsumer due(long now) {
-        return !queue.isEmpty() && queue.first().at() <= now ? queue.pollFirst().then() : null;
+        return !queue.isEmpty() && queue.first().at() <= now ? queue.pollFirst().action() : null;
     }
 
     /** When the next one falls due. */
--- a/src/main/java/granitefold/core/Worker.java
+++ b/src/main/java/granitefold/core/Worker.java
@@ -20,7 +20,7 @@
     /** What discovery last said of it, for the module. */
     Dispatcher.Worker listed;
     /** An older list than the one that it stands in calls it draining. */
-    boolean doubted;
+    boolean drainedByOlderList;
     /** Connections that are open, whatever their state. */
     int open;
     /** Idle connections, the last one used first. */
--- a/src/main/java/granitefold/core/WorkerConnection.java
+++ b/src/main/java/granitefold/core/WorkerConnection.java
@@ -10,7 +10,7 @@
         /** The request is out: its attempt may run. */
         WAITING,
         /** The attempt has ended, the end of the answer is still to be read. */
-        SETTLED,
+        AWAITING_END,
         IDLE
     }
 
@@ -21,7 +21,7 @@
     /** It was idle before, and nothing has come on it since. */
     boolean stale;
     /** The attempt that is out on it, or null. */
-    Attempt carries;
+    Attempt currentAttempt;
     /** Ends the wait for the end of an answer. */
     Timers.Timer timer;
     long idleSince;
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -21,54 +21,54 @@
  * dead is shown to the module as draining, so that it gets nothing new; what discovery calls draining or gone stays so.
  */
 final class WorkerHealth {
-    private final HealthSettings set;
+    private final HealthSettings settings;
     private final HealthBoard board;
     private final Timers timers;
     private final List<Effect> effects;
     /** What was last decided of workers that are not simply as listed. */
     private final Map<Long, Change> overlay = new HashMap<>();
     /** Time limits of the probes that are out. */
-    private final Map<Long, Timers.Timer> limits = new HashMap<>();
-    private Consumer<List<Change>> judge;
+    private final Map<Long, Timers.Timer> timeouts = new HashMap<>();
+    private Consumer<List<Change>> onChange;
     private Map<Long, Worker> workers = Map.of();
     private Timers.Timer timer;
     private boolean panic;
 
-    WorkerHealth(HealthSettings set, long seed, Timers timers, List<Effect> effects) {
-        this.set = set;
-        board = new HealthBoard(set, seed);
+    WorkerHealth(HealthSettings settings, long seed, Timers timers, List<Effect> effects) {
+        this.settings = settings;
+        board = new HealthBoard(settings, seed);
         this.timers = timers;
         this.effects = effects;
     }
 
     void begin(Consumer<List<Change>> changes, Map<Long, Worker> all, long now) {
-        judge = changes;
+        onChange = changes;
         workers = all;
-        tick(now);
+        probeDue(now);
     }
 
     List<Change> listed(Collection<Worker> all, long now) {
-        Set<Long> ready = all.stream().filter(p -> p.state == State.READY).map(p -> p.id)
+        Set<Long> ready = all.stream().filter(worker -> worker.state == State.READY).map(worker -> worker.id)
                 .collect(Collectors.toCollection(LinkedHashSet::new));
         overlay.keySet().retainAll(ready);
-        limits.entrySet().removeIf(e -> {
-            boolean left = !ready.contains(e.getKey());
-            if (left) {
+        timeouts.entrySet().removeIf(e -> {
+            boolean removed = !ready.contains(e.getKey());
+            if (removed) {
                 timers.cancel(e.getValue());
                 effects.add(new Effect.CancelProbe(e.getKey()));
             }
-            return left;
+            return removed;
         });
-        return after(board.listed(ready, now), now);
+        return apply(board.listed(ready, now), now);
     }
 
-    List<Change> probed(long worker, boolean well, String reason, long now) {
-        timers.cancel(limits.remove(worker));
-        return after(board.probed(worker, well, reason, now), now);
+    List<Change> probed(long worker, boolean healthy, String reason, long now) {
+        timers.cancel(timeouts.remove(worker));
+        return apply(board.probed(worker, healthy, reason, now), now);
     }
 
-    List<Change> tried(long worker, Outcome outcome, long now) {
-        return after(board.tried(worker, outcome, now), now);
+    List<Change> attemptEnded(long worker, Outcome outcome, long now) {
+        return apply(board.tried(worker, outcome, now), now);
     }
 
     int down() {
@@ -80,36 +80,36 @@
     }
 
     /** How a listed worker is shown to the module. */
-    Dispatcher.Worker seen(Dispatcher.Worker listed) {
-        Change c = listed.state() == State.READY ? overlay.get(listed.id()) : null;
-        if (c == null) {
+    Dispatcher.Worker withOverlay(Dispatcher.Worker listed) {
+        Change change = listed.state() == State.READY ? overlay.get(listed.id()) : null;
+        if (change == null) {
             return listed;
         }
-        return new Dispatcher.Worker(listed.id(), listed.size(), c.usable() ? State.READY : State.DRAINING,
-                Math.max(listed.startedAtUs(), c.since()), listed.zone(), listed.cell(), listed.kind());
+        return new Dispatcher.Worker(listed.id(), listed.size(), change.usable() ? State.READY : State.DRAINING,
+                Math.max(listed.startedAtUs(), change.since()), listed.zone(), listed.cell(), listed.kind());
     }
 
-    private List<Change> after(List<Change> changes, long now) {
-        changes.forEach(c -> overlay.put(c.worker(), c));
+    private List<Change> apply(List<Change> changes, long now) {
+        changes.forEach(change -> overlay.put(change.worker(), change));
         if (board.panic() != panic) {
             panic = board.panic();
             if (panic) {
                 effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.down(), board.size()));
             }
         }
-        if (judge != null) {
+        if (onChange != null) {
             schedule(now);
         }
         return changes;
     }
 
-    private void tick(long now) {
-        judge.accept(after(board.elapsed(now), now));
+    private void probeDue(long now) {
+        onChange.accept(apply(board.elapsed(now), now));
         for (long id : board.due(now)) {
             effects.add(new Effect.StartProbe(id, workers.get(id).address));
-            limits.put(id, timers.at(now + set.timeoutUs(), t -> {
+            timeouts.put(id, timers.at(now + settings.timeoutUs(), t -> {
                 effects.add(new Effect.CancelProbe(id));
-                judge.accept(probed(id, false, "no answer in time", t));
+                onChange.accept(probed(id, false, "no answer in time", t));
             }));
         }
         schedule(now);
@@ -118,6 +118,6 @@
     private void schedule(long now) {
         timers.cancel(timer);
         long at = board.wakeAt(now);
-        timer = at == Long.MAX_VALUE ? null : timers.at(at, this::tick);
+        timer = at == Long.MAX_VALUE ? null : timers.at(at, this::probeDue);
     }
 }
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -14,55 +14,55 @@
 final class WorkerRegistry {
     private final CoreContext core;
 
-    WorkerRegistry(CoreContext parts) {
-        core = parts;
+    WorkerRegistry(CoreContext coreContext) {
+        core = coreContext;
     }
 
     void listed(ListNews news, WorkerList list) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
         if (news != ListNews.CHANGES) {
-            core.workers.values().forEach(p -> p.state = State.GONE);
+            core.workers.values().forEach(worker -> worker.state = State.GONE);
         } else {
             // what an older list made us doubt holds again, unless this one says otherwise
-            core.workers.values().stream().filter(p -> p.doubted && p.state == State.DRAINING).forEach(p -> {
-                p.state = p.listed.state();
-                workers.add(core.health == null ? p.listed : core.health.seen(p.listed));
+            core.workers.values().stream().filter(worker -> worker.drainedByOlderList && worker.state == State.DRAINING).forEach(worker -> {
+                worker.state = worker.listed.state();
+                workers.add(core.health == null ? worker.listed : core.health.withOverlay(worker.listed));
             });
         }
-        core.workers.values().forEach(p -> p.doubted = false);
-        for (WorkerList.Entry e : list.entries()) {
-            Worker p = core.workers.computeIfAbsent(Worker.id(e.name()), id -> new Worker(e.name()));
-            if (!e.address().equals(p.address)) {
-                core.pool.closeIdle(p);
-                p.address = e.address();
+        core.workers.values().forEach(worker -> worker.drainedByOlderList = false);
+        for (WorkerList.Entry entry : list.entries()) {
+            Worker worker = core.workers.computeIfAbsent(Worker.id(entry.name()), id -> new Worker(entry.name()));
+            if (!entry.address().equals(worker.address)) {
+                core.pool.closeIdle(worker);
+                worker.address = entry.address();
             }
-            p.state = e.state();
-            p.listed = new Dispatcher.Worker(p.id, e.weight(), e.state(), e.startedAtUs(), e.zone(), e.cell(), e.kind());
-            workers.add(core.health == null ? p.listed : core.health.seen(p.listed));
+            worker.state = entry.state();
+            worker.listed = new Dispatcher.Worker(worker.id, entry.weight(), entry.state(), entry.startedAtUs(), entry.zone(), entry.cell(), entry.kind());
+            workers.add(core.health == null ? worker.listed : core.health.withOverlay(worker.listed));
         }
-        core.workers.values().stream().filter(p -> p.state != State.READY).forEach(core.pool::closeIdle);
-        core.workers.values().removeIf(p -> p.state == State.GONE && p.open == 0);
+        core.workers.values().stream().filter(worker -> worker.state != State.READY).forEach(core.pool::closeIdle);
+        core.workers.values().removeIf(worker -> worker.state == State.GONE && worker.open == 0);
         core.module.listed(core.now, news, workers);
         core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), news,
-                core.workers.values().stream().filter(p -> p.state == State.READY).count()));
+                core.workers.values().stream().filter(worker -> worker.state == State.READY).count()));
         if (core.health != null) {
-            judged(core.health.listed(core.workers.values(), core.now));
+            healthChanged(core.health.listed(core.workers.values(), core.now));
         }
     }
 
     /** An older list than ours: whom it does not call up gets nothing new until one that is taken in says that it may. */
-    void drained(WorkerList older) {
-        Set<String> up = older.entries().stream().filter(e -> e.state() == State.READY).map(WorkerList.Entry::name)
+    void applyDrains(WorkerList olderList) {
+        Set<String> readyNames = olderList.entries().stream().filter(entry -> entry.state() == State.READY).map(WorkerList.Entry::name)
                 .collect(Collectors.toSet());
-        Set<String> named = older.entries().stream().map(WorkerList.Entry::name).collect(Collectors.toSet());
+        Set<String> listedNames = olderList.entries().stream().map(WorkerList.Entry::name).collect(Collectors.toSet());
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        for (Worker p : core.workers.values()) {
-            if (p.state == State.READY && !up.contains(p.name) && (older.whole() || named.contains(p.name))) {
-                p.state = State.DRAINING;
-                p.doubted = true;
-                core.pool.closeIdle(p);
-                workers.add(new Dispatcher.Worker(p.id, p.listed.size(), State.DRAINING, p.listed.startedAtUs(), p.listed.zone(), p.listed.cell(),
-                        p.listed.kind()));
+        for (Worker worker : core.workers.values()) {
+            if (worker.state == State.READY && !readyNames.contains(worker.name) && (olderList.whole() || listedNames.contains(worker.name))) {
+                worker.state = State.DRAINING;
+                worker.drainedByOlderList = true;
+                core.pool.closeIdle(worker);
+                workers.add(new Dispatcher.Worker(worker.id, worker.listed.size(), State.DRAINING, worker.listed.startedAtUs(), worker.listed.zone(), worker.listed.cell(),
+                        worker.listed.kind()));
             }
         }
         if (!workers.isEmpty()) {
@@ -71,13 +71,13 @@
     }
 
     /** Workers that look dead, or alive again: the module hears it as news of the list, and of ready ones only. */
-    void judged(List<HealthBoard.Change> changes) {
+    void healthChanged(List<HealthBoard.Change> changes) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        for (HealthBoard.Change c : changes) {
-            Worker p = core.workers.get(c.worker());
-            if (p != null && p.state == State.READY) {
-                core.effects.add(new Effect.Log(LogEvent.WORKER_HEALTH, p.name, c.usable() ? "UP" : c.health(), c.reason()));
-                workers.add(core.health.seen(p.listed));
+        for (HealthBoard.Change change : changes) {
+            Worker worker = core.workers.get(change.worker());
+            if (worker != null && worker.state == State.READY) {
+                core.effects.add(new Effect.Log(LogEvent.WORKER_HEALTH, worker.name, change.usable() ? "UP" : change.health(), change.reason()));
+                workers.add(core.health.withOverlay(worker.listed));
             }
         }
         if (!workers.isEmpty()) {
--- a/src/main/java/granitefold/standin/ground/Variant.java
+++ b/src/main/java/granitefold/standin/ground/Variant.java
@@ -19,7 +19,7 @@
     private static final Path SOURCES = Path.of("src/main/java/granitefold");
     private static final String TAKEN_IN = "        if (owed.size() >= core.bounds.requests()) {";
 
-    private static final String ANSWERED = "        over(c);\n        reply(c.client, c.submission, answer);";
+    private static final String ANSWERED = "        finish(context);\n        reply(context.client, context.submission, answer);";
 
     /** In a source file, below the package's folder, one text takes the place of another, which has to be there. */
     public record Patch(String file, String from, String to) { }
@@ -66,18 +66,18 @@
     /** Rejects a share of the requests, drawn by their ids, with no regard to anything. */
     public static Patch loses(double share) {
         return new Patch("core/Requests.java", TAKEN_IN, String.format(Locale.ROOT,
-                "        if (owed.size() >= core.bounds.requests() || Math.floorMod(s.name().hashCode() * 0x9E3779B9 >>> 7, 1000) < %d) {", Math.round(share * 1000)));
+                "        if (owed.size() >= core.bounds.requests() || Math.floorMod(submitted.name().hashCode() * 0x9E3779B9 >>> 7, 1000) < %d) {", Math.round(share * 1000)));
     }
 
     /** Rejects whatever a tenant asks, by its place in the settings. */
     public static Patch refuses(int tenant) {
-        return new Patch("core/Requests.java", TAKEN_IN, "        if (owed.size() >= core.bounds.requests() || s.tenant() == " + tenant + ") {");
+        return new Patch("core/Requests.java", TAKEN_IN, "        if (owed.size() >= core.bounds.requests() || submitted.tenant() == " + tenant + ") {");
     }
 
     /** Gives each answer so much later. */
     public static Patch slower(long ms) {
-        return new Patch("core/Requests.java", ANSWERED, "        core.timers.at(core.now + " + ms * 1000 + "L, t -> {\n            if (!c.over) {\n                over(c);\n"
-                        + "                reply(c.client, c.submission, answer);\n            }\n        });");
+        return new Patch("core/Requests.java", ANSWERED, "        core.timers.at(core.now + " + ms * 1000 + "L, t -> {\n            if (!context.finished) {\n                finish(context);\n"
+                        + "                reply(context.client, context.submission, answer);\n            }\n        });");
     }
 
     /** Takes requests in and never answers, though it says that it serves. */
--- a/src/test/java/granitefold/core/DiscoveryWatchTest.java
+++ b/src/test/java/granitefold/core/DiscoveryWatchTest.java
@@ -83,7 +83,7 @@
             case REFUSING, BROKEN -> at(now + ANSWER_US, t -> end(mine));
             case CURT -> at(now + ANSWER_US, t -> {
                 if (mine == call && open) {
-                    watch.heard(null, true, t);
+                    watch.received(null, true, t);
                     end(mine);
                 }
             });
@@ -95,7 +95,7 @@
     private void speak(int mine, boolean first) {
         if (mine == call && open && (agent == Agent.WELL || first)) {
             heardAt = now;
-            watch.heard(null, true, now);
+            watch.received(null, true, now);
             at(now + HEARTBEAT_US, t -> speak(mine, false));
         }
     }
@@ -158,7 +158,7 @@
         become(Agent.WELL);
         long since = now;
         heardAt = 0;
-        watch.move("b", now);
+        watch.changeAddress("b", now);
         perform();
         pass(since + MOVED_US);
         assertTrue(heardAt > since);
@@ -192,6 +192,6 @@
             }
         }
         assertTrue(at.stream().distinct().count() > 100, "of 120");
-        assertEquals(0, at.stream().filter(t -> t - now > DiscoveryWatch.PAUSE_MOST_US).count());
+        assertEquals(0, at.stream().filter(t -> t - now > DiscoveryWatch.MAX_BACKOFF_US).count());
     }
 }
--- a/src/test/java/granitefold/core/FiguresTest.java
+++ b/src/test/java/granitefold/core/FiguresTest.java
@@ -163,7 +163,7 @@
         // until a round at which they are published and nothing else ends
         do {
             quiet = true;
-            now += FiguresPublisher.EVERY_US;
+            now += FiguresPublisher.INTERVAL_US;
             play(new Event.Woken());
         } while (!quiet);
         for (int c = 0; c < CLASSES; c++) {
--- a/src/test/java/granitefold/core/ReducerCase.java
+++ b/src/test/java/granitefold/core/ReducerCase.java
@@ -16,7 +16,7 @@
     static final long SECOND = 1_000_000;
 
     final Reducer reducer = new Reducer(settings(5 * SECOND), new Reducer.Bounds(8, 8, 8, 120_000, 10 * SECOND), 1);
-    static final ShutdownSchedule ENDING = new ShutdownSchedule(3_700_000);
+    static final ShutdownSchedule SCHEDULE = new ShutdownSchedule(3_700_000);
     final List<Effect> effects = new ArrayList<>();
     long now = 1_000 * SECOND;
 
--- a/src/test/java/granitefold/core/ReducerTest.java
+++ b/src/test/java/granitefold/core/ReducerTest.java
@@ -27,7 +27,7 @@
         play(new Event.AnswerWritten(15, true));
         for (long client = 20; client < 24; client++) {
             open(client);
-            now += client == 20 ? 1 : ClientConnections.SILENT_US;
+            now += client == 20 ? 1 : ClientConnections.SILENT_CONNECT_US;
         }
         assertEquals(List.of(15L, 12L, 10L, 11L), all(Effect.CloseClient.class).stream().map(e -> e.client()).toList());
     }
@@ -37,7 +37,7 @@
         open(7);
         play(new Event.AnsweredLocally(7));
         play(new Event.AnswerWritten(7, true));
-        now += ClientConnections.LINGER_US;
+        now += ClientConnections.LINGER_TIMEOUT_US;
         play(new Event.Woken());
         assertEquals(List.of(new Effect.CloseClient(7, CloseReason.LINGERED)), all(Effect.CloseClient.class));
     }
@@ -50,7 +50,7 @@
         open(7);
         play(new Event.RequestArrived(7, new Submission("t", 0, 0, 2 * SECOND, 1_000, 1, 0, 0, new Payload() { }), SECOND));
         play(new Event.WorkerConnected(0));
-        assertEquals(now + SECOND - Requests.ANSWER_US, all(Effect.SendRequest.class).get(0).expiresAt());
+        assertEquals(now + SECOND - Requests.ANSWER_MARGIN_US, all(Effect.SendRequest.class).get(0).expiresAt());
     }
 
     /** It was handed in as late as it had been read, and its answer came when its client had left. */
@@ -92,9 +92,9 @@
         for (long client = 10; client < 17; client++) {
             open(client);
         }
-        now += ClientConnections.SILENT_US;
+        now += ClientConnections.SILENT_CONNECT_US;
         play(new Event.RequestContinued(10));
-        now += ClientConnections.SILENT_US;
+        now += ClientConnections.SILENT_CONNECT_US;
         open(20);
         assertEquals(List.of(11L), all(Effect.CloseClient.class).stream().map(e -> e.client()).toList());
         play(new Event.AnsweredLocally(16));
@@ -104,7 +104,7 @@
         }
         open(21);
         assertEquals(16, all(Effect.CloseClient.class).get(1).client(), "an idle one loses no request");
-        now += ClientConnections.REQUEST_US - 2 * ClientConnections.SILENT_US;
+        now += ClientConnections.REQUEST_TIMEOUT_US - 2 * ClientConnections.SILENT_CONNECT_US;
         play(new Event.Woken());
         assertTrue(all(Effect.TimeOutClient.class).contains(new Effect.TimeOutClient(10)), "but not for ever");
     }
@@ -128,7 +128,7 @@
     void discoverysFirstWordIsNotWaitedForLong() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         request(7, "t");
-        now += Reducer.FIRST_WORD_US;
+        now += Reducer.FIRST_LIST_TIMEOUT_US;
         play(new Event.Woken());
         assertEquals(0, all(Effect.ConnectWorker.class).size(), "a busy loop may have it in its sockets");
         assertEquals(List.of(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)), all(Effect.PollSockets.class));
@@ -142,7 +142,7 @@
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         open(7);
         play(new Event.RequestArrived(7, new Submission("t", 0, 0, 100_000, 1_000, 1, 0, 0, new Payload() { })));
-        now += 100_000 - Requests.ANSWER_US;
+        now += 100_000 - Requests.ANSWER_MARGIN_US;
         play(new Event.Woken());
         assertTrue(all(Effect.Answer.class).get(0).answer() instanceof FinalAnswer.Rejected);
         play(new Event.SocketsPolled(Effect.PollSockets.NO_CONNECTION));
@@ -172,7 +172,7 @@
         play(new Event.WorkerAnswerEnded(0, true));
         request(8, "u");
         assertEquals(2, all(Effect.ConnectWorker.class).size());
-        now += ConnectionPool.REST_US;
+        now += ConnectionPool.REUSE_DELAY_US;
         request(9, "v");
         assertEquals(2, all(Effect.ConnectWorker.class).size());
         assertEquals(0, all(Effect.SendRequest.class).get(1).connection());
--- a/src/test/java/granitefold/core/ShutdownTest.java
+++ b/src/test/java/granitefold/core/ShutdownTest.java
@@ -17,10 +17,10 @@
             play(new Event.SiblingMessage(1, word));
         }
         play(new Event.ShutdownRequested(false));
-        now += ENDING.handOverUs();
+        now += SCHEDULE.handOverUs();
         play(new Event.Woken());
         boolean early = !all(Effect.StopListening.class).isEmpty();
-        now += ENDING.serveOnUs();
+        now += SCHEDULE.serveAloneUs();
         play(new Event.Woken());
         assertEquals(1, all(Effect.StopListening.class).size());
         return early;
@@ -49,7 +49,7 @@
     void aSiblingThatWasStartedAnewIsCompany() {
         request();
         play(new Event.SiblingMessage(1, new byte[] {'L', 'V', 1}));
-        now += ENDING.killedUs();
+        now += SCHEDULE.killAfterUs();
         assertTrue(handsOverEarly(new byte[0]));
     }
 
@@ -70,14 +70,14 @@
         assertTrue(all(Effect.Answer.class).get(0).close(), "its client connects anew, to the other one");
         play(new Event.AnswerWritten(7, true));
         play(new Event.ClientClosed(7));
-        now += ENDING.serveOnUs() - 1;
+        now += SCHEDULE.serveAloneUs() - 1;
         play(new Event.Woken());
         assertEquals(Phase.DRAINING, reducer.phase(), "one kept connection is idle still");
         now += 1;
         play(new Event.Woken());
         assertEquals(1, all(Effect.HalfCloseIdleClients.class).size());
         play(new Event.ClientClosed(8));
-        now += Lifecycle.LAST_READ_US;
+        now += Lifecycle.IN_FLIGHT_US;
         play(new Event.Woken());
         assertEquals(1, all(Effect.Stop.class).size());
     }
@@ -113,10 +113,10 @@
         play(new Event.RequestWritten(0));
         open(8);
         play(new Event.ShutdownRequested(false));
-        now += ENDING.serveOnUs();
+        now += SCHEDULE.serveAloneUs();
         play(new Event.Woken());
         play(new Event.ClientHalfClosed(8));
-        now += Lifecycle.LAST_READ_US;
+        now += Lifecycle.IN_FLIGHT_US;
         play(new Event.AttemptUpdated(0, new AttemptUpdate.Served(new byte[0])));
         assertEquals(Phase.CLOSING, reducer.phase());
         assertEquals(1, all(Effect.HalfCloseAllClients.class).size());
@@ -139,7 +139,7 @@
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.WatchUpdated(null));
         play(new Event.ShutdownRequested(false));
-        now += ENDING.closeUs();
+        now += SCHEDULE.closeUs();
         effects.clear();
         effects.addAll(reducer.reduce(new Event.Woken(), now));
         assertEquals(1, all(Effect.StopListening.class).size());
@@ -158,12 +158,12 @@
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.WatchUpdated(null));
         play(new Event.ShutdownRequested(false));
-        now += ENDING.serveOnUs();
+        now += SCHEDULE.serveAloneUs();
         effects.addAll(reducer.reduce(new Event.Woken(), now));
         for (int i = 1; i < 20; i++) {
             assertEquals(i, all(Effect.StopListening.class).size());
             effects.addAll(reducer.reduce(new Event.ListenerClosed(false), now));
-            now += Lifecycle.RETRY_US;
+            now += Lifecycle.LISTENER_RETRY_US;
             effects.addAll(reducer.reduce(new Event.Woken(), now));
             effects.addAll(reducer.reduce(new Event.SocketsPolled(Effect.PollSockets.SHUTDOWN), now));
         }
@@ -177,7 +177,7 @@
     void aRelievedProcessWithoutClientsEndsEarly() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.ShutdownRequested(true));
-        now += Lifecycle.LAST_READ_US;
+        now += Lifecycle.IN_FLIGHT_US;
         play(new Event.Woken());
         assertEquals(1, all(Effect.Stop.class).size());
     }
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -29,33 +29,33 @@
             + "guardar { work = 150ms, effect = keyed, window = 12s, on-time = 750ms } }\n";
 
     /** The program's own check at run time would refuse the send. */
-    private static final Patch UNGUARDED = new Patch("core/ActionGuard.java", "        return violated(rule, c.submission.name());", "        return true;");
+    private static final Patch UNGUARDED = new Patch("core/ActionGuard.java", "        return violated(rule, request.submission.name());", "        return true;");
 
     private static final Object[][] DEFECTS = {
         {"a job on a silent cocinero goes to another one too", Rule.TWO_OUT, SMALL + "steps = [ { do = hang, to = [s0], at = 500ms } ]",
             new Patch("policy/SendGate.java", "&& (job.open == 0 || k.set.limits().secondCopies())", "&& job.open < 2"), UNGUARDED},
         {"a result is another one", Rule.MADE_UP, SMALL,
-            new Patch("core/Attempts.java", "new FinalAnswer.Served(s.result())", "new FinalAnswer.Served(new byte[] {'x'})")},
+            new Patch("core/Attempts.java", "new FinalAnswer.Served(served.result())", "new FinalAnswer.Served(new byte[] {'x'})")},
         {"a truncated answer is served", Rule.MADE_UP, SMALL + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
-            new Patch("core/Attempts.java", "            end(c.carries, c.state == WorkerConnection.State.WAITING ? Outcome.BROKEN : c.stale ? Outcome.MOOT : Outcome.UNREACHABLE);",
-                    "            if (!c.carries.context.over) {\n                requests.answer(c.carries.context, new FinalAnswer.Served(new byte[0]));\n            }\n"
-                            + "            end(c.carries, Outcome.SERVED);"),
-            new Patch("core/Attempts.java", "            end(t, Outcome.BROKEN);", "            if (!t.context.over) {\n"
-                    + "                requests.answer(t.context, new FinalAnswer.Served(new byte[0]));\n            }\n            end(t, Outcome.SERVED);")},
+            new Patch("core/Attempts.java", "            end(connection.currentAttempt, connection.state == WorkerConnection.State.WAITING ? Outcome.BROKEN : connection.stale ? Outcome.MOOT : Outcome.UNREACHABLE);",
+                    "            if (!connection.currentAttempt.context.finished) {\n                requests.answer(connection.currentAttempt.context, new FinalAnswer.Served(new byte[0]));\n            }\n"
+                            + "            end(connection.currentAttempt, Outcome.SERVED);"),
+            new Patch("core/Attempts.java", "            end(attempt, Outcome.BROKEN);", "            if (!attempt.context.finished) {\n"
+                    + "                requests.answer(attempt.context, new FinalAnswer.Served(new byte[0]));\n            }\n            end(attempt, Outcome.SERVED);")},
         {"one request in twenty is forgotten", Rule.LOST, SMALL,
-            new Patch("core/Requests.java", "        over(c);\n        reply(c.client", "        over(c);\n        if (c.id % 20 == 0) {\n            return;\n"
-                    + "        }\n        reply(c.client")},
+            new Patch("core/Requests.java", "        finish(context);\n        reply(context.client", "        finish(context);\n        if (context.id % 20 == 0) {\n            return;\n"
+                    + "        }\n        reply(context.client")},
         {"an end in order does not wait for what is owed", Rule.LOST, SMALL + "classes.ficha.work = 300ms, steps = [ { do = end, to = [n0], at = 1s } ]",
             new Patch("core/Lifecycle.java", "if (phase == Phase.FINISHING && requests.owed() == 0) {", "if (phase == Phase.DRAINING || phase == Phase.FINISHING) {"),
-            new Patch("core/Lifecycle.java", "return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closesAt);", "return true;"),
+            new Patch("core/Lifecycle.java", "return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closingEndsAt);", "return true;"),
             new Patch("core/ActionGuard.java", "return owed == 0 || violated(Rule.STOPPED_OWING, owed + \" requests\");", "return true;")},
         {"some requests are answered twice", Rule.ANSWERED_TWICE, SMALL,
             new Patch("net/ClientConnection.java", "() -> gone(CloseReason.BROKEN)), message);", "() -> gone(CloseReason.BROKEN)), message[0], message[1], message[0].duplicate(),\n"
                     + "                message[1].duplicate());")},
         {"drains are not heeded", Rule.DRAIN, "for = 6s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms } ]",
-            new Patch("core/WorkerRegistry.java", "p.state = e.state();", "p.state = State.READY;"),
-            new Patch("core/WorkerRegistry.java", "new Dispatcher.Worker(p.id, e.weight(), e.state(),", "new Dispatcher.Worker(p.id, e.weight(), State.READY,")},
+            new Patch("core/WorkerRegistry.java", "worker.state = entry.state();", "worker.state = State.READY;"),
+            new Patch("core/WorkerRegistry.java", "new Dispatcher.Worker(worker.id, entry.weight(), entry.state(),", "new Dispatcher.Worker(worker.id, entry.weight(), State.READY,")},
         {"cold cocineros are sent what warm ones are", Rule.COLD, "for = 5s, dispatchers.count = 2, load { rate = 300, retries = 0 }\n"
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
@@ -89,11 +89,11 @@
         {"who has left is sent on", Rule.GONE, "for = 4s, dispatchers.count = 1, cocineros { count = 1, slots = 8 }\n"
                 + "load { rate = 150, retries = 0, impatient = 1 }, classes.ficha { work = 20ms, on-time = 8s, deadline = 3s }\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms }, { do = well, to = [s0], at = 1500ms } ]",
-            new Patch("core/Requests.java", "        RequestContext c = owed.remove(client);", "        RequestContext c = null;"),
+            new Patch("core/Requests.java", "        RequestContext context = owed.remove(client);", "        RequestContext context = null;"),
             new Patch("net/Loop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
         {"a watch that falls silent is not opened anew", Rule.DRAIN, "for = 12s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = hush, at = 500ms }, { do = drain, to = [s0], at = 700ms } ]",
-            new Patch("core/DiscoveryWatch.java", "SILENT_US = 3_000_000;", "SILENT_US = 60_000_000;")},
+            new Patch("core/DiscoveryWatch.java", "SILENCE_TIMEOUT_US = 3_000_000;", "SILENCE_TIMEOUT_US = 60_000_000;")},
         {"restarts take long", Rule.SLOW_START, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load.rate = 30\n"
                 + "steps = [ { do = kill, to = [n1], at = 500ms, lasts = 100ms } ]",
             new Patch("net/Loop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
