--- a/src/main/java/granitefold/core/ActionGuard.java
+++ b/src/main/java/granitefold/core/ActionGuard.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * The one place that says whether a request may be taken, sent, repeated or answered, and the process stopped, now. Whoever decides
- * asks here last. What no one should have asked for is refused, counted and logged as a broken rule.
+ * The final check before a request is accepted, sent, repeated or answered, and before the process stops. An action that would break
+ * a {@link Rule} is refused, counted and logged.
  */
 final class ActionGuard {
     private final CoreContext core;
@@ -17,15 +17,15 @@
     private boolean closing;
     private long violations;
 
-    /** What must not happen, whoever asks for it. */
+    /** Invariants that hold whatever the other parts of the core decide. */
     enum Rule {
-        /** Two attempts of one request at once. */
+        /** No two attempts of one request at once. */
         TWO_ATTEMPTS_OUT,
-        /** Another attempt of a class that must not run twice, where the one before may have run. */
+        /** No further attempt of an unsafe job if an earlier one may have run. */
         UNSAFE_REPEAT,
-        /** Two final answers to one request. */
+        /** No two final answers to one request. */
         ANSWERED_TWICE,
-        /** An end of the process with answers owed. */
+        /** No stop of the process with answers owed. */
         STOPPED_OWING
     }
 
@@ -35,22 +35,22 @@
         this.secondCopies = secondCopies;
     }
 
-    /** How often something was asked for that would have broken a rule. */
+    /** Returns the number of actions refused because they would have broken a rule. */
     long violations() {
         return violations;
     }
 
-    /** From now on nothing new is taken. */
+    /** Stops accepting requests. */
     void close() {
         closing = true;
     }
 
-    /** Whether a request may be taken in: by the time of the last answers it could not be served any more. */
+    /** Whether a request may be accepted: not after the time at which the last answers are due. */
     boolean mayAccept() {
         return !closing && core.now < core.answersDueAt;
     }
 
-    /** Whether an attempt, the first or a further one, may be written to its worker. */
+    /** Whether an attempt, the first or a repeat, may be written to its worker. */
     boolean maySend(Attempt attempt) {
         RequestContext request = attempt.context;
         if (request.attempts.stream().anyMatch(other -> other != attempt && other.outcome == null) && !secondCopies) {
@@ -60,16 +60,16 @@
                 && request.attempts.stream().anyMatch(other -> other != attempt && (other.outcome == null || !other.outcome.neverRan()))) {
             return violated(Rule.UNSAFE_REPEAT, request);
         }
-        // while its connection came up the client left, the worker was told to drain, or a time ran out
+        // while the connection was opened, the client may have left, the worker been drained, or a time limit passed
         return !request.finished && attempt.worker.state == State.READY && core.now < attempt.startsBy && core.now < attempt.expiresAt;
     }
 
-    /** Whether a request may get this as its final answer. */
+    /** Whether a request may be given a final answer. */
     boolean mayAnswer(RequestContext request) {
         return !request.finished || violated(Rule.ANSWERED_TWICE, request);
     }
 
-    /** Whether the process may stop, so many requests being owed an answer. */
+    /** Whether the process may stop with this number of requests that are owed an answer. */
     boolean mayStop(int owed) {
         return owed == 0 || violated(Rule.STOPPED_OWING, owed + " requests");
     }
--- a/src/main/java/granitefold/core/Attempt.java
+++ b/src/main/java/granitefold/core/Attempt.java
@@ -9,12 +9,12 @@
     final Worker worker;
     /** When the dispatcher stops waiting for it. */
     final long expiresAt;
-    /** From then on it must not be sent any more. */
+    /** From this time on it must not be sent. */
     final long startsBy;
     WorkerConnection connection;
-    /** Ends the wait for its connection, then that for its outcome. */
+    /** Timeout for its connection, then for its outcome. */
     Timers.Timer timer;
-    /** Null while it is out. */
+    /** Null while it is running. */
     Outcome outcome;
 
     Attempt(RequestContext context, int number, Worker worker, long expiresAt, long startsBy) {
--- a/src/main/java/granitefold/core/AttemptUpdate.java
+++ b/src/main/java/granitefold/core/AttemptUpdate.java
@@ -1,12 +1,12 @@
 package granitefold.core;
 
-/** Word from a worker on the attempt that a connection carries. All but the first two end the attempt. */
+/** A worker's report on the attempt that a connection carries. All but the first two end the attempt. */
 public sealed interface AttemptUpdate {
 
-    /** The job has started to run. */
+    /** The job has started. */
     record Started() implements AttemptUpdate { }
 
-    /** The job has done a share of its work. */
+    /** The job has completed a share of its work. */
     record Progressed(double share) implements AttemptUpdate { }
 
     /** The job is done. */
@@ -15,7 +15,7 @@
     /** The worker reports an error: the job may have run. */
     record Failed() implements AttemptUpdate { }
 
-    /** Turned away or handed back unstarted: the job never ran. */
+    /** The worker rejected the job or returned it unstarted: it never ran. */
     record Returned() implements AttemptUpdate { }
 
     /** The job was killed, or the answer ended before its last line: the job may have run. */
--- a/src/main/java/granitefold/core/Attempts.java
+++ b/src/main/java/granitefold/core/Attempts.java
@@ -3,9 +3,9 @@
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 
-/** The attempts of request contexts, on connections to workers: never two of one context at once. */
+/** Runs the attempts of request contexts on worker connections; at most one per context at a time. */
 final class Attempts {
-    /** How long the end of an answer may follow its last line. */
+    /** The time for the end of an answer to arrive after its last line. */
     private static final long ANSWER_END_TIMEOUT_US = 1_000_000;
 
     private final CoreContext core;
@@ -20,12 +20,13 @@
 
     void send(RequestContext context, Worker worker, long waitUs, long startUs) {
         long expiresAt = waitUs > 0 ? Math.min(context.moduleDeadline, core.now + waitUs) : context.moduleDeadline;
-        Attempt attempt = new Attempt(context, context.attempts.size(), worker, expiresAt, startUs > Long.MAX_VALUE / 2 ? Long.MAX_VALUE : core.now + startUs);
+        Attempt attempt = new Attempt(context, context.attempts.size(), worker, expiresAt,
+                startUs > Long.MAX_VALUE / 2 ? Long.MAX_VALUE : core.now + startUs);
         context.attempts.add(attempt);
         WorkerConnection idle = core.pool.takeIdle(worker, core.now);
         attempt.connection = idle != null ? idle : core.pool.connect(worker);
         if (attempt.connection == null) {
-            // want of room here says nothing of the worker
+            // the dispatcher's own connection limit says nothing about the worker
             endDeferred(attempt, Outcome.MOOT);
             return;
         }
@@ -37,7 +38,7 @@
             core.pool.drop(attempt);
             endDeferred(attempt, Outcome.MOOT);
         } else {
-            // it may be up by now and only not read yet: a busy loop must not pass for a dead worker
+            // the connection may be open by then but not noticed: a busy event loop must not look like a dead worker
             attempt.timer = core.timers.at(Math.min(expiresAt, core.now + core.bounds.connectTimeoutUs()),
                     at -> core.effects.add(new Effect.PollSockets(attempt.connection.id)));
         }
@@ -54,10 +55,11 @@
             core.statePersistence.sent(attempt.context.submission, core.now);
         }
         core.trace.sent(attempt, attempt.expiresAt - core.now);
-        core.effects.add(new Effect.SendRequest(attempt.connection.id, attempt.context.client, attempt.context.submission.payload(), attempt.expiresAt));
+        core.effects.add(new Effect.SendRequest(attempt.connection.id, attempt.context.client, attempt.context.submission.payload(),
+                attempt.expiresAt));
     }
 
-    /** Its client has gone, so that nothing of it was written. */
+    /** The request was not written because its client has gone. */
     void notSent(WorkerConnection connection) {
         if (connection != null && connection.currentAttempt != null) {
             Attempt attempt = connection.currentAttempt;
@@ -66,7 +68,7 @@
         }
     }
 
-    /** The time to connect is up, and all that had come by then has been read. */
+    /** The connect timeout has passed, and everything that had arrived by then has been read. */
     void socketsPolled(WorkerConnection connection) {
         if (connection != null && connection.state == WorkerConnection.State.CONNECTING && connection.currentAttempt != null) {
             Attempt attempt = connection.currentAttempt;
@@ -138,12 +140,13 @@
         core.trace.workerClosed(connection.id, reason);
         core.pool.forget(connection);
         if (connection.stale) {
-            // what ended this kept connection has most likely ended the others too
+            // the other idle connections to this worker have most likely broken as well
             core.pool.closeIdle(connection.worker);
         }
         if (connection.currentAttempt != null) {
-            // that a kept one ended before the last byte was written says nothing of the worker
-            end(connection.currentAttempt, connection.state == WorkerConnection.State.WAITING ? Outcome.BROKEN : connection.stale ? Outcome.MOOT : Outcome.UNREACHABLE);
+            // a reused connection that breaks before the last byte is written says nothing about the worker
+            end(connection.currentAttempt, connection.state == WorkerConnection.State.WAITING ? Outcome.BROKEN
+                    : connection.stale ? Outcome.MOOT : Outcome.UNREACHABLE);
         }
     }
 
--- a/src/main/java/granitefold/core/AvailabilityMonitor.java
+++ b/src/main/java/granitefold/core/AvailabilityMonitor.java
@@ -13,11 +13,11 @@
 import java.util.List;
 
 /**
- * Keeps the availability machine supplied: it counts what comes by, samples at an interval, and publishes the verdict.
- * Where it is off it does nothing.
+ * Feeds the availability state machine: counts answers and attempts, samples resources at an interval, and publishes a status
+ * report with the verdict. Does nothing if availability reporting is off.
  */
 final class AvailabilityMonitor {
-    /** What was answered longer ago than this counts half and less. */
+    /** Half-life of the recent answer and reject counts, in microseconds. */
     private static final double HALF_LIFE_US = 1_000_000;
 
     private final Reducer reducer;
@@ -38,7 +38,7 @@
     private long served;
     private long rejected;
     private long failed;
-    /** Answers and rejects of late, fading, and as of when. */
+    /** Exponentially decayed counts of answers and rejects, and the time of the last decay. */
     private double recentAnswers;
     private double recentRejects;
     private long decayedAt;
@@ -51,7 +51,7 @@
         settingsChanged(settings);
     }
 
-    /** Other figures from now on. */
+    /** Replaces the settings; {@code null} does not switch reporting off. */
     void settingsChanged(AvailabilitySettings newSettings) {
         if (settings == null || newSettings != null) {
             settings = newSettings;
@@ -72,10 +72,10 @@
         timers.at(now + settings.intervalUs(), this::sample);
     }
 
-    /** Discovery has said something; {@code accepted}: what it said was a list. */
+    /** Discovery has sent a message; {@code accepted}: it was a list, and was accepted. */
     void discoveryUpdated(boolean accepted, long now) {
         lastUpdateAt = now;
-        // an empty line says that the version told in the request still holds
+        // an empty line confirms the version named in the request
         confirmed = true;
         if (accepted) {
             lastListAt = now;
@@ -106,22 +106,22 @@
         }
     }
 
-    void resourcesSampled(ResourceUsage news, long now) {
-        resources = news;
+    void resourcesSampled(ResourceUsage sampled, long now) {
+        resources = sampled;
         evaluate(now);
     }
 
-    void modeRequested(Wish news, long now) {
-        requestedMode = news;
+    void modeRequested(Wish mode, long now) {
+        requestedMode = mode;
         evaluate(now);
     }
 
-    /** Clients are told to leave: others are there for them, as far as the operator knows. */
+    /** Whether answers close their client connections: the operator has taken this dispatcher out of service, and expects others to serve. */
     boolean closesClients() {
         return state != null && requestedMode != Wish.READY && !state.standing().serves();
     }
 
-    /** Something of weight has happened, or time has passed. */
+    /** Evaluates the availability state and publishes a report, after an important event or a sample. */
     void evaluate(long now) {
         if (availability == null || state == null) {
             return;
@@ -130,8 +130,8 @@
         Dispatcher.Pressure pressure = reducer.pressure();
         double waitRatio = pressure.waitUs() / Math.max(1, pressure.boundUs());
         double rejectShare = recentRejects / Math.max(1, recentAnswers);
-        Availability.State nextState = availability.next(state, new Signals(processStage(), requestedMode, confirmed, now - Math.max(lastListAt, lastUpdateAt),
-                now - lastUpdateAt, pressure.ready(), reachedAttempts, unreachableAttempts, rejectShare,
+        Availability.State nextState = availability.next(state, new Signals(processStage(), requestedMode, confirmed,
+                now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, pressure.ready(), reachedAttempts, unreachableAttempts, rejectShare,
                 (double) pressure.full() / Math.max(1, pressure.ready()), waitRatio, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
         logTransition(state.standing(), nextState);
@@ -140,8 +140,8 @@
         double answersPerSecond = recentAnswers * Math.log(2) / HALF_LIFE_US * 1e6;
         effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), requestedMode, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
-                now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, waitRatio, rejectShare, answersPerSecond, resources, now - startedAt, served,
-                rejected, failed)));
+                now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, waitRatio, rejectShare, answersPerSecond, resources, now - startedAt,
+                served, rejected, failed)));
     }
 
     private void logTransition(Standing previous, Availability.State current) {
--- a/src/main/java/granitefold/core/ClientConnections.java
+++ b/src/main/java/granitefold/core/ClientConnections.java
@@ -8,38 +8,38 @@
 import java.util.Map;
 
 /**
- * The bookkeeping of client connections: how long each may take over what it does, and which one goes where there is
- * no room for another. Without it those that say nothing, or never come to an end, keep usual clients out.
+ * Tracks client connections: times out those that are too slow, and selects one to close when the limit is reached. Otherwise
+ * clients that are silent or never finish could take all connections.
  */
 final class ClientConnections {
     /**
-     * A whole request must have come so long after its connection, or after its own first byte on a kept one. Slow lines
-     * take 2 s over one, and whoever takes longer is to hear of it within 3 s.
+     * The time for a whole request to arrive, from the connect or, on a kept connection, from its first byte. Slow lines take
+     * 2 s, and slower clients must be told within 3 s.
      */
     static final long REQUEST_TIMEOUT_US = 2_800_000;
-    /** How long an answer may take to write to a client that does not read it. */
+    /** The time for a client to read its answer. */
     static final long WRITE_TIMEOUT_US = 2_000_000;
-    /** How long a client that was told to close may take to read that, while what it sends is thrown away. */
+    /** The time for a client that was told to close to do so; what it sends meanwhile is discarded. */
     static final long LINGER_TIMEOUT_US = 500_000;
-    /** A new connection brings its request at once; one silent for longer makes room for others. */
+    /** Clients send their request right after connecting; a connection silent for longer may be closed to make room. */
     static final long SILENT_CONNECT_US = 200_000;
 
-    /** Who writes a request slowly is seldom silent for longer within it. */
+    /** Slow writers rarely pause longer than this within a request; a connection that does may be closed to make room. */
     static final long STALLED_REQUEST_US = 1_000_000;
 
     private enum State {
-        /** It has connected and sent nothing yet. */
+        /** Connected; nothing has been received yet. */
         CONNECTED,
-        /** A part of a request has come. */
+        /** Part of a request has been received. */
         RECEIVING,
         AWAITING_ANSWER,
         WRITING,
         IDLE,
-        /** Idle, and has never brought a job: it asked something else once, and stayed. */
+        /** Idle, with only answers that the adapter gave by itself so far, and no job. */
         IDLE_WITHOUT_JOBS,
-        /** It has its answer and was told to close. */
+        /** Answered and told to close. */
         LINGERING,
-        /** We have closed it, and will hear so. */
+        /** Closed by this side; the event that confirms it is awaited. */
         CLOSING
     }
 
@@ -56,7 +56,7 @@
     }
 
     private final Map<Long, Entry> entries = new HashMap<>();
-    /** The places in each state, the longest there first. */
+    /** The entries by state, the longest in that state first. */
     private final Map<State, LinkedHashMap<Long, Entry>> byState = new EnumMap<>(State.class);
     private final int maxConnections;
     private final Timers timers;
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Those that are open. */
+    /** Returns the number of open connections. */
     int size() {
         return entries.size() - byState.get(State.CLOSING).size();
     }
@@ -85,12 +85,12 @@
         move(entry, State.CONNECTED, now);
     }
 
-    /** The first bytes of another request have come. */
+    /** The first bytes of another request have arrived. */
     void requestStarted(long client, long now) {
         move(entries.get(client), State.RECEIVING, now);
     }
 
-    /** More of a request has come, but not its end: its time runs on, and of those it has been silent for the least. */
+    /** More of a request has arrived, but not its end: its timeout runs on, and it moves to the end of the order of silence. */
     void received(long client, long now) {
         Entry entry = entries.get(client);
         if (entry != null && (entry.state == State.CONNECTED || entry.state == State.RECEIVING)) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** A whole request has come. */
+    /** A whole request has arrived. */
     void arrived(long client, long now) {
         Entry entry = entries.get(client);
         if (entry != null) {
@@ -114,13 +114,13 @@
         move(entries.get(client), State.WRITING, now);
     }
 
-    /** An answer is out; it was the {@code last} one if the client was told to close. */
+    /** An answer has been written; {@code last}: it told the client to close. */
     void written(long client, boolean last, long now) {
         Entry entry = entries.get(client);
         move(entry, last ? State.LINGERING : entry != null && entry.sentJob ? State.IDLE : State.IDLE_WITHOUT_JOBS, now);
     }
 
-    /** It was idle, and was told that no more is read. */
+    /** An idle connection was half-closed. */
     void halfClosed(long client, long now) {
         move(entries.get(client), State.LINGERING, now);
     }
@@ -158,10 +158,9 @@
     }
 
     /**
-     * Closes the connection that is missed least: one that has its last answer; then one that has said nothing for long since it
-     * connected, or for longer since it began a request; then the one idle for longest, first of those that never brought a
-     * job, since whoever did comes again and may find no other door open; then who began a request and is silent, since
-     * slow writers are for a while, and would lose it.
+     * Closes the connection whose loss costs least: one that has its last answer; then one that has been silent for long since it
+     * connected, or for longer within a request; then the one idle for longest, those without jobs first, since a client with jobs
+     * comes back and may find no other dispatcher; then one silent within a request, since a slow writer would lose that request.
      */
     private void makeRoom(long now) {
         Entry silent = first(State.CONNECTED);
--- a/src/main/java/granitefold/core/CloseReason.java
+++ b/src/main/java/granitefold/core/CloseReason.java
@@ -1,19 +1,19 @@
 package granitefold.core;
 
-/** Why a connection of a client has ended. */
+/** Why a client connection was closed. */
 public enum CloseReason {
     /** The client closed it or shut its sending side. */
     CLIENT,
-    /** It broke. */
+    /** The connection broke. */
     BROKEN,
-    /** The client sent more ahead of an answer than is read. */
+    /** The client sent more data ahead of an answer than is buffered. */
     FLOOD,
     /** Its PROXY header was missing or malformed. */
     NO_PROXY_HEADER,
-    /** The client was told to close, and has not in time. */
+    /** The client was told to close and did not do so in time. */
     LINGERED,
-    /** The client has sent no request, or not read its answer, in time. */
+    /** The client did not send a request, or read its answer, in time. */
     TIMED_OUT,
-    /** There was no room for another one. */
+    /** It was closed to make room for a new connection. */
     NO_ROOM
 }
--- a/src/main/java/granitefold/core/ConnectionPool.java
+++ b/src/main/java/granitefold/core/ConnectionPool.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The bookkeeping of worker connections: which are open, which of them are idle and since when. */
+/** Tracks the worker connections: which are open, and which of them are idle and since when. */
 final class ConnectionPool {
-    /** A worker closes an idle connection after a told time; ours goes by this share of it, lest a request meet that. */
+    /** The fraction of a worker's idle timeout after which this side closes, so that no request meets the worker's close. */
     private static final double IDLE_CLOSE_FRACTION = 0.7;
     /**
-     * What a worker still says of one request must not be taken for its answer to the next: a second answer, say, that comes some
-     * milliseconds late, and tells by its status alone that nothing ran. For so long a connection rests; it is the protocol's slack.
+     * How long a connection stays unused after an answer; this is the protocol's allowance for late data. A second answer that
+     * comes some milliseconds late, and says by its status alone that nothing ran, would be taken for that of the next request.
      */
     static final long REUSE_DELAY_US = 50_000;
 
     private final Map<Long, WorkerConnection> open = new HashMap<>();
-    /** Connections without an attempt, the longest idle first, and those that only wait for the end of an answer. */
+    /** Idle connections, the longest idle first, and those whose attempt is over while the end of the answer is awaited. */
     private final LinkedHashSet<WorkerConnection> idle = new LinkedHashSet<>();
     private final LinkedHashSet<WorkerConnection> awaitingEnd = new LinkedHashSet<>();
     private final int maxConnections;
@@ -27,19 +27,19 @@
     private final RequestTrace trace;
     private long nextId;
 
-    /** Why we close a connection to a worker. */
+    /** Why the dispatcher closes a connection to a worker. */
     enum Reason {
         /** Its attempt was given up. */
         GIVEN_UP,
-        /** The end of its answer did not come. */
+        /** The end of its answer did not arrive in time. */
         UNFINISHED,
-        /** Its answer does not allow another request, or its worker takes none. */
+        /** Its answer does not allow reuse, or its worker takes no more requests. */
         NOT_REUSABLE,
-        /** It has rested for as long as it may. */
+        /** It has reached the idle timeout. */
         IDLE,
-        /** Its worker's other connections have just broken, or its worker has gone. */
+        /** Another connection to its worker has just broken, or its worker is no longer ready. */
         WORKER_GONE,
-        /** Another one needs its place. */
+        /** It makes room for a new connection. */
         NO_ROOM
     }
 
@@ -55,7 +55,7 @@
         return open.get(id);
     }
 
-    /** An idle connection to the worker that is fresh enough for a request, and has been silent since its last one; or null. */
+    /** Takes an idle connection to the worker that is neither too old nor used too recently, or returns null. */
     WorkerConnection takeIdle(Worker worker, long now) {
         for (WorkerConnection connection : worker.idle) {
             if (now - connection.idleSince >= maxIdleUs) {
@@ -70,7 +70,7 @@
         return null;
     }
 
-    /** A new connection, or null where as many are open as the limits allow. */
+    /** Opens a connection, or returns null if the limit is reached and none can be closed. */
     WorkerConnection connect(Worker worker) {
         if (open.size() >= maxConnections && !makeRoom()) {
             return null;
@@ -82,7 +82,7 @@
         return connection;
     }
 
-    /** Keeps a connection for another request. */
+    /** Returns a connection to the pool for another request. */
     void release(WorkerConnection connection, long now) {
         connection.state = WorkerConnection.State.IDLE;
         connection.idleSince = now;
@@ -92,11 +92,11 @@
         idle.add(connection);
     }
 
-    /** Its attempt has ended, the end of the answer is awaited for so long: a worker must not keep it for good. */
+    /** Waits until a time for the end of the answer after the attempt has ended, so that a worker cannot hold a connection forever. */
     void awaitAnswerEnd(WorkerConnection connection, long until) {
         connection.state = WorkerConnection.State.AWAITING_END;
         awaitingEnd.add(connection);
-        connection.timer = timers.at(until, attempt -> close(connection, Reason.UNFINISHED));
+        connection.timer = timers.at(until, t -> close(connection, Reason.UNFINISHED));
     }
 
     private void cancelAnswerWait(WorkerConnection connection) {
@@ -110,7 +110,7 @@
         effects.add(new Effect.CloseWorker(connection.id));
     }
 
-    /** The connection is closed already. */
+    /** Removes a connection that is closed already. */
     void forget(WorkerConnection connection) {
         if (open.remove(connection.id) != null) {
             connection.worker.open--;
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Stops waiting for an attempt: its connection closes at once, before anything else can be sent. */
+    /** Gives up an attempt: closes its connection at once, so that nothing else is sent on it. */
     void drop(Attempt attempt) {
         timers.cancel(attempt.timer);
         attempt.connection.currentAttempt = null;
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Closes what has been idle for too long. */
+    /** Closes connections that have reached the idle timeout. */
     void sweep(Collection<Worker> workers, long now) {
         for (Worker worker : workers) {
             while (!worker.idle.isEmpty() && now - worker.idle.getLast().idleSince >= maxIdleUs) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Closes the longest idle connection, or else one whose attempt is over; false if all carry attempts. */
+    /** Closes the longest idle connection, or else one whose attempt is over; returns false if all carry attempts. */
     private boolean makeRoom() {
         LinkedHashSet<WorkerConnection> candidates = idle.isEmpty() ? awaitingEnd : idle;
         if (candidates.isEmpty()) {
--- a/src/main/java/granitefold/core/CoreContext.java
+++ b/src/main/java/granitefold/core/CoreContext.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the files of the core share: its parts, the time of the event in hand, and what is to happen for it. */
+/** State shared by the classes of the core: its components, the time of the current event, and the effects collected for it. */
 final class CoreContext {
     final Reducer.Bounds bounds;
     final Timers timers = new Timers();
@@ -15,20 +15,20 @@
     final ConnectionPool pool;
     final ClientConnections clients;
     final Map<Long, Worker> workers = new LinkedHashMap<>();
-    /** Outcomes of attempts that ended within a call of the module, which is told once that call is over. */
+    /** Ends of attempts that occur within a call of the module, reported to it after that call returns. */
     final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     Dispatcher module;
     AvailabilityMonitor availabilityMonitor;
     FiguresPublisher figuresPublisher;
-    /** Null where neither probes nor attempts are to say which workers look dead. */
+    /** Null if health checking of workers by probes and attempts is off. */
     WorkerHealth health;
-    /** Null where nothing outlives the process. */
+    /** Null if no state is saved. */
     StatePersistence statePersistence;
-    /** From then on answers close their connections. */
+    /** The end of service during a shutdown: from then on answers close their connections. */
     long listenUntil = Long.MAX_VALUE;
-    /** By then every request is to have its answer. */
+    /** When every request must have its final answer during a shutdown. */
     long answersDueAt = Long.MAX_VALUE;
-    /** By then what clients sent across our last words has been read. */
+    /** When the process stops reading from clients that have been told to close. */
     long closingEndsAt = Long.MAX_VALUE;
     long now;
 
--- a/src/main/java/granitefold/core/DiscoveryWatch.java
+++ b/src/main/java/granitefold/core/DiscoveryWatch.java
@@ -5,39 +5,39 @@
 import java.util.SplittableRandom;
 
 /**
- * The watch on discovery, on one clock. Whatever discovery has, and could be asked for, counts as told 6 s later, whether it
- * arrived or not. From any moment at which discovery can be reached again it takes at most {@link #SILENCE_TIMEOUT_US} until the call that
- * is out is given up, or {@link #MAX_BACKOFF_US} until the pause is over; a call that was out for longer than the pause is followed
- * by the next one at once. The last list stands meanwhile.
+ * Keeps a watch call to discovery open. A list that discovery offers is binding 6 s later, received or not. Once discovery is
+ * reachable again, it takes at most {@link #SILENCE_TIMEOUT_US} to give up the pending call, or {@link #MAX_BACKOFF_US} to end
+ * the backoff; a call that was open for longer than the backoff is followed by the next one at once. The last list is used
+ * meanwhile.
  */
 final class DiscoveryWatch {
-    /** Heartbeats come every 2 s; after this much silence the call is given up, whatever had become of it. */
+    /** A call without a message for this long is given up, in whatever state; heartbeats come every 2 s. */
     static final long SILENCE_TIMEOUT_US = 3_000_000;
-    /** The first and the longest time from one call to the next; by chance up to half of it less. */
+    /** The initial and the longest backoff between the starts of two calls; jitter shortens it by up to half. */
     static final long INITIAL_BACKOFF_US = 50_000, MAX_BACKOFF_US = 1_000_000;
 
     /**
-     * An agent that for so long has told nothing but lists of an older index does not lag behind, since what lags counts as
-     * told by then: discovery has begun anew, and counts from there.
+     * The longest time that an agent may lag behind, since a list is binding after it. An agent that sends only older versions for
+     * longer is not lagging: discovery has restarted its version count, which is accepted then.
      */
     private static final long MAX_LAG_US = 6_000_000;
 
     private enum State {
-        /** A call was made and nothing has come yet: it may be dialling, or wait for an answer. */
+        /** A call was started and nothing has been received: it is connecting or waits for an answer. */
         CALLED,
-        /** Words come. */
+        /** The call has received a message. */
         RECEIVING,
-        /** The next call is still to be made. */
+        /** No call is open; the next one starts when the backoff ends. */
         BACKING_OFF
     }
 
-    /** What is to be done with a list. */
+    /** How much of a message's list is applied. */
     enum ListAcceptance {
-        /** There is none, or it says nothing. */
+        /** Nothing: there is no list, or it is not credible. */
         IGNORED,
-        /** It is older than ours: who is told to drain there gets nothing new, and nobody is taken for up again. */
+        /** The list is older than the current one: workers that it drains get no new jobs, and none becomes ready again. */
         DRAINS_ONLY,
-        /** It is taken in. */
+        /** The whole list. */
         ACCEPTED
     }
 
@@ -50,10 +50,10 @@
     private long calledAt;
     private long lastReceivedAt;
     private long backoff = INITIAL_BACKOFF_US;
-    /** Whether the last list was not taken in whole; since when all were older than ours, or 0. */
+    /** Whether the last list was rejected; since when all lists were older than the current one, or 0. */
     private boolean rejecting;
     private long olderListsSince;
-    /** The end of a silence or of a pause. */
+    /** Ends the wait for a message or the backoff. */
     private Timers.Timer timer;
 
     DiscoveryWatch(String address, long version, long seed, Timers timers, List<Effect> effects) {
@@ -86,19 +86,19 @@
         } else if (now - lastReceivedAt < SILENCE_TIMEOUT_US) {
             enter(state, lastReceivedAt + SILENCE_TIMEOUT_US);
         } else {
-            // a cut link says nothing: only the missing heartbeats show it
+            // a broken link shows only by missing heartbeats
             effects.add(new Effect.CloseWatch());
             ended("silent", now);
         }
     }
 
-    /** A word has come, without news where {@code list} is null. */
+    /** A message was received; a heartbeat if {@code list} is null. */
     ListAcceptance received(WorkerList list, boolean workersKnown, long now) {
         lastReceivedAt = now;
         state = State.RECEIVING;
         boolean older = list != null && list.version() < version;
         if (olderListsSince != 0 && now - olderListsSince >= MAX_LAG_US && (list == null || older)) {
-            // from its first list on
+            // asks for the whole list under the new version count
             olderListsSince = 0;
             version = 0;
             effects.add(new Effect.CloseWatch());
@@ -109,12 +109,12 @@
             return ListAcceptance.IGNORED;
         }
         if (list.whole() && list.entries().isEmpty() && workersKnown) {
-            // nobody runs a fleet of none: what lost its own list, or has not read it yet, says this
+            // no fleet has zero workers: discovery has lost its list or not read it yet
             reject("empty");
             return ListAcceptance.IGNORED;
         }
         if (older) {
-            // an agent that lags behind, or one moved to: whom it takes for up may be told to drain by now
+            // a lagging agent, or one at a new address: workers it calls ready may be draining by now
             olderListsSince = olderListsSince == 0 ? now : olderListsSince;
             reject("older than " + version);
             return ListAcceptance.DRAINS_ONLY;
@@ -125,7 +125,7 @@
         return ListAcceptance.ACCEPTED;
     }
 
-    /** Logs the change of state, not each list. */
+    /** Logs the first of consecutive rejections. */
     private void reject(String reason) {
         if (!rejecting) {
             rejecting = true;
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Leaves the watch on the old address, which may be about to end, for one on the new, at once. */
+    /** Closes the watch on the old address, which may be about to shut down, and opens one on the new address at once. */
     void changeAddress(String newAddress, long now) {
         if (!newAddress.equals(address)) {
             address = newAddress;
@@ -143,13 +143,13 @@
         }
     }
 
-    /** The call has ended, or was given up. */
+    /** The call has ended or was given up; the next one follows after the backoff. */
     void ended(String reason, long now) {
         if (state == State.BACKING_OFF) {
             return;
         }
         effects.add(new Effect.Log(LogEvent.DISCOVERY_ENDED, reason));
-        // one that was heard for a while is no sign of trouble; one that ends as soon as it has spoken is
+        // the backoff is reset only by a call that was up for a while: one that ends right after a message is a failure
         backoff = state == State.RECEIVING && now - calledAt >= MAX_BACKOFF_US ? INITIAL_BACKOFF_US : backoff;
         long delay = backoff / 2 + random.nextLong(backoff / 2);
         backoff = Math.min(MAX_BACKOFF_US, backoff * 2);
--- a/src/main/java/granitefold/core/Effect.java
+++ b/src/main/java/granitefold/core/Effect.java
@@ -4,83 +4,83 @@
 import granitefold.logging.LogEvent;
 import granitefold.recovery.Learned;
 
-/** What the reducer asks the adapters to do, in this order. */
+/** What the reducer asks the adapters to do. They perform the effects of an event in order. */
 public sealed interface Effect {
 
-    /** Give a client connection its final answer; {@code close} it after that. */
+    /** Write the final answer to a client connection; {@code close}: close the connection after it. */
     record Answer(long client, FinalAnswer answer, boolean close) implements Effect { }
 
-    /** A client has taken too long over its request: tell it so, if it has sent any of it, and close. */
+    /** Time out a client whose request is incomplete: answer with an error if part of the request has arrived, then close. */
     record TimeOutClient(long client) implements Effect { }
 
-    /** Close a client connection, unless a request of it turns out to have come whole. */
+    /** Close a client connection, unless a whole request turns out to have arrived on it. */
     record CloseClient(long client, CloseReason reason) implements Effect { }
 
-    /** Open a connection to a worker; the core numbers it. */
+    /** Open a connection to a worker, under a number chosen by the core. */
     record ConnectWorker(long connection, String address) implements Effect { }
 
-    /** Go through all that has come to the sockets by now, then report {@link Event.SocketsPolled}. */
+    /** Read everything that has arrived at the sockets by now, then report {@link Event.SocketsPolled}. */
     record PollSockets(long connection) implements Effect {
-        /** On behalf of no connection. */
+        /** Instead of a connection: while waiting for the first list of discovery. */
         static final long NO_CONNECTION = -1;
-        /** On behalf of a planned end. */
+        /** Instead of a connection: during a graceful shutdown. */
         static final long SHUTDOWN = -2;
     }
 
     /**
-     * Write an attempt's request, which says how long the dispatcher will wait, as of the write; or report {@link Event.RequestNotSent}, if the client
-     * turns out to have gone.
+     * Write an attempt's request, with the time that the dispatcher will wait, as of the write; or report
+     * {@link Event.RequestNotSent} if the client turns out to have gone.
      */
     record SendRequest(long connection, long client, Payload payload, long expiresAt) implements Effect { }
 
     /** Close a worker connection; no event follows. */
     record CloseWorker(long connection) implements Effect { }
 
-    /** Open a watch on discovery, at this address, for what changed after a version. */
+    /** Open a watch on discovery at an address, for changes after a version. */
     record OpenWatch(String address, long version) implements Effect { }
 
-    /** Close the watch, if there is one; no event follows. */
+    /** Close the watch on discovery, if one is open; no event follows. */
     record CloseWatch() implements Effect { }
 
     /** Send a datagram to a sibling. */
     record SendToSibling(int sibling, byte[] message) implements Effect { }
 
-    /** Report {@link Event.Woken} at a time; replaces the one asked for before. */
+    /** Report {@link Event.Woken} at a time; replaces the time requested before. */
     record WakeAt(long at) implements Effect { }
 
-    /** Take in what has connected by now, then close the listener; report {@link Event.ListenerClosed}. */
+    /** Accept the connections that are pending, then close the listener and report {@link Event.ListenerClosed}. */
     record StopListening() implements Effect { }
 
-    /** Tell clients that rest between two requests that no more is read, then read their connections out. */
+    /** Half-close client connections that are idle between two requests, then read them to their end. */
     record HalfCloseIdleClients() implements Effect { }
 
-    /** The same for all clients that have been answered before; who has sent a part of a request is told that it is rejected. */
+    /** Half-close all client connections that have carried a request and are owed no answer; reject requests that have arrived in part. */
     record HalfCloseAllClients() implements Effect { }
 
-    /** Leave the siblings' datagrams to another process of this dispatcher. */
+    /** Close the socket for the siblings' datagrams: another process of this dispatcher receives them. */
     record CloseSiblingSocket() implements Effect { }
 
-    /** All is done: flush what is being written, then end the process. */
+    /** Flush what is being written, then end the process. */
     record Stop() implements Effect { }
 
     /** Write an event to the log. */
     record Log(LogEvent event, Object... values) implements Effect { }
 
-    /** Measure the process and report {@link Event.ResourcesSampled}. */
+    /** Sample the resource usage of the process and report {@link Event.ResourcesSampled}. */
     record SampleResources() implements Effect { }
 
-    /** Tell balancers and operators how the dispatcher stands. */
+    /** Publish the status to balancers and operators. */
     record PublishReport(StatusReport report) implements Effect { }
 
-    /** Show these figures to whoever asks. */
+    /** Publish figures for commands and scrapers to read. */
     record PublishFigures(Figures figures) implements Effect { }
 
-    /** Keep what was learned, where it outlives the process. */
+    /** Save the learned state for the next process. */
     record SaveState(Learned learned) implements Effect { }
 
     /** Probe a worker and report {@link Event.ProbeEnded}. */
     record StartProbe(long worker, String address) implements Effect { }
 
-    /** A probe has taken too long: close it; no event follows. */
+    /** Close a probe that is no longer needed or has timed out; no event follows. */
     record CancelProbe(long worker) implements Effect { }
 }
--- a/src/main/java/granitefold/core/Event.java
+++ b/src/main/java/granitefold/core/Event.java
@@ -4,40 +4,40 @@
 import granitefold.availability.Wish;
 import granitefold.recovery.Learned;
 
-/** What the adapters report to the reducer. Connections go by numbers: clients' by theirs, workers' by the core's. */
+/** What the adapters report to the reducer. The adapters number client connections, the core numbers worker connections. */
 public sealed interface Event {
 
-    /** The sockets are open: {@code known} is the list of a former life, maybe old. */
+    /** The sockets are open. {@code known} is the saved worker list of a previous process, possibly outdated. */
     record SocketsOpened(WorkerList known, String discovery) implements Event { }
 
     /** A client has connected. */
     record ClientConnected(long client) implements Event { }
 
-    /** On a client connection that was kept, a next request has begun to come. */
+    /** The first bytes of another request have arrived on a kept client connection. */
     record RequestStarted(long client) implements Event { }
 
-    /** A client connection has brought more of a request, but not its end. */
+    /** More of a request has arrived on a client connection, but not its end. */
     record RequestContinued(long client) implements Event { }
 
-    /** A client connection has brought a whole request, which may have waited unread for so long: its client's time runs since it was sent. */
+    /** A whole request has arrived on a client connection. It waited unread for {@code unreadUs}, which counts against its client's deadline. */
     record RequestArrived(long client, Submission submission, long unreadUs) implements Event {
         public RequestArrived(long client, Submission submission) {
             this(client, submission, 0);
         }
     }
 
-    /** A client connection has brought something that needs no decision, and the adapter is answering it. */
+    /** A client has sent something that needs no decision; the adapter answers it. */
     record AnsweredLocally(long client) implements Event { }
 
-    /** An answer is out; {@code last}: the client was told to close. */
+    /** An answer has been written; {@code last}: it told the client to close. */
     record AnswerWritten(long client, boolean last) implements Event { }
 
-    /** An idle client was told that no more is read: what it still sends is thrown away. */
+    /** An idle client connection was half-closed: what the client still sends is discarded. */
     record ClientHalfClosed(long client) implements Event { }
 
-    /** A client connection is gone, whoever ended it. */
+    /** A client connection was closed by either side. */
     record ClientClosed(long client, CloseReason reason) implements Event {
-        /** By the client. */
+        /** Closed by the client. */
         public ClientClosed(long client) {
             this(client, CloseReason.CLIENT);
         }
@@ -46,67 +46,67 @@
     /** A worker connection is up. */
     record WorkerConnected(long connection) implements Event { }
 
-    /** Whatever had come when {@link Effect.PollSockets} was asked for has been reported. */
+    /** Everything that had arrived when {@link Effect.PollSockets} was requested has been reported. */
     record SocketsPolled(long connection) implements Event { }
 
-    /** Nothing of an attempt's request was written, since its client has gone: {@link ClientClosed} was reported before. */
+    /** Nothing of an attempt's request was written because its client has gone; {@link ClientClosed} was reported before. */
     record RequestNotSent(long connection) implements Event { }
 
     /** The last byte of an attempt's request has been written. */
     record RequestWritten(long connection) implements Event { }
 
-    /** A worker has said something about the attempt on a connection. */
+    /** A worker has reported on the attempt that a connection carries. */
     record AttemptUpdated(long connection, AttemptUpdate update) implements Event { }
 
-    /** A worker's whole answer has been read, to its end; {@code reusable}: the connection may carry another. */
+    /** A worker's answer has been read to its end; {@code reusable}: the connection may carry another request. */
     record WorkerAnswerEnded(long connection, boolean reusable) implements Event { }
 
-    /** A worker connection has closed, broken, or never came up; {@code reason}: for the log. */
+    /** A worker connection was closed, has broken, or could not be opened; {@code reason} is for the log. */
     record WorkerClosed(long connection, String reason) implements Event {
         public WorkerClosed(long connection) {
             this(connection, "closed");
         }
     }
 
-    /** Discovery has sent a list, or only a sign of life ({@code list} is null). */
+    /** Discovery has sent a list, or a heartbeat ({@code list} is null). */
     record WatchUpdated(WorkerList list) implements Event { }
 
-    /** The watch has ended. */
+    /** The watch on discovery has ended. */
     record WatchEnded(String reason) implements Event { }
 
-    /** The configuration was read anew: discovery is found at this address from now on. */
+    /** The configuration was reloaded and names another address of discovery. */
     record DiscoveryAddressChanged(String address) implements Event { }
 
-    /** A sibling's datagram. */
+    /** A sibling has sent a datagram. */
     record SiblingMessage(int from, byte[] message) implements Event { }
 
-    /** The program was told to end; {@code takenOver}: another process of this dispatcher serves at its addresses. */
+    /** The process was asked to shut down; {@code takenOver}: another process of this dispatcher serves at its addresses. */
     record ShutdownRequested(boolean takenOver) implements Event { }
 
     /**
-     * All that had connected was taken in and read, and the listener is closed; not {@code emptied}: some of it could not be accepted
+     * All pending connections were accepted and read, and the listener is closed; not {@code emptied}: some could not be accepted
      * yet, and the listener stays open.
      */
     record ListenerClosed(boolean emptied) implements Event { }
 
-    /** The process was measured. */
+    /** The resource usage of the process was sampled. */
     record ResourcesSampled(ResourceUsage resources) implements Event { }
 
-    /** An operator has asked for something. */
+    /** An operator has requested a mode of availability. */
     record ModeRequested(Wish mode) implements Event { }
 
-    /** The operator's file was read anew, with other figures. */
+    /** The operator's file was reloaded with other availability settings. */
     record AvailabilitySettingsChanged(AvailabilitySettings settings) implements Event { }
 
-    /** What a former life learned has been read. */
+    /** The saved state of a previous process has been read. */
     record StateRecovered(Learned learned) implements Event { }
 
-    /** The process that served before this one passes on what it learned a moment ago. */
+    /** The process that this one replaces has handed over its learned state. */
     record StateInherited(Learned learned) implements Event { }
 
-    /** A probe of a worker has come to its end. */
+    /** A probe of a worker has ended. */
     record ProbeEnded(long worker, boolean healthy, String reason) implements Event { }
 
-    /** A time asked for by {@link Effect.WakeAt} has come. */
+    /** The time requested by {@link Effect.WakeAt} has come. */
     record Woken() implements Event { }
 }
--- a/src/main/java/granitefold/core/FiguresPublisher.java
+++ b/src/main/java/granitefold/core/FiguresPublisher.java
@@ -5,9 +5,9 @@
 import granitefold.figures.Tally;
 import java.util.List;
 
-/** Keeps the figures and publishes them at an interval. Where nobody may ask for them it does nothing. */
+/** Counts the figures and publishes them at an interval. Does nothing if nobody can request them. */
 final class FiguresPublisher {
-    /** Figures may be half a second old when they are read. */
+    /** Well below the half second that figures may be old when they are read. */
     static final long INTERVAL_US = 100_000;
 
     private final Reducer reducer;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Tells how things stand now, out of turn where something of weight has changed. */
+    /** Publishes the current figures, also between intervals after an important change. */
     void publish() {
         if (tally != null) {
             Dispatcher.Choice choice = reducer.choice();
--- a/src/main/java/granitefold/core/FinalAnswer.java
+++ b/src/main/java/granitefold/core/FinalAnswer.java
@@ -5,22 +5,22 @@
 /** The one final answer that a request context is owed. */
 public sealed interface FinalAnswer {
 
-    /** Served, with the result that a worker made for this request. */
+    /** Served, with the worker's result for this request. */
     record Served(byte[] result) implements FinalAnswer { }
 
-    /** A reject: trying again does no harm, best after {@code retryAfterUs} (0: no advice). */
+    /** Rejected: a retry is safe, preferably after {@code retryAfterUs} (0: no advice). */
     record Rejected(long retryAfterUs, Refusal reason) implements FinalAnswer {
         private static final long DEFAULT_RETRY_AFTER_US = 1_000_000;
 
-        /** For a reject that is no decision of the module's. */
+        /** Creates a reject that the decision module did not decide on. */
         public static Rejected withDefaultRetry(Refusal reason) {
             return new Rejected(DEFAULT_RETRY_AFTER_US, reason);
         }
     }
 
-    /** Not taken in: its id is that of a request that is still open. */
+    /** Not accepted: another request with the same id is still open. */
     record Duplicate() implements FinalAnswer { }
 
-    /** Failed; promises nothing. {@code late}: the client's time ran out. */
+    /** Failed: whether the job ran is not known. {@code late}: the client's deadline has passed. */
     record Failed(boolean late) implements FinalAnswer { }
 }
--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -3,36 +3,36 @@
 import granitefold.logging.LogEvent;
 
 /**
- * The phases of a process, and the one order in which a planned end goes through them. A step is over when what it had to bring
- * up has been seen, never because its time has passed: after a pause all times are over at once, and the sockets still hold what
- * came meanwhile.
+ * The phases of a process and the order in which a graceful shutdown passes through them. A phase ends only after the sockets have
+ * been read, never on a timer alone: after a pause of the process all timers are due at once, while the sockets still hold
+ * what arrived meanwhile.
  *
  * <pre>
- * DRAINING   the listener is closed once its queue is empty; resting clients are shut; what had come by then is read
- * FINISHING  each request taken gets its final answer, at the latest 0.4 s before the process may be killed
- * CLOSING    clients read their answers; what still comes is rejected
- * STOPPED    what had come to the sockets has been read, and nothing is owed
+ * DRAINING   the listener is closed once its backlog is empty; idle clients are half-closed; what had arrived by then is read
+ * FINISHING  each accepted request gets its final answer, at the latest 0.4 s before the process may be killed
+ * CLOSING    clients read their answers; further requests are rejected
+ * STOPPED    everything in the sockets has been read, and no answer is owed
  * </pre>
  */
 final class Lifecycle {
-    /** What clients sent to a connection that is shut comes in so much later at the most. */
+    /** The longest time that data sent by a client before it saw the half-close can take to arrive. */
     static final long IN_FLIGHT_US = 100_000;
-    /** A listener whose queue could not be emptied is tried again after this. */
+    /** The time after which closing the listener is retried if its backlog could not be emptied. */
     static final long LISTENER_RETRY_US = 10_000;
 
     private final CoreContext core;
     private final Requests requests;
     private final SiblingTracker siblings;
     private final ShutdownSchedule schedule;
-    /** Hands in requests that still wait for discovery's first word. */
+    /** Passes on the requests that still wait for the first list of discovery. */
     private final Runnable submitEarlyRequests;
     private Phase phase = Phase.STARTING;
-    /** Another process of this dispatcher serves: this one ends once its clients have gone over. */
+    /** Another process of this dispatcher serves: this one ends once its clients have moved to it. */
     private boolean takenOver;
     private boolean listenerClosed;
-    /** Resting clients were shut, and the time for what they sent before is over. */
+    /** Idle clients were half-closed, and the time for data still in flight from them has passed. */
     private boolean clientsHalfClosed;
-    /** Since then all that had come to the sockets was read. */
+    /** The sockets were read completely after that. */
     private boolean clientsRead;
     private boolean polling;
 
@@ -55,7 +55,7 @@
         core.figuresPublisher.publish();
     }
 
-    /** A worker is known, or there is none to be known for now. */
+    /** Starts to serve: a worker is known, or none can be learned of for now. */
     void serve() {
         if (phase == Phase.STARTING) {
             enter(Phase.SERVING);
@@ -63,13 +63,13 @@
     }
 
     /**
-     * A planned end: clients are served on for a moment, or where no sibling is there to take them over for as long as jobs can
-     * still be done. Then the listener and idle connections go, and what is left open shortly before the process may be killed
-     * gets its final answer.
+     * Starts a graceful shutdown. If a sibling can take over the clients, they are served for a moment longer; otherwise for as
+     * long as jobs can still finish. Then the listener and idle connections are closed, and requests that are open shortly before
+     * the process may be killed get their final answer.
      *
-     * <p>Where another process of this dispatcher serves at the same address, the listener goes at once, so that every new
-     * connection is the other's. Clients that have one are sent over by what they are answered, since closing it might cross a
-     * request.
+     * <p>If another process of this dispatcher serves at the same address, the listener is closed at once, so that every new
+     * connection goes to that process. Connected clients are told to close by their next answer, since closing an idle connection
+     * could cross a request on its way.
      */
     void shutdownRequested(boolean anotherServes) {
         if (phase.compareTo(Phase.DRAINING) >= 0) {
@@ -105,7 +105,7 @@
         requests.giveUpAll();
     }
 
-    /** Asks for all that has come to the sockets by now. */
+    /** Requests a read of everything that the sockets hold by now. */
     private void pollSockets() {
         if (!polling) {
             polling = true;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** All that had come to the sockets when that was asked for has been read. */
+    /** Everything that the sockets held at {@link #pollSockets} has been read. */
     void socketsPolled() {
         polling = false;
         clientsRead |= clientsHalfClosed;
@@ -123,7 +123,7 @@
         }
     }
 
-    /** The listener's queue was taken in and the listener closed; or not all of it could be. */
+    /** The listener's backlog was accepted and the listener closed; not {@code emptied}: part of the backlog could not be accepted. */
     void listenerClosed(boolean emptied) {
         listenerClosed = emptied;
         if (!emptied) {
@@ -135,7 +135,7 @@
         return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closingEndsAt);
     }
 
-    /** Goes on to the next phase where all that the present one owes has been done; after each event. */
+    /** Enters the next phase if the current one has nothing left to do. Called after each event. */
     void advance() {
         if (phase == Phase.DRAINING && takenOver && listenerClosed && !clientsHalfClosed && core.clients.size() == 0) {
             readRemaining();
@@ -147,7 +147,7 @@
             enter(Phase.CLOSING);
             core.guard.close();
             if (core.statePersistence != null) {
-                // no more is learned: the disk has until the end of the process for it
+                // nothing more is learned from here on, and the write has the rest of the process's time to finish
                 core.statePersistence.save(core.now);
             }
             core.effects.add(new Effect.HalfCloseAllClients());
--- a/src/main/java/granitefold/core/ModuleActions.java
+++ b/src/main/java/granitefold/core/ModuleActions.java
@@ -3,7 +3,7 @@
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.Outcome;
 
-/** The module's actions. */
+/** Carries out the actions of the decision module. */
 final class ModuleActions implements Dispatcher.Actions {
     private final CoreContext core;
     private final Requests requests;
@@ -65,6 +65,6 @@
 
     @Override
     public void watch() {
-        // discovery pushes: the watch is always open
+        // the watch on discovery is always open
     }
 }
--- a/src/main/java/granitefold/core/OptionalFeatures.java
+++ b/src/main/java/granitefold/core/OptionalFeatures.java
@@ -4,18 +4,18 @@
 import granitefold.health.HealthSettings;
 import granitefold.recovery.AgeingSettings;
 
-/** What an operator's file adds to the core, each part null where it is off; {@code figures}: they are kept;
- * {@code trace}: what becomes of each request and connection is logged. */
+/** Features that an operator's file enables; those of the first three that are off are null. {@code figures}: figures are
+ * counted and published; {@code trace}: the course of each request and connection is logged. */
 public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean figures,
         boolean trace) {
-    /** What was learned is to outlive the process: it is given out at this interval, in microseconds. */
+    /** Saving of the learned state, at an interval in microseconds; {@code ageing} adapts it when it is restored. */
     public record Persistence(long intervalUs, AgeingSettings ageing) { }
 
-    /** The same with or without figures. */
+    /** Returns a copy with figures on or off. */
     public OptionalFeatures withFigures(boolean on) {
         return new OptionalFeatures(availability, health, persistence, on, trace);
     }
 
-    /** Nothing: no timer, no state, no effect. */
+    /** All features off: they cause no timers, state or effects. */
     public static final OptionalFeatures NONE = new OptionalFeatures(null, null, null, false, false);
 }
--- a/src/main/java/granitefold/core/Payload.java
+++ b/src/main/java/granitefold/core/Payload.java
@@ -1,4 +1,4 @@
 package granitefold.core;
 
-/** What an adapter needs to pass a request on to a worker in its own protocol; the core never looks inside. */
+/** What an adapter needs to forward a request to a worker in its own protocol; opaque to the core. */
 public interface Payload { }
--- a/src/main/java/granitefold/core/Phase.java
+++ b/src/main/java/granitefold/core/Phase.java
@@ -2,16 +2,16 @@
 
 /** The program's phases, in their order. */
 public enum Phase {
-    /** No worker is known: waiting for the first word of discovery; requests are taken already. */
+    /** No worker is known yet: waits for the first list of discovery; requests are accepted already. */
     STARTING,
-    /** Ready: health checks say so. */
+    /** In service; health checks report ready. */
     SERVING,
-    /** Told to end: clients are served on for a while, since most have nowhere better to go. */
+    /** Shutting down: clients are served a while longer, since most have no better dispatcher to go to. */
     DRAINING,
-    /** The listener is closed: what is open gets its final answer. */
+    /** The listener is closed; open requests get their final answers. */
     FINISHING,
-    /** All is answered, and clients were told so: what they sent across that is read and thrown away, lest it cost them the answer. */
+    /** All requests are answered and clients told to close; data still in flight is read and discarded, since a reset would destroy the answer. */
     CLOSING,
-    /** Nothing is owed to anybody: the process may end. */
+    /** Nothing is left to do: the process may end. */
     STOPPED
 }
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -14,16 +14,16 @@
 import java.util.function.LongConsumer;
 
 /**
- * All state of a dispatcher and all changes to it: an event and the time go in, effects come out. It turns events
- * into the module's and the module's actions into effects, and it keeps the rules that need no decision: one final
- * answer for each request context by its deadline, and never two attempts of one out at once. Not thread-safe.
+ * Holds all state of a dispatcher and changes it: takes an event and the current time, returns effects. It passes events
+ * to the decision module, turns the module's actions into effects, and enforces the rules that need no decision: one final
+ * answer for each request context by its deadline, and at most one running attempt of a context. Not thread-safe.
  */
 public final class Reducer {
-    /** With no worker known, the program starts to serve after this, if discovery has sent no word before. */
+    /** Without a known worker the process starts to serve after this time, unless discovery sends a list earlier. */
     static final long START_TIMEOUT_US = 500_000;
     /**
-     * The agent of discovery is on this machine and answers at once, and what it has counts as told from the first moment of a
-     * process. So long at the most requests wait for its first word; while discovery is down it has none.
+     * The longest time that requests wait for the first message of discovery. Its agent runs on this machine and answers at once,
+     * and its list binds a process from the start; while discovery is down no message comes.
      */
     static final long FIRST_LIST_TIMEOUT_US = 200_000;
     private static final long SWEEP_INTERVAL_US = 500_000;
@@ -37,15 +37,15 @@
     private final Lifecycle lifecycle;
     private final long seed;
     private final SiblingTracker siblings;
-    /** Discovery has spoken, or the wait for its first word is over. */
+    /** Whether discovery has sent its first message, or the wait for it has timed out. */
     private boolean listKnown;
-    /** Requests that came before. */
+    /** Requests that arrived before {@link #listKnown}, by client. */
     private final Map<Long, EarlyRequest> early = new LinkedHashMap<>();
     private long wakeAt = Long.MAX_VALUE;
 
     private record EarlyRequest(Submission submission, long at) { }
 
-    /** The limits that the settings for the module don't carry. */
+    /** Limits that are not part of the decision module's settings. */
     public record Bounds(int clientConnections, int requests, int workerConnections, long connectTimeoutUs,
             long idleCloseUs) { }
 
@@ -75,7 +75,7 @@
         return lifecycle.phase();
     }
 
-    // ---------------------------------------------------------------- what the dispatcher says of itself
+    // ---------------------------------------------------------------- status
     Dispatcher.Pressure pressure() {
         return core.module.pressure(core.now);
     }
@@ -84,7 +84,7 @@
         return core.module.choice(core.now);
     }
 
-    /** Whether this process can serve, as far as it knows. */
+    /** Whether the process is serving, with the first list of discovery received or given up on. */
     boolean ready() {
         return phase() == Phase.SERVING && listKnown;
     }
@@ -101,7 +101,7 @@
         return requests.owed() + early.size();
     }
 
-    /** So long after the word to end the process ends, whatever is left. */
+    /** Returns the time after the shutdown request at which the process ends at the latest. */
     public long shutdownTimeoutUs() {
         return shutdownSchedule.shutdownTimeoutUs();
     }
@@ -118,17 +118,17 @@
         return watch == null ? 0 : watch.version();
     }
 
-    /** What the module has learned, as of the last event. */
+    /** Returns what the module has learned, as of the last event. */
     public Learned learned() {
         return core.module.learned(core.now);
     }
 
-    /** What the event in hand has asked for so far: where taking it in has failed, that is still to be done. */
+    /** Returns the effects of the current event so far. They remain to be performed if {@link #reduce} has thrown. */
     public List<Effect> pendingEffects() {
         return Collections.unmodifiableList(core.effects);
     }
 
-    /** Takes one event in; returns the effects it asks for, in order, in a list that stands until the next call. */
+    /** Processes one event and returns its effects in order, in a list that is valid until the next call. */
     public List<Effect> reduce(Event event, long time) {
         core.now = Math.max(core.now, time);
         core.effects.clear();
@@ -246,10 +246,10 @@
         watch = new DiscoveryWatch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
-            // a start after a planned end or a crash: clients wait for it, and the last list is as good as it was
+            // after a restart clients are waiting, and the saved list is the best one available
             lifecycle.serve();
         }
-        // a busy loop, as after a start, may have it in its sockets by then
+        // the event loop is busy after a start: the list may have arrived by then but not have been read
         core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_LIST_TIMEOUT_US : START_TIMEOUT_US),
                 t -> core.effects.add(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)));
         sweep(core.now);
@@ -262,7 +262,7 @@
         }
     }
 
-    /** There is no better list to be had for now. */
+    /** Starts to serve: the first list has been received, or no better one is available for now. */
     private void listKnown() {
         boolean first = !listKnown;
         listKnown = true;
@@ -278,7 +278,7 @@
         early.clear();
     }
 
-    /** Holds a request until discovery's first word, or until there is only the time left for its answer. */
+    /** Holds a request until the first list is known, or until only the time to write its answer is left. */
     private void holdUntilFirstList(long client, EarlyRequest request) {
         early.put(client, request);
         long until = request.at() + request.submission().remainingUs() - Requests.ANSWER_MARGIN_US;
--- a/src/main/java/granitefold/core/RequestContext.java
+++ b/src/main/java/granitefold/core/RequestContext.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was taken in and is owed one final answer. */
+/** An accepted request, which is owed one final answer. */
 final class RequestContext {
-    /** The module's id of it: our own count, since those ids are bounded and never repeat. */
+    /** The module's id of the request: a counter of the core, since those ids must be bounded and unique. */
     final long id;
     final long client;
     final Submission submission;
-    /** When the client gives up, and the earlier time by which the module and its attempts are to be done. */
+    /** When the client gives up, and the earlier deadline for the module and its attempts. */
     final long deadline;
     final long moduleDeadline;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Answers it shortly before its deadline, whatever keeps the module. */
+    /** Answers the request shortly before its deadline if the module has not. */
     Timers.Timer timer;
     boolean finished;
 
@@ -25,7 +25,7 @@
         this.moduleDeadline = moduleDeadline;
     }
 
-    /** No attempt is out, and none ended without proof that it never ran. */
+    /** Returns whether no attempt is running, and all ended ones are known never to have run. */
     boolean neverRan() {
         return attempts.stream().allMatch(t -> t.outcome != null && t.outcome.neverRan());
     }
--- a/src/main/java/granitefold/core/RequestTrace.java
+++ b/src/main/java/granitefold/core/RequestTrace.java
@@ -4,7 +4,7 @@
 import granitefold.logging.LogEvent;
 import java.util.List;
 
-/** Logs what becomes of each request, attempt and connection, by the ids that clients gave, where the operator asks for it. */
+/** Logs the course of each request (by its client's id), attempt and connection, if the operator has enabled it. */
 final class RequestTrace {
     private final boolean on;
     private final List<Effect> effects;
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -12,13 +12,13 @@
 
 /** The request contexts: each is owed one final answer by its deadline. */
 final class Requests {
-    /** The client's clock runs since it sent the request; so much of its time is kept for the way back. */
+    /** The part of a client's time that is reserved for the transmission of its answer. */
     static final long ANSWER_MARGIN_US = 20_000;
 
     private final CoreContext core;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
     private final Map<Long, RequestContext> owed = new LinkedHashMap<>();
-    /** The names that clients gave to the requests in {@link #contexts}. */
+    /** The client's ids of the requests in {@link #contexts}. */
     private final Set<String> names = new HashSet<>();
     private long lastId;
 
@@ -30,7 +30,7 @@
         return contexts.get(id);
     }
 
-    /** Those that have no final answer yet. */
+    /** Returns the number of requests without a final answer. */
     int owed() {
         return owed.size();
     }
@@ -39,7 +39,7 @@
         List.copyOf(owed.values()).forEach(this::giveUp);
     }
 
-    /** One that came at a time, which its own time is counted from. */
+    /** A request has arrived at time {@code at}, from which its remaining time is counted. */
     void arrived(long client, Submission submitted, long at) {
         if (!core.guard.mayAccept()) {
             reply(client, submitted, FinalAnswer.Rejected.withDefaultRetry(Refusal.ENDING));
@@ -51,22 +51,23 @@
         }
         long blockedForUs = core.statePersistence == null ? 0 : core.statePersistence.blockedForUs(submitted, core.now);
         if (blockedForUs > 0) {
-            // a former life of ours may have sent it: by the end of its window a repeat is a job of its own
+            // a previous process may have sent it; once its deduplication window is over, a repeat is a job of its own
             reply(client, submitted, new FinalAnswer.Rejected(blockedForUs, Refusal.FORMER_PROCESS));
             return;
         }
         if (!names.add(submitted.name())) {
-            // an answer or a cancel for one of the two would be taken for the other's
+            // an answer to or a cancel of one of the two could not be told from that of the other
             reply(client, submitted, new FinalAnswer.Duplicate());
             return;
         }
         long deadline = Math.min(at + submitted.remainingUs(), core.answersDueAt);
-        RequestContext context = new RequestContext(++lastId, client, submitted, deadline, Math.max(core.now, deadline - ANSWER_MARGIN_US));
+        RequestContext context = new RequestContext(++lastId, client, submitted, deadline,
+                Math.max(core.now, deadline - ANSWER_MARGIN_US));
         contexts.put(context.id, context);
         owed.put(client, context);
         core.trace.taken(context, core.now);
-        context.timer = core.timers.at(context.deadline - ANSWER_MARGIN_US / 4, attempt -> {
-            // the module has answered long before; whatever keeps it, the client gets its answer
+        context.timer = core.timers.at(context.deadline - ANSWER_MARGIN_US / 4, t -> {
+            // normally the module has answered long before; this guarantees an answer in any case
             giveUp(context);
         });
         core.module.requested(core.now, new Dispatcher.Request(context.id, submitted.jobClass(), submitted.tenant(), context.moduleDeadline - core.now,
@@ -105,7 +106,7 @@
         core.effects.add(new Effect.Answer(client, answer, core.now >= core.listenUntil || core.availabilityMonitor.closesClients()));
     }
 
-    /** Ends a context without the module: a reject where nothing ran, else failed. */
+    /** Ends a request without a decision of the module: rejected if it never ran, else failed. */
     void giveUp(RequestContext context) {
         for (Attempt attempt : context.attempts) {
             if (attempt.outcome == null) {
@@ -114,7 +115,8 @@
                 core.module.ended(core.now, context.id, attempt.number, true, attempt.outcome, null);
             }
         }
-        answer(context, context.neverRan() ? FinalAnswer.Rejected.withDefaultRetry(Refusal.TIME) : new FinalAnswer.Failed(core.now >= context.moduleDeadline));
+        answer(context, context.neverRan() ? FinalAnswer.Rejected.withDefaultRetry(Refusal.TIME)
+                : new FinalAnswer.Failed(core.now >= context.moduleDeadline));
         core.module.expired(core.now, context.id);
         forget(context);
     }
--- a/src/main/java/granitefold/core/ResourceUsage.java
+++ b/src/main/java/granitefold/core/ResourceUsage.java
@@ -1,12 +1,12 @@
 package granitefold.core;
 
 /**
- * What the adapters measure of the process itself; shares lie in 0 .. 1.
+ * Resource usage of the process, as sampled by the adapters; shares are between 0 and 1.
  *
- * @param heapShare heap still in use after its last collection
- * @param descriptorShare descriptors taken of those allowed
- * @param cpuShare processor time used of that allowed
- * @param lagUs the most that the loop came late to a wake-up since the last sample, in microseconds
+ * @param heapShare share of the heap in use after the last garbage collection
+ * @param descriptorShare share of the allowed descriptors in use
+ * @param cpuShare share of the allowed processor time used
+ * @param lagUs the longest delay of a wake-up of the event loop since the last sample, in microseconds
  */
 public record ResourceUsage(double heapShare, double descriptorShare, double cpuShare, long lagUs) {
     static final ResourceUsage UNKNOWN = new ResourceUsage(0, 0, 0, 0);
--- a/src/main/java/granitefold/core/ShutdownSchedule.java
+++ b/src/main/java/granitefold/core/ShutdownSchedule.java
@@ -4,20 +4,22 @@
 import java.util.List;
 
 /**
- * The times of a planned end, counted from the word to end. The platform kills a process no sooner than the longest deadline,
- * which counts as 3 s where it is longer, plus 0.7 s after that word: with short deadlines there is less time than with long ones.
+ * Times of a graceful shutdown in microseconds, counted from the shutdown request. The platform kills a process no sooner than the
+ * longest deadline of its job classes, capped at 3 s, plus 0.7 s: short deadlines leave less time than long ones.
+ *
+ * @param killAfterUs the earliest time at which the process may be killed
  */
 record ShutdownSchedule(long killAfterUs) {
     private static final long MAX_DEADLINE_US = 3_000_000, GRACE_US = 700_000;
-    /** After the word new connections still come for up to 0.4 s; then clients can go over to a sibling. */
+    /** New connections arrive for up to 0.4 s after the request; after that, clients connect to a sibling. */
     private static final long HAND_OVER_US = 600_000;
-    /** A process may be held up for so long between reading its clock and acting on it. */
+    /** The longest stall of a process between reading its clock and acting on it. */
     private static final long MAX_STALL_US = 150_000;
-    /** Between the last answers and the kill: held up when the word came, held up again as they are written, and the way. */
+    /** From the last answers to the kill: a stall at the request, another one as answers are written, and their transmission. */
     private static final long ANSWER_MARGIN_US = 2 * MAX_STALL_US + 100_000;
-    /** Between the end of service and the last answers: so long may jobs that have just been sent still take. */
+    /** From the end of service to the last answers: the time left for jobs that have just been sent. */
     private static final long LAST_JOBS_US = 250_000;
-    /** Clients read their answers until so long before the kill. */
+    /** Clients can read their answers until this long before the kill. */
     private static final long READ_MARGIN_US = 100_000;
 
     static ShutdownSchedule of(List<JobClass> classes) {
@@ -25,27 +27,27 @@
         return new ShutdownSchedule(GRACE_US + (longest > 0 ? Math.min(MAX_DEADLINE_US, longest) : MAX_DEADLINE_US));
     }
 
-    /** For so long clients are served where siblings are there to take them over. */
+    /** Returns how long clients are served if a sibling can take them over. */
     long handOverUs() {
         return Math.min(HAND_OVER_US, serveAloneUs());
     }
 
-    /** Where there is no sibling, clients are served for so long on the connections they have. */
+    /** Returns how long clients are served if no sibling can take them over. */
     long serveAloneUs() {
         return finishUs() - LAST_JOBS_US;
     }
 
-    /** What is open by then gets its answer. */
+    /** Returns when open requests get their final answer. */
     long finishUs() {
         return killAfterUs - ANSWER_MARGIN_US;
     }
 
-    /** What clients sent across our last words has been read by then, as far as it ever will be. */
+    /** Returns when the process stops reading what clients sent before they saw their connection close. */
     long closeUs() {
         return killAfterUs - READ_MARGIN_US;
     }
 
-    /** The process ends by then, whatever is left. */
+    /** Returns when the process ends at the latest. */
     long shutdownTimeoutUs() {
         return killAfterUs;
     }
--- a/src/main/java/granitefold/core/SiblingTracker.java
+++ b/src/main/java/granitefold/core/SiblingTracker.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /**
- * Which siblings are up, by the words that they send anyway. One that was told to end says so, three times lest it be lost, and
- * counts no more until it may have been started anew: it goes on sending words for its last jobs, and who took it for company
- * sent clients to a closed door when its own end came next.
+ * Tracks which siblings are up by the gossip that they send. A sibling that shuts down announces it, three times in case datagrams
+ * are lost, and is not up until it may have been restarted: it goes on gossiping for its last jobs, and a dispatcher that counted
+ * it as up would send clients to a closed listener during its own shutdown.
  */
 final class SiblingTracker {
-    /** A sibling that was heard so lately is up. */
+    /** A sibling is up for this long after a message. */
     static final long UP_WINDOW_US = 1_000_000;
     private static final long REPEAT_INTERVAL_US = 100_000;
     private static final int REPEATS = 3;
-    /** No message of the module begins so, and versions that do not know this one ignore it. */
+    /** The announcement. No message of the module starts like this, and older versions ignore it. */
     private static final byte[] LEAVING = {'L', 'V', 1};
 
-    /** How long one that leaves may still send words: by then it is killed. */
+    /** How long a leaving sibling can still gossip: it is killed by then. */
     private final long leavingTimeoutUs;
     private final boolean enabled;
     private final int self;
@@ -38,7 +38,7 @@
         this.effects = effects;
     }
 
-    /** A word has come; true if it was for this class alone. */
+    /** Handles a message; returns true if it is an announcement, which the module does not get. */
     boolean received(int from, byte[] message, long now) {
         if (Arrays.equals(message, LEAVING)) {
             leftAt.put(from, now);
@@ -50,13 +50,13 @@
         return false;
     }
 
-    /** Whether a sibling is up that can take clients over. */
+    /** Whether any sibling is up that can take over clients. */
     boolean siblingUp(long now) {
         return lastReceivedAt.entrySet().stream().anyMatch(e -> now - e.getValue() < UP_WINDOW_US
                 && leftAt.getOrDefault(e.getKey(), 0L) < e.getValue());
     }
 
-    /** We were told to end. */
+    /** Announces to all siblings that this dispatcher is shutting down. */
     void announceLeaving(long now) {
         for (int i = 0; enabled && i < REPEATS; i++) {
             timers.at(now + i * REPEAT_INTERVAL_US, t -> {
--- a/src/main/java/granitefold/core/StatePersistence.java
+++ b/src/main/java/granitefold/core/StatePersistence.java
@@ -17,12 +17,12 @@
 import java.util.Map;
 
 /**
- * Gives out what was learned, at an interval, and takes in what a former life has left. Beside what the module knows that
- * is the keys of requests that may have run: a job whose key a former life had sent may be running or done, and nobody
- * here would know.
+ * Saves the learned state at an interval, and restores the state of a previous process. Beside the module's state it holds the
+ * keys of requests that may have run: a job whose key a previous process had sent may be running or done, unknown to this
+ * process.
  */
 final class StatePersistence {
-    /** Keys held at the most, about a hundred bytes each; past it the oldest go, which the workers' own window covers. */
+    /** The most keys held, about 100 bytes each; beyond it the oldest are dropped, which the workers' own deduplication covers. */
     private static final int MAX_KEYS = 16_384;
 
     private final OptionalFeatures.Persistence settings;
@@ -30,7 +30,7 @@
     private final Dispatcher module;
     private final Timers timers;
     private final List<Effect> effects;
-    /** Keys sent in this life, the oldest first, and those of former lives, with the ends of their windows. */
+    /** Hashes of keys sent by this process, the oldest first, and by previous ones, with the ends of their deduplication windows. */
     private final LinkedHashMap<Long, Long> sentKeys = new LinkedHashMap<>();
     private final Map<Long, Long> previousKeys = new HashMap<>();
 
@@ -46,7 +46,7 @@
         timers.at(now + settings.intervalUs(), this::savePeriodically);
     }
 
-    /** Gives out what is known now, and again at the interval. */
+    /** Saves the current state, and again after each interval. */
     private void savePeriodically(long now) {
         save(now);
         timers.at(now + settings.intervalUs(), this::savePeriodically);
@@ -59,11 +59,11 @@
         previousKeys.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
         sentKeys.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
         Learned state = module.learned(now);
-        effects.add(new Effect.SaveState(new Learned(state.at(), state.fetchUs(), state.kept(), state.meanWork(), state.works(), state.kinds(), state.workers(),
-                state.buckets(), keys)));
+        effects.add(new Effect.SaveState(new Learned(state.at(), state.fetchUs(), state.kept(), state.meanWork(), state.works(), state.kinds(),
+                state.workers(), state.buckets(), keys)));
     }
 
-    /** A former life has left this. */
+    /** Restores the saved state of a previous process. */
     void recovered(Learned saved, List<Dispatcher.Worker> list, long now) {
         Ageing.Aged aged = new Ageing(settings.ageing()).age(saved, list, now);
         Learned state = aged.learned();
@@ -74,7 +74,7 @@
                 state.buckets().size(), state.keys().size()));
     }
 
-    /** An attempt of the request is about to be written: from now on it may run. */
+    /** An attempt of the request is about to be written, and may run from now on. */
     void sent(Submission submission, long now) {
         if (submission.repeatKey() != null) {
             long until = now + classes.get(submission.jobClass()).keepUs();
@@ -87,7 +87,7 @@
         }
     }
 
-    /** For how long yet a request must not be sent, as a former life may have sent it; 0: it may go. */
+    /** Returns how long a request must still not be sent, because a previous process may have sent it; 0 if it may be sent. */
     long blockedForUs(Submission submission, long now) {
         Long until = submission.repeatKey() == null || previousKeys.isEmpty() ? null : previousKeys.get(hash(submission));
         return until == null ? 0 : Math.max(0, until - now);
@@ -95,9 +95,9 @@
 
     private static long hash(Submission submission) {
         try {
-            // the tenant is part of it: another's key is another key
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest((submission.tenant() + " " + submission.jobClass() + " " + submission.repeatKey())
-                    .getBytes(StandardCharsets.UTF_8));
+            // keys are scoped to a tenant and a class
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest(
+                    (submission.tenant() + " " + submission.jobClass() + " " + submission.repeatKey()).getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
--- a/src/main/java/granitefold/core/StatusReport.java
+++ b/src/main/java/granitefold/core/StatusReport.java
@@ -4,20 +4,20 @@
 import granitefold.availability.Wish;
 
 /**
- * How the dispatcher stands, for balancers and operators.
+ * The status of the dispatcher, for balancers and operators.
  *
  * @param owed requests that have no final answer yet
  * @param clients client connections
- * @param readyWorkers workers that the list calls ready
- * @param downWorkers ready workers that look dead by probes or attempts
- * @param confirmed discovery has spoken since the start
- * @param listVersion the list's version
+ * @param readyWorkers workers that are ready by the list
+ * @param downWorkers ready workers considered down by probes or attempts
+ * @param confirmed whether discovery has sent a message since the start
+ * @param listVersion version of the worker list
  * @param listAgeUs time since the list last changed or was confirmed
- * @param watchSilentUs how long the watch on discovery has said nothing
- * @param waitRatio estimated wait at the ready worker that is best off, in multiples of the tightest class's allowance
- * @param rejectShare requests rejected of those that were answered lately
- * @param answersPerSecond requests answered a second, lately
- * @param served requests served since the start, {@code rejected} and {@code failed} alike
+ * @param watchSilentUs time since the last message of discovery
+ * @param waitRatio estimated wait at the least loaded ready worker, as a multiple of the strictest class's allowance
+ * @param rejectShare share of recent answers that were rejects
+ * @param answersPerSecond recent rate of answers
+ * @param served requests served since the start; likewise {@code rejected} and {@code failed}
  */
 public record StatusReport(Verdict verdict, Phase phase, Wish requestedMode, int owed, int clients, int readyWorkers, int downWorkers, boolean panic,
         boolean confirmed, long listVersion, long listAgeUs, long watchSilentUs, double waitRatio, double rejectShare, double answersPerSecond,
--- a/src/main/java/granitefold/core/Timers.java
+++ b/src/main/java/granitefold/core/Timers.java
@@ -4,7 +4,7 @@
 import java.util.TreeSet;
 import java.util.function.LongConsumer;
 
-/** Timers in the order in which they fall due. */
+/** Timers, ordered by due time and, if equal, by creation. */
 final class Timers {
     private final TreeSet<Timer> queue = new TreeSet<>(
             Comparator.comparingLong(Timer::at).thenComparingLong(Timer::number));
@@ -18,19 +18,19 @@
         return timer;
     }
 
-    /** Takes a timer back, so that it keeps nothing in memory; null and one that has run out are ignored. */
+    /** Cancels a timer and releases its memory; null and expired timers are ignored. */
     void cancel(Timer timer) {
         if (timer != null) {
             queue.remove(timer);
         }
     }
 
-    /** The next that is due by now, taken out, or null. */
+    /** Removes the next timer that is due and returns its action, or returns null. */
     LongConsumer due(long now) {
         return !queue.isEmpty() && queue.first().at() <= now ? queue.pollFirst().action() : null;
     }
 
-    /** When the next one falls due. */
+    /** Returns when the next timer is due, {@link Long#MAX_VALUE} if there is none. */
     long next() {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.first().at();
     }
--- a/src/main/java/granitefold/core/Worker.java
+++ b/src/main/java/granitefold/core/Worker.java
@@ -8,22 +8,22 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.ArrayDeque;
 
-/** A worker as discovery lists it, with our idle connections to it. */
+/** A worker as discovery lists it, with the connections to it. */
 final class Worker {
-    /** Ids travel between siblings as numbers below 2^42. */
+    /** Ids are below 2^42 in messages between siblings. */
     private static final long ID_MASK = (1L << 42) - 1;
 
     final String name;
     final long id;
     String address;
     State state;
-    /** What discovery last said of it, for the module. */
+    /** The last listing by discovery, as passed to the module. */
     Dispatcher.Worker listed;
-    /** An older list than the one that it stands in calls it draining. */
+    /** Whether it drains because of an older list than the last accepted one. */
     boolean drainedByOlderList;
-    /** Connections that are open, whatever their state. */
+    /** The number of open connections in any state. */
     int open;
-    /** Idle connections, the last one used first. */
+    /** Idle connections, the most recently used first. */
     final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
 
     Worker(String name) {
@@ -31,7 +31,7 @@
         id = id(name);
     }
 
-    /** The module's id of a worker: it comes from its name alone, so that all dispatchers use the same one. */
+    /** Returns the module's id of a worker. It depends on the name alone, so all dispatchers use the same one. */
     static long id(String name) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(name.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/granitefold/core/WorkerConnection.java
+++ b/src/main/java/granitefold/core/WorkerConnection.java
@@ -3,13 +3,13 @@
 /** The core's record of one connection to a worker, which carries one attempt at a time. */
 final class WorkerConnection {
     enum State {
-        /** Not up yet: its attempt never ran. */
+        /** Being opened: its attempt has not run. */
         CONNECTING,
-        /** The request's last byte is not written yet: its attempt never ran. */
+        /** The request's last byte is not written yet: its attempt has not run. */
         SENDING,
-        /** The request is out: its attempt may run. */
+        /** The request has been sent: its attempt may be running. */
         WAITING,
-        /** The attempt has ended, the end of the answer is still to be read. */
+        /** The attempt has ended, the end of the answer has not been read yet. */
         AWAITING_END,
         IDLE
     }
@@ -18,11 +18,11 @@
     final Worker worker;
     final String address;
     State state = State.CONNECTING;
-    /** It was idle before, and nothing has come on it since. */
+    /** Reused after being idle, with nothing received since: the worker may have closed it. */
     boolean stale;
-    /** The attempt that is out on it, or null. */
+    /** The running attempt on this connection, or null. */
     Attempt currentAttempt;
-    /** Ends the wait for the end of an answer. */
+    /** Timeout for the end of an answer. */
     Timers.Timer timer;
     long idleSince;
 
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -17,17 +17,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Drives the health board: its probes become effects, its changes an overlay on discovery's list. A worker that looks
- * dead is shown to the module as draining, so that it gets nothing new; what discovery calls draining or gone stays so.
+ * Drives the health board: turns its probes into effects and its changes into an overlay on discovery's list. A worker that
+ * is considered down is shown to the module as draining, so that it gets no new jobs; draining or gone in the list stays so.
  */
 final class WorkerHealth {
     private final HealthSettings settings;
     private final HealthBoard board;
     private final Timers timers;
     private final List<Effect> effects;
-    /** What was last decided of workers that are not simply as listed. */
+    /** The last health change of each worker that has had one. */
     private final Map<Long, Change> overlay = new HashMap<>();
-    /** Time limits of the probes that are out. */
+    /** Timeouts of pending probes. */
     private final Map<Long, Timers.Timer> timeouts = new HashMap<>();
     private Consumer<List<Change>> onChange;
     private Map<Long, Worker> workers = Map.of();
@@ -79,7 +79,7 @@
         return board.panic();
     }
 
-    /** How a listed worker is shown to the module. */
+    /** Returns a listed worker as it is shown to the module. */
     Dispatcher.Worker withOverlay(Dispatcher.Worker listed) {
         Change change = listed.state() == State.READY ? overlay.get(listed.id()) : null;
         if (change == null) {
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The workers as discovery lists them, and as probes and attempts judge them. */
+/** Applies worker lists of discovery and health changes to the known workers, and passes both on to the decision module. */
 final class WorkerRegistry {
     private final CoreContext core;
 
@@ -23,7 +23,7 @@
         if (news != ListNews.CHANGES) {
             core.workers.values().forEach(worker -> worker.state = State.GONE);
         } else {
-            // what an older list made us doubt holds again, unless this one says otherwise
+            // drains by an older list are reverted, unless this list repeats them
             core.workers.values().stream().filter(worker -> worker.drainedByOlderList && worker.state == State.DRAINING).forEach(worker -> {
                 worker.state = worker.listed.state();
                 workers.add(core.health == null ? worker.listed : core.health.withOverlay(worker.listed));
@@ -37,7 +37,8 @@
                 worker.address = entry.address();
             }
             worker.state = entry.state();
-            worker.listed = new Dispatcher.Worker(worker.id, entry.weight(), entry.state(), entry.startedAtUs(), entry.zone(), entry.cell(), entry.kind());
+            worker.listed = new Dispatcher.Worker(worker.id, entry.weight(), entry.state(), entry.startedAtUs(), entry.zone(),
+                    entry.cell(), entry.kind());
             workers.add(core.health == null ? worker.listed : core.health.withOverlay(worker.listed));
         }
         core.workers.values().stream().filter(worker -> worker.state != State.READY).forEach(core.pool::closeIdle);
@@ -50,7 +51,7 @@
         }
     }
 
-    /** An older list than ours: whom it does not call up gets nothing new until one that is taken in says that it may. */
+    /** Drains the workers that an older list does not show as ready, until the next accepted list. */
     void applyDrains(WorkerList olderList) {
         Set<String> readyNames = olderList.entries().stream().filter(entry -> entry.state() == State.READY).map(WorkerList.Entry::name)
                 .collect(Collectors.toSet());
@@ -61,8 +62,8 @@
                 worker.state = State.DRAINING;
                 worker.drainedByOlderList = true;
                 core.pool.closeIdle(worker);
-                workers.add(new Dispatcher.Worker(worker.id, worker.listed.size(), State.DRAINING, worker.listed.startedAtUs(), worker.listed.zone(), worker.listed.cell(),
-                        worker.listed.kind()));
+                workers.add(new Dispatcher.Worker(worker.id, worker.listed.size(), State.DRAINING, worker.listed.startedAtUs(),
+                        worker.listed.zone(), worker.listed.cell(), worker.listed.kind()));
             }
         }
         if (!workers.isEmpty()) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Workers that look dead, or alive again: the module hears it as news of the list, and of ready ones only. */
+    /** Passes health changes of ready workers to the module, as changes of the list. */
     void healthChanged(List<HealthBoard.Change> changes) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
         for (HealthBoard.Change change : changes) {
--- a/src/main/java/granitefold/core/package-info.java
+++ b/src/main/java/granitefold/core/package-info.java
@@ -1,6 +1,9 @@
 /**
- * The dispatcher's core: one reducer takes events and a clock time and asks for effects. It owns the request
- * contexts, their attempts, the pool of worker connections, the timers and the phases, and it drives the decision
- * module. No I/O, no clock, no threads and no HTTP in here; a second protocol would bring adapters of its own.
+ * The dispatcher's core: a reducer that takes an event and the current time and returns effects. It owns the
+ * request contexts, their attempts, the pool of worker connections, the timers and the lifecycle phases, and it drives
+ * the decision module. It does no I/O, reads no clock and starts no threads; protocols live in the adapters.
+ *
+ * <p>{@link granitefold.core.Reducer} is the entry point; {@link granitefold.core.Event} and
+ * {@link granitefold.core.Effect} are its input and output.
  */
 package granitefold.core;
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -37,7 +37,8 @@
         {"a result is another one", Rule.MADE_UP, SMALL,
             new Patch("core/Attempts.java", "new FinalAnswer.Served(served.result())", "new FinalAnswer.Served(new byte[] {'x'})")},
         {"a truncated answer is served", Rule.MADE_UP, SMALL + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
-            new Patch("core/Attempts.java", "            end(connection.currentAttempt, connection.state == WorkerConnection.State.WAITING ? Outcome.BROKEN : connection.stale ? Outcome.MOOT : Outcome.UNREACHABLE);",
+            new Patch("core/Attempts.java", "            end(connection.currentAttempt, connection.state == WorkerConnection.State.WAITING ? Outcome.BROKEN\n"
+                    + "                    : connection.stale ? Outcome.MOOT : Outcome.UNREACHABLE);",
                     "            if (!connection.currentAttempt.context.finished) {\n                requests.answer(connection.currentAttempt.context, new FinalAnswer.Served(new byte[0]));\n            }\n"
                             + "            end(connection.currentAttempt, Outcome.SERVED);"),
             new Patch("core/Attempts.java", "            end(attempt, Outcome.BROKEN);", "            if (!attempt.context.finished) {\n"
