--- a/src/main/java/granitefold/cli/Serve.java
+++ b/src/main/java/granitefold/cli/Serve.java
@@ -2,15 +2,15 @@
 
 import granitefold.logging.EventLog;
 import granitefold.logging.LogEvent;
-import granitefold.net.Loop;
-import granitefold.net.checks.Checks;
-import granitefold.net.checks.Ops;
-import granitefold.operator.Operator;
-import granitefold.operator.BrokenFile;
+import granitefold.net.EventLoop;
+import granitefold.net.checks.CheckEndpoints;
+import granitefold.net.checks.OpsEndpoint;
+import granitefold.operator.OperatorSettings;
+import granitefold.operator.InvalidFileException;
 import granitefold.operator.OperatorFile;
-import granitefold.state.StateKeeper;
-import granitefold.wire.BadWire;
+import granitefold.state.StateWriter;
 import granitefold.wire.Config;
+import granitefold.wire.InvalidInputException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -24,10 +24,10 @@
 
     private final Path config;
     private final Path operatorFile;
-    private Operator operator = Operator.NONE;
-    private Loop loop;
-    private Checks checks;
-    private StateKeeper keeper;
+    private OperatorSettings operator = OperatorSettings.NONE;
+    private EventLoop loop;
+    private CheckEndpoints checks;
+    private StateWriter keeper;
 
     private Serve(Path config, Path operatorFile) {
         this.config = config;
@@ -38,13 +38,13 @@
     public static void run(String config, String operatorFile) {
         try {
             if (config == null || config.isEmpty()) {
-                throw new BadWire("LB_CONFIG names no file");
+                throw new InvalidInputException("LB_CONFIG names no file");
             }
             new Serve(Path.of(config), operatorFile == null ? null : Path.of(operatorFile)).start();
-        } catch (BadWire e) {
+        } catch (InvalidInputException e) {
             fail(List.of("bad configuration: " + e.getMessage()));
         } catch (Exception e) {
-            if (operatorFile != null && e instanceof BrokenFile broken) {
+            if (operatorFile != null && e instanceof InvalidFileException broken) {
                 fail(broken.problems());
             }
             fail(List.of("cannot start: " + e));
@@ -56,7 +56,7 @@
         CompletableFuture<Serve> started = new CompletableFuture<>();
         SignalHandler before = Signal.handle(new Signal("HUP"), signal -> started.thenAccept(Serve::reload));
         if (operatorFile != null) {
-            operator = OperatorFile.read(operatorFile).operator();
+            operator = OperatorFile.read(operatorFile).settings();
             if (operator.log().json()) {
                 JsonLines.begin();
             }
@@ -66,16 +66,16 @@
             EventLog.log(LogEvent.RELOAD_OFF);
         }
         Config platform = Config.read(config);
-        loop = new Loop(platform, operator);
+        loop = new EventLoop(platform, operator);
         if (operator.state() != null) {
-            keeper = new StateKeeper(operator.state().dir(), operator.state().keep(), platform.places(), loop::recovered);
-            loop.keeper(keeper::keep);
+            keeper = new StateWriter(operator.state().directory(), operator.state().generations(), platform.settingsIndexes(), loop::restore);
+            loop.saveStateWith(keeper::submit);
         }
         if (platform.ops() != null) {
-            new Ops(platform.ops(), loop, platform.words().classNames()).start();
+            new OpsEndpoint(platform.ops(), loop, platform.namedSettings().classNames()).start();
         }
-        if (operator.checks()) {
-            checks = new Checks(loop.name(), loop, operator);
+        if (operator.hasCheckListener()) {
+            checks = new CheckEndpoints(loop.name(), loop, operator);
             checks.start();
         }
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
@@ -92,18 +92,18 @@
             return;
         }
         try {
-            Operator next = OperatorFile.read(operatorFile).operator();
+            OperatorSettings next = OperatorFile.read(operatorFile).settings();
             EventLog.log(LogEvent.OPERATOR_READ, operatorFile);
-            for (String key : OperatorFile.restartOnly(operator, next)) {
+            for (String key : OperatorFile.keysNeedingRestart(operator, next)) {
                 EventLog.log(LogEvent.OPERATOR_RESTART, key);
             }
             if (checks != null) {
                 checks.reload(next);
             }
-            if (operator.tells()) {
-                loop.retune(next.availability());
+            if (operator.publishesAvailability()) {
+                loop.updateAvailabilitySettings(next.availability());
             }
-        } catch (BrokenFile e) {
+        } catch (InvalidFileException e) {
             EventLog.log(LogEvent.OPERATOR_KEPT, e.getMessage());
         }
     }
@@ -112,13 +112,13 @@
         try {
             long leftUs = loop.terminate();
             if (keeper != null) {
-                keeper.end(leftUs);
+                keeper.shutDown(leftUs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         if (checks != null) {
-            checks.end();
+            checks.close();
         }
         // a planned end is a success: without this the status would tell of the signal
         Runtime.getRuntime().halt(0);
--- a/src/main/java/granitefold/core/AvailabilityMonitor.java
+++ b/src/main/java/granitefold/core/AvailabilityMonitor.java
@@ -2,13 +2,13 @@
 
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.Outcome;
-import granitefold.availability.Availability;
+import granitefold.availability.AvailabilityStateMachine;
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Life;
-import granitefold.availability.Signals;
-import granitefold.availability.Standing;
-import granitefold.availability.Verdict;
-import granitefold.availability.Wish;
+import granitefold.availability.ProcessPhase;
+import granitefold.availability.AvailabilitySignals;
+import granitefold.availability.AvailabilityStatus;
+import granitefold.availability.AvailabilityReport;
+import granitefold.availability.RequestedMode;
 import granitefold.logging.LogEvent;
 import java.util.List;
 
@@ -25,9 +25,9 @@
     private final Timers timers;
     private final List<Effect> effects;
     private AvailabilitySettings settings;
-    private Availability availability;
-    private Availability.State state;
-    private Wish requestedMode = Wish.READY;
+    private AvailabilityStateMachine availability;
+    private AvailabilityStateMachine.State state;
+    private RequestedMode requestedMode = RequestedMode.READY;
     private ResourceUsage resources = ResourceUsage.UNKNOWN;
     private long startedAt;
     private long lastUpdateAt;
@@ -55,14 +55,14 @@
     void settingsChanged(AvailabilitySettings newSettings) {
         if (settings == null || newSettings != null) {
             settings = newSettings;
-            availability = settings == null ? null : new Availability(settings, connections);
+            availability = settings == null ? null : new AvailabilityStateMachine(settings, connections);
         }
     }
 
     void opened(long now) {
         if (availability != null) {
             startedAt = lastUpdateAt = lastListAt = decayedAt = now;
-            state = Availability.State.first(now);
+            state = AvailabilityStateMachine.State.initial(now);
             sample(now);
         }
     }
@@ -111,14 +111,14 @@
         evaluate(now);
     }
 
-    void modeRequested(Wish mode, long now) {
+    void modeRequested(RequestedMode mode, long now) {
         requestedMode = mode;
         evaluate(now);
     }
 
     /** Whether answers close their client connections: the operator has taken this dispatcher out of service, and expects others to serve. */
     boolean closesClients() {
-        return state != null && requestedMode != Wish.READY && !state.standing().serves();
+        return state != null && requestedMode != RequestedMode.READY && !state.status().acceptsTraffic();
     }
 
     /** Evaluates the availability state and publishes a report, after an important event or a sample. */
@@ -130,13 +130,13 @@
         Dispatcher.Pressure pressure = reducer.pressure();
         double waitRatio = pressure.waitUs() / Math.max(1, pressure.boundUs());
         double rejectShare = recentRejects / Math.max(1, recentAnswers);
-        Availability.State nextState = availability.next(state, new Signals(processStage(), requestedMode, confirmed,
+        AvailabilityStateMachine.State nextState = availability.next(state, new AvailabilitySignals(processStage(), requestedMode, confirmed,
                 now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, pressure.ready(), reachedAttempts, unreachableAttempts, rejectShare,
-                (double) pressure.full() / Math.max(1, pressure.ready()), waitRatio, reducer.clientShare(),
+                (double) pressure.refusing() / Math.max(1, pressure.ready()), waitRatio, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
-        logTransition(state.standing(), nextState);
+        logTransition(state.status(), nextState);
         state = nextState;
-        Verdict verdict = availability.verdict(state);
+        AvailabilityReport verdict = availability.report(state);
         double answersPerSecond = recentAnswers * Math.log(2) / HALF_LIFE_US * 1e6;
         effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), requestedMode, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
@@ -144,18 +144,18 @@
                 served, rejected, failed)));
     }
 
-    private void logTransition(Standing previous, Availability.State current) {
-        if (previous != current.standing()) {
-            effects.add(new Effect.Log(LogEvent.AVAILABILITY, previous, current.standing(), current.weight(), current.reason()));
+    private void logTransition(AvailabilityStatus previous, AvailabilityStateMachine.State current) {
+        if (previous != current.status()) {
+            effects.add(new Effect.Log(LogEvent.AVAILABILITY, previous, current.status(), current.weight(), current.reason()));
         }
     }
 
-    private Life processStage() {
+    private ProcessPhase processStage() {
         return switch (reducer.phase()) {
-            case STARTING -> Life.STARTING;
-            case SERVING -> Life.SERVING;
-            case DRAINING -> Life.ENDING;
-            case FINISHING, CLOSING, STOPPED -> Life.ENDED;
+            case STARTING -> ProcessPhase.STARTING;
+            case SERVING -> ProcessPhase.SERVING;
+            case DRAINING -> ProcessPhase.SHUTTING_DOWN;
+            case FINISHING, CLOSING, STOPPED -> ProcessPhase.SHUT_DOWN;
         };
     }
 
--- a/src/main/java/granitefold/core/Effect.java
+++ b/src/main/java/granitefold/core/Effect.java
@@ -1,8 +1,8 @@
 package granitefold.core;
 
-import granitefold.figures.Figures;
+import granitefold.figures.MetricsSnapshot;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedState;
 
 /** What the reducer asks the adapters to do. They perform the effects of an event in order. */
 public sealed interface Effect {
@@ -73,10 +73,10 @@
     record PublishReport(StatusReport report) implements Effect { }
 
     /** Publish figures for commands and scrapers to read. */
-    record PublishFigures(Figures figures) implements Effect { }
+    record PublishFigures(MetricsSnapshot figures) implements Effect { }
 
     /** Save the learned state for the next process. */
-    record SaveState(Learned learned) implements Effect { }
+    record SaveState(LearnedState learned) implements Effect { }
 
     /** Probe a worker and report {@link Event.ProbeEnded}. */
     record StartProbe(long worker, String address) implements Effect { }
--- a/src/main/java/granitefold/core/Event.java
+++ b/src/main/java/granitefold/core/Event.java
@@ -1,8 +1,8 @@
 package granitefold.core;
 
 import granitefold.availability.AvailabilitySettings;
-import granitefold.availability.Wish;
-import granitefold.recovery.Learned;
+import granitefold.availability.RequestedMode;
+import granitefold.recovery.LearnedState;
 
 /** What the adapters report to the reducer. The adapters number client connections, the core numbers worker connections. */
 public sealed interface Event {
@@ -93,16 +93,16 @@
     record ResourcesSampled(ResourceUsage resources) implements Event { }
 
     /** An operator has requested a mode of availability. */
-    record ModeRequested(Wish mode) implements Event { }
+    record ModeRequested(RequestedMode mode) implements Event { }
 
     /** The operator's file was reloaded with other availability settings. */
     record AvailabilitySettingsChanged(AvailabilitySettings settings) implements Event { }
 
     /** The saved state of a previous process has been read. */
-    record StateRecovered(Learned learned) implements Event { }
+    record StateRecovered(LearnedState learned) implements Event { }
 
     /** The process that this one replaces has handed over its learned state. */
-    record StateInherited(Learned learned) implements Event { }
+    record StateInherited(LearnedState learned) implements Event { }
 
     /** A probe of a worker has ended. */
     record ProbeEnded(long worker, boolean healthy, String reason) implements Event { }
--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -82,7 +82,7 @@
         core.answersDueAt = core.now + schedule.finishUs();
         core.closingEndsAt = core.now + schedule.closeUs();
         if (takenOver) {
-            core.module.relieved();
+            core.module.superseded();
             core.effects.add(new Effect.CloseSiblingSocket());
         } else {
             siblings.announceLeaving(core.now);
--- a/src/main/java/granitefold/core/OptionalFeatures.java
+++ b/src/main/java/granitefold/core/OptionalFeatures.java
@@ -2,14 +2,14 @@
 
 import granitefold.availability.AvailabilitySettings;
 import granitefold.health.HealthSettings;
-import granitefold.recovery.AgeingSettings;
+import granitefold.recovery.LearnedStateAgingSettings;
 
 /** Features that an operator's file enables; those of the first three that are off are null. {@code figures}: figures are
  * counted and published; {@code trace}: the course of each request and connection is logged. */
 public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean figures,
         boolean trace) {
     /** Saving of the learned state, at an interval in microseconds; {@code ageing} adapts it when it is restored. */
-    public record Persistence(long intervalUs, AgeingSettings ageing) { }
+    public record Persistence(long intervalUs, LearnedStateAgingSettings ageing) { }
 
     /** Returns a copy with figures on or off. */
     public OptionalFeatures withFigures(boolean on) {
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -1,12 +1,12 @@
 package granitefold.core;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Settings;
 import granitefold.Dispatcher.State;
 import granitefold.logging.LogEvent;
-import granitefold.policy.Decide;
-import granitefold.recovery.Learned;
+import granitefold.policy.DispatchPolicy;
+import granitefold.recovery.LearnedState;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -66,7 +66,7 @@
         core.availabilityMonitor = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
         core.figuresPublisher = new FiguresPublisher(features.figures(), settings.classes().size(), this, core.timers, core.effects);
         core.health = features.health() == null ? null : new WorkerHealth(features.health(), seed, core.timers, core.effects);
-        core.module = new Decide(settings, seed, new ModuleActions(core, requests, attempts));
+        core.module = new DispatchPolicy(settings, seed, new ModuleActions(core, requests, attempts));
         core.statePersistence = features.persistence() == null ? null
                 : new StatePersistence(features.persistence(), settings.classes(), core.module, core.timers, core.effects);
     }
@@ -80,8 +80,8 @@
         return core.module.pressure(core.now);
     }
 
-    Dispatcher.Choice choice() {
-        return core.module.choice(core.now);
+    Dispatcher.WorkerCounts workerCounts() {
+        return core.module.workerCounts(core.now);
     }
 
     /** Whether the process is serving, with the first list of discovery received or given up on. */
@@ -119,7 +119,7 @@
     }
 
     /** Returns what the module has learned, as of the last event. */
-    public Learned learned() {
+    public LearnedState learned() {
         return core.module.learned(core.now);
     }
 
@@ -205,7 +205,7 @@
             DiscoveryWatch.ListAcceptance acceptance = watch.received(e.list(), !core.workers.isEmpty(), core.now);
             core.availabilityMonitor.discoveryUpdated(acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED, core.now);
             if (acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED) {
-                registry.listed(e.list().whole() ? ListNews.WHOLE : ListNews.CHANGES, e.list());
+                registry.listed(e.list().whole() ? ListUpdate.WHOLE : ListUpdate.CHANGES, e.list());
             } else if (acceptance == DiscoveryWatch.ListAcceptance.DRAINS_ONLY) {
                 registry.applyDrains(e.list());
             }
@@ -216,7 +216,7 @@
             watch.changeAddress(e.address(), core.now);
         } else if (event instanceof Event.SiblingMessage e) {
             if (!siblings.received(e.from(), e.message(), core.now)) {
-                core.module.heard(core.now, e.from(), e.message());
+                core.module.messageReceived(core.now, e.from(), e.message());
             }
         } else if (event instanceof Event.ShutdownRequested e) {
             lifecycle.shutdownRequested(e.takenOver());
@@ -232,7 +232,7 @@
             core.statePersistence.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
         } else if (event instanceof Event.StateInherited e) {
             core.module.restore(core.now, e.learned());
-            core.effects.add(new Effect.Log(LogEvent.INHERITED, e.learned().workers().size(), e.learned().buckets().size()));
+            core.effects.add(new Effect.Log(LogEvent.HAND_OVER_RECEIVED, e.learned().workers().size(), e.learned().buckets().size()));
         } else if (event instanceof Event.ProbeEnded e && core.health != null) {
             registry.healthChanged(core.health.probed(e.worker(), e.healthy(), e.reason(), core.now));
         }
@@ -242,7 +242,7 @@
     private void opened(WorkerList known, String discovery) {
         core.module.start(core.now);
         core.availabilityMonitor.opened(core.now);
-        registry.listed(ListNews.SAVED, known);
+        registry.listed(ListUpdate.SAVED, known);
         watch = new DiscoveryWatch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
--- a/src/main/java/granitefold/core/SiblingTracker.java
+++ b/src/main/java/granitefold/core/SiblingTracker.java
@@ -31,8 +31,8 @@
 
     SiblingTracker(Settings settings, Timers timers, List<Effect> effects) {
         leavingTimeoutUs = ShutdownSchedule.of(settings.classes()).killAfterUs();
-        enabled = settings.limits().siblings();
-        self = settings.me();
+        enabled = settings.limits().siblingMessages();
+        self = settings.selfIndex();
         siblingCount = settings.siblings();
         this.timers = timers;
         this.effects = effects;
--- a/src/main/java/granitefold/core/StatePersistence.java
+++ b/src/main/java/granitefold/core/StatePersistence.java
@@ -3,8 +3,8 @@
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.JobClass;
 import granitefold.logging.LogEvent;
-import granitefold.recovery.Ageing;
-import granitefold.recovery.Learned;
+import granitefold.recovery.LearnedStateAging;
+import granitefold.recovery.LearnedState;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -55,21 +55,21 @@
     void save(long now) {
         sentKeys.values().removeIf(until -> until <= now);
         previousKeys.values().removeIf(until -> until <= now);
-        List<Learned.Key> keys = new ArrayList<>(sentKeys.size() + previousKeys.size());
-        previousKeys.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
-        sentKeys.forEach((key, until) -> keys.add(new Learned.Key(key, until)));
-        Learned state = module.learned(now);
-        effects.add(new Effect.SaveState(new Learned(state.at(), state.fetchUs(), state.kept(), state.meanWork(), state.works(), state.kinds(),
+        List<LearnedState.Key> keys = new ArrayList<>(sentKeys.size() + previousKeys.size());
+        previousKeys.forEach((key, until) -> keys.add(new LearnedState.Key(key, until)));
+        sentKeys.forEach((key, until) -> keys.add(new LearnedState.Key(key, until)));
+        LearnedState state = module.learned(now);
+        effects.add(new Effect.SaveState(new LearnedState(state.at(), state.fetchUs(), state.kept(), state.meanWork(), state.works(), state.kinds(),
                 state.workers(), state.buckets(), keys)));
     }
 
     /** Restores the saved state of a previous process. */
-    void recovered(Learned saved, List<Dispatcher.Worker> list, long now) {
-        Ageing.Aged aged = new Ageing(settings.ageing()).age(saved, list, now);
-        Learned state = aged.learned();
+    void recovered(LearnedState saved, List<Dispatcher.Worker> list, long now) {
+        LearnedStateAging.Result aged = new LearnedStateAging(settings.ageing()).apply(saved, list, now);
+        LearnedState state = aged.state();
         module.restore(now, state);
         state.keys().forEach(k -> previousKeys.merge(k.key(), k.until(), Math::max));
-        aged.reasons().forEach(reason -> effects.add(new Effect.Log(LogEvent.STATE_DROPPED, reason)));
+        aged.dropReasons().forEach(reason -> effects.add(new Effect.Log(LogEvent.STATE_DROPPED, reason)));
         effects.add(new Effect.Log(LogEvent.STATE_RECOVERED, Math.max(0, now - saved.at()) / 1000, state.workers().size(),
                 state.buckets().size(), state.keys().size()));
     }
@@ -77,7 +77,7 @@
     /** An attempt of the request is about to be written, and may run from now on. */
     void sent(Submission submission, long now) {
         if (submission.repeatKey() != null) {
-            long until = now + classes.get(submission.jobClass()).keepUs();
+            long until = now + classes.get(submission.jobClass()).dedupWindowUs();
             sentKeys.merge(hash(submission), until, Math::max);
             Iterator<Long> oldest = sentKeys.keySet().iterator();
             while (sentKeys.size() > MAX_KEYS) {
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -3,8 +3,8 @@
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher;
-import granitefold.health.HealthBoard;
-import granitefold.health.HealthBoard.Change;
+import granitefold.health.WorkerHealthTracker;
+import granitefold.health.WorkerHealthTracker.Change;
 import granitefold.health.HealthSettings;
 import granitefold.logging.LogEvent;
 import java.util.Collection;
@@ -22,7 +22,7 @@
  */
 final class WorkerHealth {
     private final HealthSettings settings;
-    private final HealthBoard board;
+    private final WorkerHealthTracker board;
     private final Timers timers;
     private final List<Effect> effects;
     /** The last health change of each worker that has had one. */
@@ -36,7 +36,7 @@
 
     WorkerHealth(HealthSettings settings, long seed, Timers timers, List<Effect> effects) {
         this.settings = settings;
-        board = new HealthBoard(settings, seed);
+        board = new WorkerHealthTracker(settings, seed);
         this.timers = timers;
         this.effects = effects;
     }
@@ -59,24 +59,24 @@
             }
             return removed;
         });
-        return apply(board.listed(ready, now), now);
+        return apply(board.updateWorkers(ready, now), now);
     }
 
     List<Change> probed(long worker, boolean healthy, String reason, long now) {
         timers.cancel(timeouts.remove(worker));
-        return apply(board.probed(worker, healthy, reason, now), now);
+        return apply(board.onProbeResult(worker, healthy, reason, now), now);
     }
 
     List<Change> attemptEnded(long worker, Outcome outcome, long now) {
-        return apply(board.tried(worker, outcome, now), now);
+        return apply(board.onAttemptOutcome(worker, outcome, now), now);
     }
 
     int down() {
-        return board.down();
+        return board.unhealthyCount();
     }
 
     boolean panic() {
-        return board.panic();
+        return board.inPanicMode();
     }
 
     /** Returns a listed worker as it is shown to the module. */
@@ -86,15 +86,15 @@
             return listed;
         }
         return new Dispatcher.Worker(listed.id(), listed.size(), change.usable() ? State.READY : State.DRAINING,
-                Math.max(listed.startedAtUs(), change.since()), listed.zone(), listed.cell(), listed.kind());
+                Math.max(listed.startedAtUs(), change.recoveredAt()), listed.zone(), listed.cell(), listed.kind());
     }
 
     private List<Change> apply(List<Change> changes, long now) {
         changes.forEach(change -> overlay.put(change.worker(), change));
-        if (board.panic() != panic) {
-            panic = board.panic();
+        if (board.inPanicMode() != panic) {
+            panic = board.inPanicMode();
             if (panic) {
-                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.down(), board.size()));
+                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.unhealthyCount(), board.workerCount()));
             }
         }
         if (onChange != null) {
@@ -104,8 +104,8 @@
     }
 
     private void probeDue(long now) {
-        onChange.accept(apply(board.elapsed(now), now));
-        for (long id : board.due(now)) {
+        onChange.accept(apply(board.expireEjections(now), now));
+        for (long id : board.takeDueProbes(now)) {
             effects.add(new Effect.StartProbe(id, workers.get(id).address));
             timeouts.put(id, timers.at(now + settings.timeoutUs(), t -> {
                 effects.add(new Effect.CancelProbe(id));
@@ -117,7 +117,7 @@
 
     private void schedule(long now) {
         timers.cancel(timer);
-        long at = board.wakeAt(now);
+        long at = board.nextWakeUpAt(now);
         timer = at == Long.MAX_VALUE ? null : timers.at(at, this::probeDue);
     }
 }
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -1,9 +1,9 @@
 package granitefold.core;
 
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher;
-import granitefold.health.HealthBoard;
+import granitefold.health.WorkerHealthTracker;
 import granitefold.logging.LogEvent;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,9 +18,9 @@
         core = coreContext;
     }
 
-    void listed(ListNews news, WorkerList list) {
+    void listed(ListUpdate news, WorkerList list) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        if (news != ListNews.CHANGES) {
+        if (news != ListUpdate.CHANGES) {
             core.workers.values().forEach(worker -> worker.state = State.GONE);
         } else {
             // drains by an older list are reverted, unless this list repeats them
@@ -43,7 +43,7 @@
         }
         core.workers.values().stream().filter(worker -> worker.state != State.READY).forEach(core.pool::closeIdle);
         core.workers.values().removeIf(worker -> worker.state == State.GONE && worker.open == 0);
-        core.module.listed(core.now, news, workers);
+        core.module.listUpdated(core.now, news, workers);
         core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), news,
                 core.workers.values().stream().filter(worker -> worker.state == State.READY).count()));
         if (core.health != null) {
@@ -67,14 +67,14 @@
             }
         }
         if (!workers.isEmpty()) {
-            core.module.listed(core.now, ListNews.CHANGES, workers);
+            core.module.listUpdated(core.now, ListUpdate.CHANGES, workers);
         }
     }
 
     /** Passes health changes of ready workers to the module, as changes of the list. */
-    void healthChanged(List<HealthBoard.Change> changes) {
+    void healthChanged(List<WorkerHealthTracker.Change> changes) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        for (HealthBoard.Change change : changes) {
+        for (WorkerHealthTracker.Change change : changes) {
             Worker worker = core.workers.get(change.worker());
             if (worker != null && worker.state == State.READY) {
                 core.effects.add(new Effect.Log(LogEvent.WORKER_HEALTH, worker.name, change.usable() ? "UP" : change.health(), change.reason()));
@@ -82,7 +82,7 @@
             }
         }
         if (!workers.isEmpty()) {
-            core.module.listed(core.now, ListNews.CHANGES, workers);
+            core.module.listUpdated(core.now, ListUpdate.CHANGES, workers);
         }
     }
 }
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -63,7 +63,7 @@
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
             new Patch("policy/ColdBudget.java", "        if (!isCold(n, now)) {\n            return true;\n        }",
                     "        if (now >= 0) {\n            return true;\n        }"),
-            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().coldUs() : 1;", "return 1;")},
+            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().slowStartUs() : 1;", "return 1;")},
         {"rejects do not say when to come again", Rule.NO_RETRY_AFTER, BUSY,
             new Patch("wire/HttpMessages.java", "if (rejected.retryAfterUs() > 0) {", "if (rejected.retryAfterUs() < 0) {")},
         {"rejects are kept back until time is nearly over", Rule.DELAYED, BUSY,
@@ -76,7 +76,7 @@
                 + "classes.guardar { work = 50ms, effect = keyed, window = 500ms, on-time = 750ms, deadline = 8s }\n"
                 + "steps = [ { do = hang, to = [s0], at = 1s }, { do = die, to = [s0], at = 3s } ]",
             new Patch("policy/SendGate.java", "window(job, now) <= 0", "now < 0"),
-            new Patch("policy/Decide.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
+            new Patch("policy/DispatchPolicy.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
         {"keys are not passed on", Rule.RAN_TWICE, SMALL + CLASSES + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
             new Patch("wire/HttpMessages.java", "        head.put(HttpHeader.HOST, address);\n        head.put(ClientRequest",
                     "        head.put(HttpHeader.HOST, address);\n        head.remove(\"Idempotency-Key\");\n        head.put(ClientRequest")},
@@ -91,13 +91,13 @@
                 + "load { rate = 150, retries = 0, impatient = 1 }, classes.ficha { work = 20ms, on-time = 8s, deadline = 3s }\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms }, { do = well, to = [s0], at = 1500ms } ]",
             new Patch("core/Requests.java", "        RequestContext context = owed.remove(client);", "        RequestContext context = null;"),
-            new Patch("net/Loop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
+            new Patch("net/EventLoop.java", "if (clients.containsKey(e.client())) {", "if (now() > 0) {")},
         {"a watch that falls silent is not opened anew", Rule.DRAIN, "for = 12s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = hush, at = 500ms }, { do = drain, to = [s0], at = 700ms } ]",
             new Patch("core/DiscoveryWatch.java", "SILENCE_TIMEOUT_US = 3_000_000;", "SILENCE_TIMEOUT_US = 60_000_000;")},
         {"restarts take long", Rule.SLOW_START, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load.rate = 30\n"
                 + "steps = [ { do = kill, to = [n1], at = 500ms, lasts = 100ms } ]",
-            new Patch("net/Loop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
+            new Patch("net/EventLoop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
         {"each dispatcher takes the whole of what a cold cocinero bears", Rule.COLD, "for = 5s, dispatchers.count = 8, load { rate = 400, retries = 0 }\n"
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
