--- a/src/main/java/granitefold/core/AvailabilityMonitor.java
+++ b/src/main/java/granitefold/core/AvailabilityMonitor.java
@@ -14,7 +14,7 @@
 
 /**
  * Feeds the availability state machine: counts answers and attempts, samples resources at an interval, and publishes a status
- * report with the verdict. Does nothing if availability reporting is off.
+ * report. Does nothing if availability reporting is off.
  */
 final class AvailabilityMonitor {
     /** Half-life of the recent answer and reject counts, in microseconds. */
@@ -25,7 +25,7 @@
     private final Timers timers;
     private final List<Effect> effects;
     private AvailabilitySettings settings;
-    private AvailabilityStateMachine availability;
+    private AvailabilityStateMachine stateMachine;
     private AvailabilityStateMachine.State state;
     private RequestedMode requestedMode = RequestedMode.READY;
     private ResourceUsage resources = ResourceUsage.UNKNOWN;
@@ -55,12 +55,12 @@
     void settingsChanged(AvailabilitySettings newSettings) {
         if (settings == null || newSettings != null) {
             settings = newSettings;
-            availability = settings == null ? null : new AvailabilityStateMachine(settings, connections);
+            stateMachine = settings == null ? null : new AvailabilityStateMachine(settings, connections);
         }
     }
 
     void opened(long now) {
-        if (availability != null) {
+        if (stateMachine != null) {
             startedAt = lastUpdateAt = lastListAt = decayedAt = now;
             state = AvailabilityStateMachine.State.initial(now);
             sample(now);
@@ -83,7 +83,7 @@
     }
 
     void answered(FinalAnswer answer, long now) {
-        if (availability == null) {
+        if (stateMachine == null) {
             return;
         }
         decay(now);
@@ -123,22 +123,22 @@
 
     /** Evaluates the availability state and publishes a report, after an important event or a sample. */
     void evaluate(long now) {
-        if (availability == null || state == null) {
+        if (stateMachine == null || state == null) {
             return;
         }
         decay(now);
         Dispatcher.Pressure pressure = reducer.pressure();
         double waitRatio = pressure.waitUs() / Math.max(1, pressure.boundUs());
         double rejectShare = recentRejects / Math.max(1, recentAnswers);
-        AvailabilityStateMachine.State nextState = availability.next(state, new AvailabilitySignals(processStage(), requestedMode, confirmed,
+        AvailabilityStateMachine.State nextState = stateMachine.next(state, new AvailabilitySignals(processPhase(), requestedMode, confirmed,
                 now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, pressure.ready(), reachedAttempts, unreachableAttempts, rejectShare,
                 (double) pressure.refusing() / Math.max(1, pressure.ready()), waitRatio, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
         logTransition(state.status(), nextState);
         state = nextState;
-        AvailabilityReport verdict = availability.report(state);
+        AvailabilityReport report = stateMachine.report(state);
         double answersPerSecond = recentAnswers * Math.log(2) / HALF_LIFE_US * 1e6;
-        effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), requestedMode, reducer.owed(), reducer.clients(),
+        effects.add(new Effect.PublishReport(new StatusReport(report, reducer.phase(), requestedMode, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
                 now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, waitRatio, rejectShare, answersPerSecond, resources, now - startedAt,
                 served, rejected, failed)));
@@ -150,7 +150,7 @@
         }
     }
 
-    private ProcessPhase processStage() {
+    private ProcessPhase processPhase() {
         return switch (reducer.phase()) {
             case STARTING -> ProcessPhase.STARTING;
             case SERVING -> ProcessPhase.SERVING;
--- a/src/main/java/granitefold/core/CoreContext.java
+++ b/src/main/java/granitefold/core/CoreContext.java
@@ -19,7 +19,7 @@
     final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
     Dispatcher module;
     AvailabilityMonitor availabilityMonitor;
-    FiguresPublisher figuresPublisher;
+    MetricsPublisher metricsPublisher;
     /** Null if health checking of workers by probes and attempts is off. */
     WorkerHealth health;
     /** Null if no state is saved. */
--- a/src/main/java/granitefold/core/Effect.java
+++ b/src/main/java/granitefold/core/Effect.java
@@ -72,8 +72,8 @@
     /** Publish the status to balancers and operators. */
     record PublishReport(StatusReport report) implements Effect { }
 
-    /** Publish figures for commands and scrapers to read. */
-    record PublishFigures(MetricsSnapshot figures) implements Effect { }
+    /** Publish metrics for the ops endpoint. */
+    record PublishMetrics(MetricsSnapshot metrics) implements Effect { }
 
     /** Save the learned state for the next process. */
     record SaveState(LearnedState learned) implements Effect { }
--- a/src/main/java/granitefold/core/Event.java
+++ b/src/main/java/granitefold/core/Event.java
@@ -80,8 +80,8 @@
     /** A sibling has sent a datagram. */
     record SiblingMessage(int from, byte[] message) implements Event { }
 
-    /** The process was asked to shut down; {@code takenOver}: another process of this dispatcher serves at its addresses. */
-    record ShutdownRequested(boolean takenOver) implements Event { }
+    /** The process was asked to shut down; {@code superseded}: another process of this dispatcher serves at its addresses. */
+    record ShutdownRequested(boolean superseded) implements Event { }
 
     /**
      * All pending connections were accepted and read, and the listener is closed; not {@code emptied}: some could not be accepted
--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -28,7 +28,7 @@
     private final Runnable submitEarlyRequests;
     private Phase phase = Phase.STARTING;
     /** Another process of this dispatcher serves: this one ends once its clients have moved to it. */
-    private boolean takenOver;
+    private boolean superseded;
     private boolean listenerClosed;
     /** Idle clients were half-closed, and the time for data still in flight from them has passed. */
     private boolean clientsHalfClosed;
@@ -52,7 +52,7 @@
         phase = next;
         core.effects.add(new Effect.Log(LogEvent.PHASE, next));
         core.availabilityMonitor.evaluate(core.now);
-        core.figuresPublisher.publish();
+        core.metricsPublisher.publish();
     }
 
     /** Starts to serve: a worker is known, or none can be learned of for now. */
@@ -75,20 +75,20 @@
         if (phase.compareTo(Phase.DRAINING) >= 0) {
             return;
         }
-        takenOver = anotherServes;
+        superseded = anotherServes;
         enter(Phase.DRAINING);
         boolean siblingUp = siblings.siblingUp(core.now);
-        core.listenUntil = core.now + (takenOver ? 0 : siblingUp ? schedule.handOverUs() : schedule.serveAloneUs());
+        core.listenUntil = core.now + (superseded ? 0 : siblingUp ? schedule.handOverUs() : schedule.serveAloneUs());
         core.answersDueAt = core.now + schedule.finishUs();
         core.closingEndsAt = core.now + schedule.closeUs();
-        if (takenOver) {
+        if (superseded) {
             core.module.superseded();
             core.effects.add(new Effect.CloseSiblingSocket());
         } else {
             siblings.announceLeaving(core.now);
         }
         core.timers.at(core.listenUntil, t -> core.effects.add(new Effect.StopListening()));
-        long keepAliveUntil = takenOver ? core.now + schedule.serveAloneUs() : core.listenUntil;
+        long keepAliveUntil = superseded ? core.now + schedule.serveAloneUs() : core.listenUntil;
         core.timers.at(keepAliveUntil, t -> core.effects.add(new Effect.HalfCloseIdleClients()));
         core.timers.at(keepAliveUntil + IN_FLIGHT_US, t -> readRemaining());
         core.timers.at(core.answersDueAt, t -> giveUpAll());
@@ -137,7 +137,7 @@
 
     /** Enters the next phase if the current one has nothing left to do. Called after each event. */
     void advance() {
-        if (phase == Phase.DRAINING && takenOver && listenerClosed && !clientsHalfClosed && core.clients.size() == 0) {
+        if (phase == Phase.DRAINING && superseded && listenerClosed && !clientsHalfClosed && core.clients.size() == 0) {
             readRemaining();
         }
         if (phase == Phase.DRAINING && clientsRead && (listenerClosed || core.now >= core.answersDueAt)) {
--- a/src/main/java/granitefold/core/FiguresPublisher.java
+++ b/src/main/java/granitefold/core/MetricsPublisher.java
@@ -5,61 +5,61 @@
 import granitefold.figures.MetricsCollector;
 import java.util.List;
 
-/** Counts the figures and publishes them at an interval. Does nothing if nobody can request them. */
-final class FiguresPublisher {
-    /** Well below the half second that figures may be old when they are read. */
+/** Collects metrics and publishes them at an interval. Does nothing if there is no endpoint to read them. */
+final class MetricsPublisher {
+    /** Well below the half second that metrics may be old when they are read. */
     static final long INTERVAL_US = 100_000;
 
     private final Reducer reducer;
     private final Timers timers;
     private final List<Effect> effects;
-    private final MetricsCollector tally;
+    private final MetricsCollector collector;
 
-    FiguresPublisher(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
-        tally = on ? new MetricsCollector(classes) : null;
+    MetricsPublisher(boolean on, int classes, Reducer reducer, Timers timers, List<Effect> effects) {
+        collector = on ? new MetricsCollector(classes) : null;
         this.reducer = reducer;
         this.timers = timers;
         this.effects = effects;
     }
 
     void opened(long now) {
-        if (tally != null) {
+        if (collector != null) {
             publish();
             timers.at(now + INTERVAL_US, this::opened);
         }
     }
 
-    /** Publishes the current figures, also between intervals after an important change. */
+    /** Publishes the current metrics, also between intervals after an important change. */
     void publish() {
-        if (tally != null) {
+        if (collector != null) {
             Dispatcher.WorkerCounts counts = reducer.workerCounts();
-            MetricsSnapshot f = tally.snapshot(reducer.owed(), counts.listed(), counts.avoided(), reducer.ready());
-            effects.add(new Effect.PublishFigures(f));
+            MetricsSnapshot metrics = collector.snapshot(reducer.owed(), counts.listed(), counts.avoided(), reducer.ready());
+            effects.add(new Effect.PublishMetrics(metrics));
         }
     }
 
     void answering(long client, int jobClass, FinalAnswer answer) {
-        if (tally != null) {
-            tally.replyStarted(client, jobClass, answer instanceof FinalAnswer.Served ? MetricsCollector.ReplyOutcome.SUCCESS
+        if (collector != null) {
+            collector.replyStarted(client, jobClass, answer instanceof FinalAnswer.Served ? MetricsCollector.ReplyOutcome.SUCCESS
                     : answer instanceof FinalAnswer.Rejected ? MetricsCollector.ReplyOutcome.OVERLOAD : MetricsCollector.ReplyOutcome.ERROR);
         }
     }
 
     void written(long client) {
-        if (tally != null) {
-            tally.replyWritten(client);
+        if (collector != null) {
+            collector.replyWritten(client);
         }
     }
 
     void closed(long client) {
-        if (tally != null) {
-            tally.clientClosed(client);
+        if (collector != null) {
+            collector.clientClosed(client);
         }
     }
 
     void dispatched() {
-        if (tally != null) {
-            tally.attemptDispatched();
+        if (collector != null) {
+            collector.attemptDispatched();
         }
     }
 }
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -64,7 +64,7 @@
         registry = new WorkerRegistry(core);
         attempts = new Attempts(core, requests, registry);
         core.availabilityMonitor = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
-        core.figuresPublisher = new FiguresPublisher(features.figures(), settings.classes().size(), this, core.timers, core.effects);
+        core.metricsPublisher = new MetricsPublisher(features.metrics(), settings.classes().size(), this, core.timers, core.effects);
         core.health = features.health() == null ? null : new WorkerHealth(features.health(), seed, core.timers, core.effects);
         core.module = new DispatchPolicy(settings, seed, new ModuleActions(core, requests, attempts));
         core.statePersistence = features.persistence() == null ? null
@@ -172,14 +172,14 @@
         } else if (event instanceof Event.AnsweredLocally e) {
             core.clients.answering(e.client(), core.now);
         } else if (event instanceof Event.AnswerWritten e) {
-            core.figuresPublisher.written(e.client());
+            core.metricsPublisher.written(e.client());
             core.clients.written(e.client(), e.last(), core.now);
         } else if (event instanceof Event.ClientHalfClosed e) {
             core.clients.halfClosed(e.client(), core.now);
         } else if (event instanceof Event.ClientClosed e) {
             core.trace.clientClosed(e.client(), e.reason());
             early.remove(e.client());
-            core.figuresPublisher.closed(e.client());
+            core.metricsPublisher.closed(e.client());
             core.clients.closed(e.client());
             requests.clientGone(e.client());
         } else if (event instanceof Event.WorkerConnected e) {
@@ -193,7 +193,7 @@
         } else if (event instanceof Event.RequestNotSent e) {
             attempts.notSent(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestWritten e) {
-            core.figuresPublisher.dispatched();
+            core.metricsPublisher.dispatched();
             attempts.written(core.pool.get(e.connection()));
         } else if (event instanceof Event.AttemptUpdated e) {
             attempts.attemptUpdated(core.pool.get(e.connection()), e.update());
@@ -219,7 +219,7 @@
                 core.module.messageReceived(core.now, e.from(), e.message());
             }
         } else if (event instanceof Event.ShutdownRequested e) {
-            lifecycle.shutdownRequested(e.takenOver());
+            lifecycle.shutdownRequested(e.superseded());
         } else if (event instanceof Event.ListenerClosed e) {
             lifecycle.listenerClosed(e.emptied());
         } else if (event instanceof Event.ResourcesSampled e) {
@@ -253,7 +253,7 @@
         core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_LIST_TIMEOUT_US : START_TIMEOUT_US),
                 t -> core.effects.add(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)));
         sweep(core.now);
-        core.figuresPublisher.opened(core.now);
+        core.metricsPublisher.opened(core.now);
         if (core.statePersistence != null) {
             core.statePersistence.begin(core.now);
         }
@@ -269,7 +269,7 @@
         lifecycle.serve();
         submitEarlyRequests();
         if (first) {
-            core.figuresPublisher.publish();
+            core.metricsPublisher.publish();
         }
     }
 
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -70,8 +70,8 @@
             // normally the module has answered long before; this guarantees an answer in any case
             giveUp(context);
         });
-        core.module.requested(core.now, new Dispatcher.Request(context.id, submitted.jobClass(), submitted.tenant(), context.moduleDeadline - core.now,
-                submitted.workUs(), submitted.slots(), submitted.memory(), submitted.key()));
+        core.module.requested(core.now, new Dispatcher.Request(context.id, submitted.jobClass(), submitted.tenant(),
+                context.moduleDeadline - core.now, submitted.workUs(), submitted.slots(), submitted.memory(), submitted.key()));
     }
 
     void clientGone(long client) {
@@ -101,7 +101,7 @@
     private void reply(long client, Submission submitted, FinalAnswer answer) {
         core.trace.answered(submitted.name(), answer);
         core.clients.answering(client, core.now);
-        core.figuresPublisher.answering(client, submitted.jobClass(), answer);
+        core.metricsPublisher.answering(client, submitted.jobClass(), answer);
         core.availabilityMonitor.answered(answer, core.now);
         core.effects.add(new Effect.Answer(client, answer, core.now >= core.listenUntil || core.availabilityMonitor.closesClients()));
     }
--- a/src/main/java/granitefold/core/StatusReport.java
+++ b/src/main/java/granitefold/core/StatusReport.java
@@ -19,6 +19,7 @@
  * @param answersPerSecond recent rate of answers
  * @param served requests served since the start; likewise {@code rejected} and {@code failed}
  */
-public record StatusReport(AvailabilityReport verdict, Phase phase, RequestedMode requestedMode, int owed, int clients, int readyWorkers, int downWorkers, boolean panic,
-        boolean confirmed, long listVersion, long listAgeUs, long watchSilentUs, double waitRatio, double rejectShare, double answersPerSecond,
-        ResourceUsage resources, long uptimeUs, long served, long rejected, long failed) { }
+public record StatusReport(AvailabilityReport availability, Phase phase, RequestedMode requestedMode, int owed, int clients,
+        int readyWorkers, int downWorkers, boolean panic, boolean confirmed, long listVersion, long listAgeUs, long watchSilentUs,
+        double waitRatio, double rejectShare, double answersPerSecond, ResourceUsage resources, long uptimeUs, long served,
+        long rejected, long failed) { }
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -18,9 +18,9 @@
         core = coreContext;
     }
 
-    void listed(ListUpdate news, WorkerList list) {
+    void listed(ListUpdate update, WorkerList list) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        if (news != ListUpdate.CHANGES) {
+        if (update != ListUpdate.CHANGES) {
             core.workers.values().forEach(worker -> worker.state = State.GONE);
         } else {
             // drains by an older list are reverted, unless this list repeats them
@@ -43,8 +43,8 @@
         }
         core.workers.values().stream().filter(worker -> worker.state != State.READY).forEach(core.pool::closeIdle);
         core.workers.values().removeIf(worker -> worker.state == State.GONE && worker.open == 0);
-        core.module.listUpdated(core.now, news, workers);
-        core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), news,
+        core.module.listUpdated(core.now, update, workers);
+        core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), update,
                 core.workers.values().stream().filter(worker -> worker.state == State.READY).count()));
         if (core.health != null) {
             healthChanged(core.health.listed(core.workers.values(), core.now));
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -103,7 +103,7 @@
         }
         int each = Math.max(SPARE + 1, (config.sockets() - RESERVED - checks) / 2);
         bounds = new Reducer.Bounds(each, each - SPARE, each, config.connectTimeoutUs(), config.idleCloseUs());
-        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withFigures(ops));
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withMetrics(ops));
     }
 
     /** Opens the sockets and begins; from the main thread. */
@@ -343,8 +343,8 @@
             keeper.accept(e.learned());
         } else if (effect instanceof Effect.PublishReport e) {
             insight.publish(e.report());
-        } else if (effect instanceof Effect.PublishFigures e) {
-            figures = e.figures();
+        } else if (effect instanceof Effect.PublishMetrics e) {
+            figures = e.metrics();
             if (company != null && figures.ready()) {
                 company.enter();
             }
--- a/src/main/java/granitefold/net/StatusReporter.java
+++ b/src/main/java/granitefold/net/StatusReporter.java
@@ -86,7 +86,7 @@
 
     /** Fields for an answer to a client. */
     List<HttpField> fields(ClientConnection client) {
-        boolean leaves = clients.envoyHeaders() && published != null && !published.report().verdict().status().acceptsTraffic();
+        boolean leaves = clients.envoyHeaders() && published != null && !published.report().availability().status().acceptsTraffic();
         if (!leaves && !client.wantsMetrics()) {
             return List.of();
         }
--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -220,7 +220,7 @@
         if (silent(p)) {
             return AgentLine.silent();
         }
-        AvailabilityReport v = p.report().verdict();
+        AvailabilityReport v = p.report().availability();
         boolean leaves = v.status() == AvailabilityStatus.DRAINING || v.status() == AvailabilityStatus.MAINT;
         if (away && !leaves) {
             // each balancer that polls must hear that the drain was withdrawn, also those that ask seldom
@@ -255,13 +255,13 @@
      */
     private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport p, boolean verbose) {
         StatusReport r = p == null ? null : p.report();
-        AvailabilityStatus s = r == null ? AvailabilityStatus.STARTING : r.verdict().status();
+        AvailabilityStatus s = r == null ? AvailabilityStatus.STARTING : r.availability().status();
         boolean leaves = s == AvailabilityStatus.DRAINING || s == AvailabilityStatus.MAINT;
         int status = silent(p) ? 503 : s.acceptsTraffic() ? 200 : leaves ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
         if (leaves) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (s.acceptsTraffic() && r.verdict().impaired()) {
+        } else if (s.acceptsTraffic() && r.availability().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
         String text = s.name().toLowerCase(Locale.ROOT) + "\n";
@@ -271,7 +271,7 @@
                     + line("operator", r.requestedMode() == RequestedMode.READY, r.requestedMode().name())
                     + line("discovery", r.confirmed(), "the list is a saved one")
                     + line("peers", r.readyWorkers() > 0, "none is ready")
-                    + line("load", s != AvailabilityStatus.OVERLOADED, r.verdict().reason())
+                    + line("load", s != AvailabilityStatus.OVERLOADED, r.availability().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
--- a/src/main/java/granitefold/wire/LoadMetrics.java
+++ b/src/main/java/granitefold/wire/LoadMetrics.java
@@ -15,6 +15,6 @@
         return String.format(Locale.ROOT, "TEXT cpu_utilization=%.3f, mem_utilization=%.3f, application_utilization=%.3f,"
                 + " rps_fractional=%.1f, eps=%.1f, named_metrics.weight=%d, named_metrics.owed=%d",
                 Math.max(0, r.resources().cpuShare()), r.resources().heapShare(), r.waitRatio(), r.answersPerSecond(),
-                r.answersPerSecond() * r.rejectShare(), r.verdict().weightPercent(), r.owed());
+                r.answersPerSecond() * r.rejectShare(), r.availability().weightPercent(), r.owed());
     }
 }
--- a/src/main/java/granitefold/wire/ReportJson.java
+++ b/src/main/java/granitefold/wire/ReportJson.java
@@ -23,12 +23,12 @@
             g.writeStartObject();
             g.writeNumberField("version", VERSION);
             g.writeStringField("name", name);
-            g.writeStringField("standing", silent ? "SILENT" : r == null ? "STARTING" : r.verdict().status().name());
+            g.writeStringField("standing", silent ? "SILENT" : r == null ? "STARTING" : r.availability().status().name());
             if (r != null) {
-                g.writeNumberField("weight", silent ? 0 : r.verdict().weightPercent());
-                g.writeNumberField("maxconn", silent ? 0 : r.verdict().maxConnections());
-                g.writeStringField("reason", silent ? "the loop is silent" : r.verdict().reason());
-                g.writeBooleanField("impaired", r.verdict().impaired());
+                g.writeNumberField("weight", silent ? 0 : r.availability().weightPercent());
+                g.writeNumberField("maxconn", silent ? 0 : r.availability().maxConnections());
+                g.writeStringField("reason", silent ? "the loop is silent" : r.availability().reason());
+                g.writeBooleanField("impaired", r.availability().impaired());
                 g.writeStringField("phase", r.phase().name());
                 g.writeStringField("wish", r.requestedMode().name());
                 g.writeNumberField("owed", r.owed());
--- a/src/test/java/granitefold/core/FiguresTest.java
+++ b/src/test/java/granitefold/core/MetricsTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.Property;
 
 /** Whatever comes in whatever order, the figures are what a reckoning from the effects alone comes to. */
-class FiguresTest {
+class MetricsTest {
     private static final long SECOND = 1_000_000;
     private static final int CLASSES = 3, WORKERS = 3;
 
@@ -34,7 +34,7 @@
     private final Reducer reducer = new Reducer(new Settings(List.of(type(Dispatcher.Effect.SAFE),
             type(Dispatcher.Effect.KEYED), type(Dispatcher.Effect.UNSAFE)), List.of(), 0, 1, 0, false, true, 0, 5_000,
             new Limits(4, false, true, false, false, SECOND), new Rules(3 * SECOND, 20_000, 0.3, SECOND, 3, SECOND, 0),
-            new Prices(0, 0, SECOND)), new Reducer.Bounds(12, 8, 8, 120_000, 10 * SECOND), 1, OptionalFeatures.NONE.withFigures(true));
+            new Prices(0, 0, SECOND)), new Reducer.Bounds(12, 8, 8, 120_000, 10 * SECOND), 1, OptionalFeatures.NONE.withMetrics(true));
     private final Random random = new Random();
     private final Map<Long, Integer> classes = new HashMap<>();
     private final Map<Long, Effect.Answer> writing = new HashMap<>();
@@ -69,8 +69,8 @@
                 close(c.client());
             } else if (e instanceof Effect.WakeAt w) {
                 wakeAt = w.at();
-            } else if (e instanceof Effect.PublishFigures c) {
-                last = c.figures();
+            } else if (e instanceof Effect.PublishMetrics c) {
+                last = c.metrics();
             }
         }
     }
@@ -163,7 +163,7 @@
         // until a round at which they are published and nothing else ends
         do {
             quiet = true;
-            now += FiguresPublisher.INTERVAL_US;
+            now += MetricsPublisher.INTERVAL_US;
             play(new Event.Woken());
         } while (!quiet);
         for (int c = 0; c < CLASSES; c++) {
