--- a/src/main/java/granitefold/core/Event.java
+++ b/src/main/java/granitefold/core/Event.java
@@ -21,6 +21,7 @@
 
     /** A whole request has arrived on a client connection. It waited unread for {@code unreadUs}, which counts against its client's deadline. */
     record RequestArrived(long client, Submission submission, long unreadUs) implements Event {
+        /** Creates an event for a request that was read at once. */
         public RequestArrived(long client, Submission submission) {
             this(client, submission, 0);
         }
@@ -63,6 +64,7 @@
 
     /** A worker connection was closed, has broken, or could not be opened; {@code reason} is for the log. */
     record WorkerClosed(long connection, String reason) implements Event {
+        /** Creates an event for a connection that the worker closed. */
         public WorkerClosed(long connection) {
             this(connection, "closed");
         }
--- a/src/main/java/granitefold/core/ModuleActions.java
+++ b/src/main/java/granitefold/core/ModuleActions.java
@@ -17,39 +17,39 @@
 
     @Override
     public void send(long request, long worker, long waitUs, long startUs) {
-        RequestContext c = requests.get(request);
-        Worker to = core.workers.get(worker);
-        if (c != null && to != null) {
-            attempts.send(c, to, waitUs, startUs);
+        RequestContext context = requests.get(request);
+        Worker target = core.workers.get(worker);
+        if (context != null && target != null) {
+            attempts.send(context, target, waitUs, startUs);
         }
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        RequestContext c = requests.get(request);
-        Attempt t = c == null || attempt >= c.attempts.size() ? null : c.attempts.get(attempt);
-        if (t != null && t.outcome == null) {
-            core.pool.drop(t);
-            attempts.endDeferred(t, Outcome.CANCELLED);
+        RequestContext context = requests.get(request);
+        Attempt target = context == null || attempt >= context.attempts.size() ? null : context.attempts.get(attempt);
+        if (target != null && target.outcome == null) {
+            core.pool.drop(target);
+            attempts.endDeferred(target, Outcome.CANCELLED);
         }
     }
 
     @Override
-    public void refuse(long request, long retryAfterUs, Dispatcher.Refusal why) {
-        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));
+    public void refuse(long request, long retryAfterUs, Dispatcher.Refusal reason) {
+        finish(request, new FinalAnswer.Rejected(retryAfterUs, reason));
     }
 
     @Override
     public void fail(long request) {
-        RequestContext c = requests.get(request);
-        finish(request, new FinalAnswer.Failed(c != null && core.now >= c.moduleDeadline));
+        RequestContext context = requests.get(request);
+        finish(request, new FinalAnswer.Failed(context != null && core.now >= context.moduleDeadline));
     }
 
     private void finish(long request, FinalAnswer answer) {
-        RequestContext c = requests.get(request);
-        if (c != null && !c.finished) {
-            requests.answer(c, answer);
-            requests.forget(c);
+        RequestContext context = requests.get(request);
+        if (context != null && !context.finished) {
+            requests.answer(context, answer);
+            requests.forget(context);
         }
     }
 
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public void sendToSibling(int worker, byte[] message) {
-        core.effects.add(new Effect.SendToSibling(worker, message));
+    public void sendToSibling(int sibling, byte[] message) {
+        core.effects.add(new Effect.SendToSibling(sibling, message));
     }
 
     @Override
--- a/src/main/java/granitefold/core/OptionalFeatures.java
+++ b/src/main/java/granitefold/core/OptionalFeatures.java
@@ -4,8 +4,15 @@
 import granitefold.health.HealthSettings;
 import granitefold.recovery.LearnedStateAgingSettings;
 
-/** Features that an operator's file enables; those of the first three that are off are null. {@code metrics}: metrics are
- * counted and published; {@code trace}: the course of each request and connection is logged. */
+/**
+ * Features that an operator's file enables.
+ *
+ * @param availability null if availability is not reported
+ * @param health null if the health of workers is not checked
+ * @param persistence null if no state is saved
+ * @param metrics whether metrics are collected and published
+ * @param trace whether the course of each request and connection is logged
+ */
 public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean metrics,
         boolean trace) {
     /** Saving of the learned state, at an interval in microseconds; {@code ageing} adapts it when it is restored. */
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -49,10 +49,12 @@
     public record Bounds(int clientConnections, int requests, int workerConnections, long connectTimeoutUs,
             long idleCloseUs) { }
 
+    /** Creates a reducer without optional features. */
     public Reducer(Settings settings, Bounds bounds, long seed) {
         this(settings, bounds, seed, OptionalFeatures.NONE);
     }
 
+    /** Creates a reducer; {@code seed} determines its random choices. */
     public Reducer(Settings settings, Bounds bounds, long seed, OptionalFeatures features) {
         core = new CoreContext(bounds, features.trace());
         core.guard = new ActionGuard(core, settings.classes(), settings.limits().secondCopies());
@@ -71,6 +73,7 @@
                 : new StatePersistence(features.persistence(), settings.classes(), core.module, core.timers, core.effects);
     }
 
+    /** Returns the current phase of the process. */
     public Phase phase() {
         return lifecycle.phase();
     }
--- a/src/main/java/granitefold/core/RequestTrace.java
+++ b/src/main/java/granitefold/core/RequestTrace.java
@@ -6,11 +6,11 @@
 
 /** Logs the course of each request (by its client's id), attempt and connection, if the operator has enabled it. */
 final class RequestTrace {
-    private final boolean on;
+    private final boolean enabled;
     private final List<Effect> effects;
 
-    RequestTrace(boolean on, List<Effect> effects) {
-        this.on = on;
+    RequestTrace(boolean enabled, List<Effect> effects) {
+        this.enabled = enabled;
         this.effects = effects;
     }
 
@@ -19,55 +19,55 @@
     }
 
     void clientOpened(long client) {
-        if (on) {
+        if (enabled) {
             log(LogEvent.CLIENT_OPENED, client);
         }
     }
 
     void clientClosed(long client, CloseReason reason) {
-        if (on) {
+        if (enabled) {
             log(LogEvent.CLIENT_CLOSED, client, reason);
         }
     }
 
-    void taken(RequestContext c, long now) {
-        if (on) {
-            log(LogEvent.REQUEST_TAKEN, c.submission.name(), c.id, c.client, c.submission.jobClass(), c.deadline - now);
+    void accepted(RequestContext request, long now) {
+        if (enabled) {
+            log(LogEvent.REQUEST_TAKEN, request.submission.name(), request.id, request.client, request.submission.jobClass(), request.deadline - now);
         }
     }
 
     void answered(String name, FinalAnswer answer) {
-        if (on) {
+        if (enabled) {
             log(LogEvent.REQUEST_ANSWERED, name, answer instanceof FinalAnswer.Served ? "Served" : answer.toString());
         }
     }
 
-    void abandoned(RequestContext c) {
-        if (on) {
-            log(LogEvent.REQUEST_ABANDONED, c.submission.name());
+    void abandoned(RequestContext request) {
+        if (enabled) {
+            log(LogEvent.REQUEST_ABANDONED, request.submission.name());
         }
     }
 
-    void begun(Attempt t) {
-        if (on) {
-            log(LogEvent.ATTEMPT_BEGUN, t.context.submission.name(), t.number, t.worker.name, t.connection == null ? "none" : t.connection.id);
+    void begun(Attempt attempt) {
+        if (enabled) {
+            log(LogEvent.ATTEMPT_BEGUN, attempt.context.submission.name(), attempt.number, attempt.worker.name, attempt.connection == null ? "none" : attempt.connection.id);
         }
     }
 
-    void sent(Attempt t, long waitUs) {
-        if (on) {
-            log(LogEvent.ATTEMPT_SENT, t.context.submission.name(), t.number, waitUs);
+    void sent(Attempt attempt, long waitUs) {
+        if (enabled) {
+            log(LogEvent.ATTEMPT_SENT, attempt.context.submission.name(), attempt.number, waitUs);
         }
     }
 
-    void ended(Attempt t, Outcome outcome) {
-        if (on) {
-            log(LogEvent.ATTEMPT_ENDED, t.context.submission.name(), t.number, outcome);
+    void ended(Attempt attempt, Outcome outcome) {
+        if (enabled) {
+            log(LogEvent.ATTEMPT_ENDED, attempt.context.submission.name(), attempt.number, outcome);
         }
     }
 
     void workerClosed(long connection, Object reason) {
-        if (on) {
+        if (enabled) {
             log(LogEvent.WORKER_CLOSED, connection, reason);
         }
     }
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -65,7 +65,7 @@
                 Math.max(core.now, deadline - ANSWER_MARGIN_US));
         contexts.put(context.id, context);
         owed.put(client, context);
-        core.trace.taken(context, core.now);
+        core.trace.accepted(context, core.now);
         context.timer = core.timers.at(context.deadline - ANSWER_MARGIN_US / 4, t -> {
             // normally the module has answered long before; this guarantees an answer in any case
             giveUp(context);
--- a/src/test/java/granitefold/core/DiscoveryWatchTest.java
+++ b/src/test/java/granitefold/core/DiscoveryWatchTest.java
@@ -15,42 +15,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The watch on virtual time, against an agent that does its worst. From whatever state, once the agent can be reached again and
- * goes on so, what it has is heard within the 6 s after which it counts as told; from SIGHUP within 4 s.
+ * The watch on discovery on virtual time, against an agent with all kinds of failures. From any state, once the agent is reachable
+ * and stays so, its list is received within the 6 s after which it is binding; after a change of address within 4 s.
  */
 class DiscoveryWatchTest {
-    private static final long MS = 1_000, SECOND = 1_000 * MS, TOLD_US = 6 * SECOND, MOVED_US = 4 * SECOND;
-    /** An agent says something every 2 s, and answers a call at once. */
+    private static final long MS = 1_000, SECOND = 1_000 * MS, BINDING_US = 6 * SECOND, ADDRESS_CHANGE_US = 4 * SECOND;
+    /** An agent sends a message every 2 s, and answers a call at once. */
     private static final long HEARTBEAT_US = 2 * SECOND, ANSWER_US = 5 * MS;
 
-    /** What becomes of calls, and of the watch that is open, in a spell. */
+    /** How the agent treats calls and the open watch during a period. */
     private enum Agent {
-        /** All is well. */
-        WELL,
-        /** Nothing comes back: dials hang, calls and open watches are silent. */
+        /** Answers and sends heartbeats. */
+        HEALTHY,
+        /** Nothing is received: connects hang, calls and open watches are silent. */
         SILENT,
         /** Calls are refused, open watches are reset. */
         REFUSING,
-        /** It answers with a list, and ends the call at once. */
-        CURT,
-        /** It answers with what makes no sense, at once. */
+        /** Answers with a message and ends the call at once. */
+        CLOSES_AFTER_MESSAGE,
+        /** Answers with malformed data at once. */
         BROKEN,
-        /** Calls come up and are ended after a while with nothing said. */
+        /** Calls are accepted and ended after a while without a message. */
         SLOW_TO_REFUSE
     }
 
     private final Timers timers = new Timers();
     private final List<Effect> effects = new ArrayList<>();
     private DiscoveryWatch watch;
-    private Agent agent = Agent.WELL;
+    private Agent agent = Agent.HEALTHY;
     private long now = 1_000 * SECOND;
     private int call;
     private boolean open;
-    private long heardAt;
+    private long receivedAt;
     private long calls;
-    private final PriorityQueue<Due> agenda = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+    private final PriorityQueue<Due> scheduled = new PriorityQueue<>(Comparator.comparingLong(Due::at));
 
-    private record Due(long at, LongConsumer what) { }
+    private record Due(long at, LongConsumer action) { }
 
     private void begin(long seed) {
         watch = new DiscoveryWatch("a", 1, seed, timers, effects);
@@ -58,8 +58,8 @@
         perform();
     }
 
-    private void at(long time, LongConsumer what) {
-        agenda.add(new Due(time, what));
+    private void at(long time, LongConsumer action) {
+        scheduled.add(new Due(time, action));
     }
 
     private void perform() {
@@ -71,53 +71,53 @@
             } else if (e instanceof Effect.OpenWatch) {
                 open = true;
                 calls++;
-                int mine = ++call;
-                answer(mine);
+                int ownCall = ++call;
+                answer(ownCall);
             }
         }
     }
 
-    private void answer(int mine) {
+    private void answer(int ownCall) {
         switch (agent) {
-            case WELL -> at(now + ANSWER_US, t -> speak(mine, true));
-            case REFUSING, BROKEN -> at(now + ANSWER_US, t -> end(mine));
-            case CURT -> at(now + ANSWER_US, t -> {
-                if (mine == call && open) {
+            case HEALTHY -> at(now + ANSWER_US, t -> send(ownCall, true));
+            case REFUSING, BROKEN -> at(now + ANSWER_US, t -> end(ownCall));
+            case CLOSES_AFTER_MESSAGE -> at(now + ANSWER_US, t -> {
+                if (ownCall == call && open) {
                     watch.received(null, true, t);
-                    end(mine);
+                    end(ownCall);
                 }
             });
-            case SLOW_TO_REFUSE -> at(now + 2_900 * MS, t -> end(mine));
+            case SLOW_TO_REFUSE -> at(now + 2_900 * MS, t -> end(ownCall));
             default -> { }
         }
     }
 
-    private void speak(int mine, boolean first) {
-        if (mine == call && open && (agent == Agent.WELL || first)) {
-            heardAt = now;
+    private void send(int ownCall, boolean first) {
+        if (ownCall == call && open && (agent == Agent.HEALTHY || first)) {
+            receivedAt = now;
             watch.received(null, true, now);
-            at(now + HEARTBEAT_US, t -> speak(mine, false));
+            at(now + HEARTBEAT_US, t -> send(ownCall, false));
         }
     }
 
-    private void end(int mine) {
-        if (mine == call && open) {
+    private void end(int ownCall) {
+        if (ownCall == call && open) {
             open = false;
             watch.ended("test", now);
             perform();
         }
     }
 
-    private void pass(long until) {
+    private void runUntil(long until) {
         while (true) {
-            long at = Math.min(agenda.isEmpty() ? Long.MAX_VALUE : agenda.peek().at(), timers.next());
+            long at = Math.min(scheduled.isEmpty() ? Long.MAX_VALUE : scheduled.peek().at(), timers.next());
             if (at > until) {
                 now = until;
                 return;
             }
             now = Math.max(now, at);
-            if (!agenda.isEmpty() && agenda.peek().at() == at) {
-                agenda.poll().what().accept(now);
+            if (!scheduled.isEmpty() && scheduled.peek().at() == at) {
+                scheduled.poll().action().accept(now);
             } else {
                 timers.due(now).accept(now);
             }
@@ -125,7 +125,7 @@
         }
     }
 
-    private void become(Agent next) {
+    private void setAgent(Agent next) {
         agent = next;
         if (next == Agent.REFUSING) {
             end(call);
@@ -133,62 +133,62 @@
     }
 
     @Property(tries = 1_000)
-    void whatDiscoveryHasIsHeardInTimeFromWhateverState(@ForAll long seed, @ForAll @Size(min = 1, max = 8) List<Agent> spells,
+    void theListIsReceivedInTimeFromAnyState(@ForAll long seed, @ForAll @Size(min = 1, max = 8) List<Agent> periods,
             @ForAll @Size(8) List<@IntRange(min = 0, max = 9_000) Integer> lengths) {
         begin(seed);
-        for (int i = 0; i < spells.size(); i++) {
-            become(spells.get(i));
-            pass(now + lengths.get(i) * MS);
+        for (int i = 0; i < periods.size(); i++) {
+            setAgent(periods.get(i));
+            runUntil(now + lengths.get(i) * MS);
         }
-        become(Agent.WELL);
+        setAgent(Agent.HEALTHY);
         long since = now;
-        heardAt = 0;
-        pass(since + TOLD_US);
-        assertTrue(heardAt > since, "nothing was heard for 6 s after " + spells + " " + lengths);
-        long last = heardAt;
-        pass(now + TOLD_US);
-        assertTrue(heardAt > last, "and it goes on");
+        receivedAt = 0;
+        runUntil(since + BINDING_US);
+        assertTrue(receivedAt > since, "nothing was received for 6 s after " + periods + " " + lengths);
+        long last = receivedAt;
+        runUntil(now + BINDING_US);
+        assertTrue(receivedAt > last, "messages keep coming");
     }
 
     @Property(tries = 500)
-    void fromAnotherAddressItIsHeardSooner(@ForAll long seed, @ForAll Agent before, @ForAll @IntRange(min = 0, max = 9_000) int length) {
+    void afterAnAddressChangeTheListIsReceivedSooner(@ForAll long seed, @ForAll Agent before, @ForAll @IntRange(min = 0, max = 9_000) int length) {
         begin(seed);
-        become(before);
-        pass(now + length * MS);
-        become(Agent.WELL);
+        setAgent(before);
+        runUntil(now + length * MS);
+        setAgent(Agent.HEALTHY);
         long since = now;
-        heardAt = 0;
+        receivedAt = 0;
         watch.changeAddress("b", now);
         perform();
-        pass(since + MOVED_US);
-        assertTrue(heardAt > since);
+        runUntil(since + ADDRESS_CHANGE_US);
+        assertTrue(receivedAt > since);
     }
 
-    /** The agent is on the same machine, but a storm of calls would still cost both what little time they have. */
+    /** The agent is on the same machine: a storm of calls would cost both sides processor time. */
     @Test
-    void callsHaveABudgetWhateverBecomesOfThem() {
-        for (Agent a : List.of(Agent.REFUSING, Agent.CURT, Agent.BROKEN, Agent.SILENT)) {
-            become(a);
+    void callsAreLimitedHoweverTheyEnd() {
+        for (Agent a : List.of(Agent.REFUSING, Agent.CLOSES_AFTER_MESSAGE, Agent.BROKEN, Agent.SILENT)) {
+            setAgent(a);
             begin(7);
             calls = 0;
-            pass(now + 60 * SECOND);
+            runUntil(now + 60 * SECOND);
             assertTrue(calls >= 15 && calls <= 130, a + ": " + calls + " calls in a minute");
         }
     }
 
-    /** Processes that lose discovery at one moment do not all come back at one moment. */
+    /** Processes that lose discovery at the same time do not all reconnect at the same time. */
     @Test
-    void pausesDifferFromProcessToProcess() {
+    void backoffsDifferBetweenProcesses() {
         List<Long> at = new ArrayList<>();
         for (int seed = 0; seed < 20; seed++) {
-            Timers own = new Timers();
-            List<Effect> asked = new ArrayList<>();
-            DiscoveryWatch w = new DiscoveryWatch("a", 1, seed, own, asked);
-            w.open(now);
+            Timers ownTimers = new Timers();
+            List<Effect> ownEffects = new ArrayList<>();
+            DiscoveryWatch ownWatch = new DiscoveryWatch("a", 1, seed, ownTimers, ownEffects);
+            ownWatch.open(now);
             for (int i = 0; i < 6; i++) {
-                w.ended("refused", now);
-                at.add(own.next());
-                own.due(own.next()).accept(now);
+                ownWatch.ended("refused", now);
+                at.add(ownTimers.next());
+                ownTimers.due(ownTimers.next()).accept(now);
             }
         }
         assertTrue(at.stream().distinct().count() > 100, "of 120");
--- a/src/test/java/granitefold/core/MetricsTest.java
+++ b/src/test/java/granitefold/core/MetricsTest.java
@@ -22,7 +22,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Whatever comes in whatever order, the figures are what a reckoning from the effects alone comes to. */
+/** For random sequences of events, the metrics equal counts kept from the effects alone. */
 class MetricsTest {
     private static final long SECOND = 1_000_000;
     private static final int CLASSES = 3, WORKERS = 3;
@@ -75,51 +75,51 @@
         }
     }
 
-    private void close(long which) {
-        owed.remove(which);
-        writing.remove(which);
-        idle.remove(which);
-        play(new Event.ClientClosed(which));
+    private void close(long clientId) {
+        owed.remove(clientId);
+        writing.remove(clientId);
+        idle.remove(clientId);
+        play(new Event.ClientClosed(clientId));
     }
 
     private <T> T any(List<T> of) {
         return of.get(random.nextInt(of.size()));
     }
 
-    private void request(long which) {
+    private void request(long clientId) {
         int jobClass = random.nextInt(CLASSES);
-        classes.put(which, jobClass);
-        owed.add(which);
-        // ids come twice now and then, which is answered as failed
-        play(new Event.RequestArrived(which, new Submission("t" + (random.nextInt(20) == 0 ? 0 : which * 1000 + dispatches),
-                jobClass, 0, (1 + random.nextInt(4)) * SECOND, 50_000, 1, 0, 0, new Payload() { }, jobClass == 1 ? "k" + which : null)));
+        classes.put(clientId, jobClass);
+        owed.add(clientId);
+        // some ids are used twice, which is answered as failed
+        play(new Event.RequestArrived(clientId, new Submission("t" + (random.nextInt(20) == 0 ? 0 : clientId * 1000 + dispatches),
+                jobClass, 0, (1 + random.nextInt(4)) * SECOND, 50_000, 1, 0, 0, new Payload() { }, jobClass == 1 ? "k" + clientId : null)));
     }
 
     private void step() {
-        int what = random.nextInt(14);
-        if (what < 3) {
+        int choice = random.nextInt(14);
+        if (choice < 3) {
             play(new Event.ClientConnected(++client));
             request(client);
-        } else if (what == 3 && !idle.isEmpty()) {
-            Long which = any(idle);
-            idle.remove(which);
-            request(which);
-        } else if (what < 6 && !writing.isEmpty()) {
+        } else if (choice == 3 && !idle.isEmpty()) {
+            Long clientId = any(idle);
+            idle.remove(clientId);
+            request(clientId);
+        } else if (choice < 6 && !writing.isEmpty()) {
             Effect.Answer a = any(List.copyOf(writing.values()));
             writing.remove(a.client());
             replies[classes.get(a.client())][a.answer() instanceof FinalAnswer.Served ? 0
                     : a.answer() instanceof FinalAnswer.Rejected ? 1 : 2]++;
             idle.add(a.client());
             play(new Event.AnswerWritten(a.client(), false));
-        } else if (what == 6 && !owed.isEmpty()) {
+        } else if (choice == 6 && !owed.isEmpty()) {
             close(any(List.copyOf(owed)));
-        } else if (what == 7 && !writing.isEmpty()) {
+        } else if (choice == 7 && !writing.isEmpty()) {
             close(any(List.copyOf(writing.keySet())));
-        } else if (what < 10 && !connecting.isEmpty()) {
+        } else if (choice < 10 && !connecting.isEmpty()) {
             Effect.ConnectWorker c = any(connecting);
             connecting.remove(c);
             play(random.nextInt(5) == 0 ? new Event.WorkerClosed(c.connection()) : new Event.WorkerConnected(c.connection()));
-        } else if (what == 10 && !sending.isEmpty()) {
+        } else if (choice == 10 && !sending.isEmpty()) {
             Long c = any(sending);
             sending.remove(c);
             if (random.nextInt(5) == 0) {
@@ -129,7 +129,7 @@
                 dispatches++;
                 play(new Event.RequestWritten(c));
             }
-        } else if (what < 13 && !waiting.isEmpty()) {
+        } else if (choice < 13 && !waiting.isEmpty()) {
             Long c = any(waiting);
             waiting.remove(c);
             switch (random.nextInt(6)) {
@@ -149,7 +149,7 @@
     }
 
     @Property(tries = 150)
-    void figuresAreTrue(@ForAll long seed) {
+    void metricsMatchTheEffects(@ForAll long seed) {
         random.setSeed(seed);
         List<WorkerList.Entry> workers = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
@@ -160,7 +160,7 @@
         for (int i = 0; i < 400; i++) {
             step();
         }
-        // until a round at which they are published and nothing else ends
+        // until they are published in a step without further answers
         do {
             quiet = true;
             now += MetricsPublisher.INTERVAL_US;
@@ -173,7 +173,7 @@
         assertEquals(dispatches, last.dispatches());
         assertEquals(owed.size() + writing.size(), last.concurrent());
         assertEquals(WORKERS, last.targets());
-        assertTrue(last.targetsDisabled() >= 1 && last.targetsDisabled() <= WORKERS, "one drains");
+        assertTrue(last.targetsDisabled() >= 1 && last.targetsDisabled() <= WORKERS, "one worker is draining");
         assertTrue(last.ready());
     }
 }
--- a/src/test/java/granitefold/core/ReducerCase.java
+++ b/src/test/java/granitefold/core/ReducerCase.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A reducer on a clock of the test's own, and all effects that it asked for. */
+/** Base class of tests that drive a reducer on virtual time and collect its effects. */
 class ReducerCase {
     static final long SECOND = 1_000_000;
 
@@ -24,11 +24,11 @@
         effects.addAll(played(reducer, event, now));
     }
 
-    /** Takes an event in, and reports at once that the sockets were looked at and the listener closed, where that is asked for. */
+    /** Processes an event, and reports at once that the sockets were polled and the listener closed if the shutdown requests it. */
     static List<Effect> played(Reducer reducer, Event event, long now) {
         List<Effect> all = new ArrayList<>(reducer.reduce(event, now));
         for (int i = 0; i < all.size(); i++) {
-            if (all.get(i) instanceof Effect.PollSockets look && look.connection() == Effect.PollSockets.SHUTDOWN) {
+            if (all.get(i) instanceof Effect.PollSockets poll && poll.connection() == Effect.PollSockets.SHUTDOWN) {
                 all.addAll(reducer.reduce(new Event.SocketsPolled(Effect.PollSockets.SHUTDOWN), now));
             } else if (all.get(i) instanceof Effect.StopListening) {
                 all.addAll(reducer.reduce(new Event.ListenerClosed(true), now));
@@ -61,7 +61,8 @@
     }
 
     static Settings settings(long deadlineUs, JobClass... classes) {
-        return new Settings(classes.length > 0 ? List.of(classes) : List.of(new JobClass(Dispatcher.Effect.UNSAFE, Group.ALL, 0, SECOND, deadlineUs, 1, -1, 1, 0)),
+        return new Settings(classes.length > 0 ? List.of(classes) :
+                List.of(new JobClass(Dispatcher.Effect.UNSAFE, Group.ALL, 0, SECOND, deadlineUs, 1, -1, 1, 0)),
                 List.of(), 0, 1, 0, false, true, 0, 5_000, new Limits(4, false, true, false, false, SECOND),
                 new Rules(3 * SECOND, 20_000, 0.3, SECOND, 3, SECOND, 0), new Prices(0, 0, SECOND));
     }
--- a/src/test/java/granitefold/core/ReducerTest.java
+++ b/src/test/java/granitefold/core/ReducerTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What no socket can bring about at a chosen moment. */
+/** Orders of events that a test over sockets cannot produce at a chosen moment. */
 class ReducerTest extends ReducerCase {
-    /** What was kept past its use made room for nobody, and silent clients kept usual ones out. */
+    /** Guards against silent or finished connections that keep other clients out when the limit is reached. */
     @Test
-    void forWantOfRoomTheConnectionMissedLeastIsClosed() {
+    void atTheConnectionLimitTheLeastUsefulConnectionIsClosed() {
         request();
         for (long client = 10; client < 17; client++) {
             open(client);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aClientThatWasToldToCloseIsNotWaitedForLong() {
+    void aClientToldToCloseIsClosedAfterTheLingerTimeout() {
         open(7);
         play(new Event.AnsweredLocally(7));
         play(new Event.AnswerWritten(7, true));
@@ -42,9 +42,9 @@
         assertEquals(List.of(new Effect.CloseClient(7, CloseReason.LINGERED)), all(Effect.CloseClient.class));
     }
 
-    /** The client's time runs while its request waits to be read. */
+    /** The client's deadline runs while its request waits to be read. */
     @Test
-    void theTimeThatARequestWaitedUnreadIsTakenOffItsDeadline() {
+    void theTimeARequestWaitedUnreadIsSubtractedFromItsDeadline() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.WatchUpdated(null));
         open(7);
@@ -53,9 +53,9 @@
         assertEquals(now + SECOND - Requests.ANSWER_MARGIN_US, all(Effect.SendRequest.class).get(0).expiresAt());
     }
 
-    /** It was handed in as late as it had been read, and its answer came when its client had left. */
+    /** Guards against counting the deadline from the read: the answer came after the client had left. */
     @Test
-    void whatWaitedUnreadAndThenForDiscoveryIsAnsweredInTime() {
+    void aRequestThatWaitedUnreadAndForDiscoveryIsAnsweredInTime() {
         long leftUs = SECOND / 5;
         play(new Event.SocketsOpened(new WorkerList(0, true, List.of()), "127.0.0.1:2"));
         open(7);
@@ -65,9 +65,9 @@
         assertEquals(1, all(Effect.Answer.class).size());
     }
 
-    /** Retry storms end requests by the hundred; none may leave a timer behind until its deadline. */
+    /** Retry storms cancel hundreds of requests; none may keep a timer until its deadline. */
     @Test
-    void aRequestThatIsOverLeavesNoTimers() {
+    void aFinishedRequestLeavesNoTimers() {
         request();
         play(new Event.WorkerConnected(0));
         play(new Event.RequestWritten(0));
@@ -76,7 +76,7 @@
         assertTrue(wake < now + SECOND, "only the sweep is left");
     }
 
-    /** A restarted program has its last list, and clients wait for it. */
+    /** A restarted process has its saved list, and clients wait for it. */
     @Test
     void aKnownWorkerIsEnoughToServe() {
         play(new Event.SocketsOpened(list(State.DRAINING, true), "127.0.0.1:2"));
@@ -85,9 +85,9 @@
         assertEquals(Phase.SERVING, reducer.phase());
     }
 
-    /** Crowds that stop half way kept those out, or had them cut off, who write slowly but go on. */
+    /** Guards against stalled clients that displace clients which write slowly but steadily. */
     @Test
-    void whoGoesOnWritingIsKeptBeforeThoseWhoStopped() {
+    void aSlowWriterIsKeptRatherThanStalledClients() {
         request();
         for (long client = 10; client < 17; client++) {
             open(client);
@@ -103,15 +103,15 @@
             play(new Event.RequestContinued(client));
         }
         open(21);
-        assertEquals(16, all(Effect.CloseClient.class).get(1).client(), "an idle one loses no request");
+        assertEquals(16, all(Effect.CloseClient.class).get(1).client(), "closing an idle connection loses no request");
         now += ClientConnections.REQUEST_TIMEOUT_US - 2 * ClientConnections.SILENT_CONNECT_US;
         play(new Event.Woken());
-        assertTrue(all(Effect.TimeOutClient.class).contains(new Effect.TimeOutClient(10)), "but not for ever");
+        assertTrue(all(Effect.TimeOutClient.class).contains(new Effect.TimeOutClient(10)), "but the request times out");
     }
 
-    /** What the agent has counts as told from the first moment of a process, and the list of a former life is older. */
+    /** The agent's current list binds a process from its start, and the saved list of the previous process may be older. */
     @Test
-    void beforeDiscoverysFirstWordNothingIsSent() {
+    void nothingIsSentBeforeDiscoverysFirstMessage() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         assertEquals(Phase.SERVING, reducer.phase());
         request(7, "t");
@@ -123,22 +123,22 @@
         assertEquals(List.of("127.0.0.1:3"), all(Effect.ConnectWorker.class).stream().map(Effect.ConnectWorker::address).toList());
     }
 
-    /** It may be down: then there is no better list, once all that had come by then has been read. */
+    /** If discovery is down, the saved list is used after a timeout, once everything that had arrived by then is read. */
     @Test
-    void discoverysFirstWordIsNotWaitedForLong() {
+    void theWaitForDiscoverysFirstMessageTimesOut() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         request(7, "t");
         now += Reducer.FIRST_LIST_TIMEOUT_US;
         play(new Event.Woken());
-        assertEquals(0, all(Effect.ConnectWorker.class).size(), "a busy loop may have it in its sockets");
+        assertEquals(0, all(Effect.ConnectWorker.class).size(), "the list may have arrived without having been read");
         assertEquals(List.of(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)), all(Effect.PollSockets.class));
         play(new Event.SocketsPolled(Effect.PollSockets.NO_CONNECTION));
         assertEquals(1, all(Effect.ConnectWorker.class).size());
     }
 
-    /** Whose time is shorter than that wait has its answer in time all the same. */
+    /** A request whose deadline is shorter than that wait is answered in time. */
     @Test
-    void whoCannotWaitForDiscoverysFirstWordIsRejectedInTime() {
+    void aRequestThatCannotWaitForDiscoverysFirstMessageIsRejectedInTime() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         open(7);
         play(new Event.RequestArrived(7, new Submission("t", 0, 0, 100_000, 1_000, 1, 0, 0, new Payload() { })));
@@ -150,9 +150,9 @@
         assertEquals(0, all(Effect.ConnectWorker.class).size());
     }
 
-    /** Nothing was written: were it kept, the attempt would be out until its client's time was over. */
+    /** An attempt that was never written must not stay pending until the client's deadline. */
     @Test
-    void anAttemptWhoseClientHasGoneEndsUnsent() {
+    void anAttemptWhoseClientHasGoneEndsWithoutBeingSent() {
         request();
         play(new Event.WorkerConnected(0));
         assertEquals(7, all(Effect.SendRequest.class).get(0).client());
@@ -162,9 +162,9 @@
         assertEquals(1, all(Effect.SendRequest.class).size());
     }
 
-    /** A second answer that came a moment late was taken for the answer to the next request. */
+    /** Guards against taking a late second answer for the answer to the next request. */
     @Test
-    void aWorkerConnectionRestsBeforeItIsUsedAgain() {
+    void aWorkerConnectionIsNotReusedRightAway() {
         request();
         play(new Event.WorkerConnected(0));
         play(new Event.RequestWritten(0));
@@ -178,14 +178,15 @@
         assertEquals(0, all(Effect.SendRequest.class).get(1).connection());
     }
 
-    /** The connection came up late, and what may have run was sent again when repeats of it were no longer dropped. */
+    /** Guards against a repeat after the deduplication window of a job that may have run: its connection was opened too late. */
     @Test
-    void aRepeatIsNotSentOnceItsWindowHasRunOutWhileItsConnectionCameUp() {
+    void aRepeatIsNotSentIfItsWindowEndsWhileItsConnectionIsOpened() {
         for (boolean late : new boolean[] {false, true}) {
             effects.clear();
             Reducer r = new Reducer(settings(0, new JobClass(Dispatcher.Effect.KEYED, Group.ALL, SECOND, SECOND, 5 * SECOND, 1, -1, 1, 0)),
                     new Reducer.Bounds(8, 8, 8, 2 * SECOND, 10 * SECOND), 1);
-            for (Event e : List.of(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"), new Event.WatchUpdated(null), new Event.ClientConnected(7),
+            for (Event e : List.of(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"), new Event.WatchUpdated(null),
+                    new Event.ClientConnected(7),
                     new Event.RequestArrived(7, new Submission("t", 0, 0, 4 * SECOND, 1_000, 1, 0, 0, new Payload() { })),
                     new Event.WorkerConnected(0), new Event.RequestWritten(0))) {
                 effects.addAll(r.reduce(e, now));
@@ -196,11 +197,11 @@
             now += late ? 460_000 : 440_000;
             effects.addAll(r.reduce(new Event.WorkerConnected(1), now));
             assertEquals(late ? 1 : 2, all(Effect.SendRequest.class).size());
-            assertEquals(late ? 1 : 0, all(Effect.Answer.class).size(), "and its client hears at once");
+            assertEquals(late ? 1 : 0, all(Effect.Answer.class).size(), "its client is answered at once");
         }
     }
 
-    private long up(long version, boolean whole, State... states) {
+    private long readyAfter(long version, boolean whole, State... states) {
         List<WorkerList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < states.length; i++) {
             entries.add(new WorkerList.Entry("p" + i, "127.0.0.1:1", states[i], 1, 0, 0, 0, 0));
@@ -210,45 +211,45 @@
         return (Long) lists.get(lists.size() - 1).values()[2];
     }
 
-    private long refused() {
+    private long rejections() {
         return all(Effect.Log.class).stream().filter(l -> l.event() == LogEvent.DISCOVERY_REFUSED).count();
     }
 
-    /** An agent that has lost its list took all workers away until the next one came. */
+    /** Guards against an agent that has lost its list and removes all workers. */
     @Test
-    void anEmptyWholeListTakesNoWorkersAway() {
+    void anEmptyWholeListRemovesNoWorkers() {
         play(new Event.SocketsOpened(new WorkerList(0, true, List.of()), "127.0.0.1:2"));
-        assertEquals(2, up(3, true, State.READY, State.READY));
-        assertEquals(2, up(4, true));
-        assertEquals(2, up(5, true));
-        assertEquals(1, refused(), "one line for the change of state");
-        assertEquals(1, up(6, true, State.READY), "others go on as ever");
-        assertEquals(1, up(7, false), "a change may hold nothing");
+        assertEquals(2, readyAfter(3, true, State.READY, State.READY));
+        assertEquals(2, readyAfter(4, true));
+        assertEquals(2, readyAfter(5, true));
+        assertEquals(1, rejections(), "one line for consecutive rejections");
+        assertEquals(1, readyAfter(6, true, State.READY), "other lists are accepted");
+        assertEquals(1, readyAfter(7, false), "a list of changes may be empty");
     }
 
-    /** An agent that lags behind brought back as ready what had been told to drain. */
+    /** Guards against a lagging agent that makes a draining worker ready again. */
     @Test
-    void anOlderListBringsBackNoWorkerToldToDrain() {
+    void anOlderListMakesNoDrainingWorkerReady() {
         play(new Event.SocketsOpened(new WorkerList(0, true, List.of()), "127.0.0.1:2"));
-        up(8, true, State.READY, State.DRAINING);
+        readyAfter(8, true, State.READY, State.DRAINING);
         play(new Event.DiscoveryAddressChanged("127.0.0.1:3"));
-        assertEquals(1, up(7, true, State.READY, State.READY));
-        assertEquals(1, up(7, false, State.READY, State.READY));
-        assertEquals(1, up(9, true), "empty as well");
-        assertEquals(1, refused(), "one line, whatever the reasons");
-        assertEquals(1, up(8, true, State.READY, State.DRAINING));
-        // but one that for as long as news may take has nothing newer has begun anew, and is asked for all it has
-        assertEquals(1, up(2, true, State.READY, State.READY));
+        assertEquals(1, readyAfter(7, true, State.READY, State.READY));
+        assertEquals(1, readyAfter(7, false, State.READY, State.READY));
+        assertEquals(1, readyAfter(9, true), "an empty list is rejected as well");
+        assertEquals(1, rejections(), "one line, although the reasons differ");
+        assertEquals(1, readyAfter(8, true, State.READY, State.DRAINING));
+        // an agent with only older lists for the longest possible lag has restarted its count, and is asked for the whole list
+        assertEquals(1, readyAfter(2, true, State.READY, State.READY));
         now += 6 * SECOND;
         play(new Event.WatchUpdated(null));
         List<Effect.OpenWatch> opened = all(Effect.OpenWatch.class);
         assertEquals(0, opened.get(opened.size() - 1).version());
-        assertEquals(2, up(2, true, State.READY, State.READY));
+        assertEquals(2, readyAfter(2, true, State.READY, State.READY));
     }
 
-    /** Connects take time, and the list may change meanwhile. */
+    /** The list may change while a connection is opened. */
     @Test
-    void aWorkerToldToDrainWhileItsConnectionCameUpGetsNothing() {
+    void aWorkerDrainedWhileItsConnectionIsOpenedGetsNoRequest() {
         request();
         assertEquals(1, all(Effect.ConnectWorker.class).size());
         play(new Event.WatchUpdated(list(State.DRAINING, false)));
@@ -256,9 +257,9 @@
         assertEquals(0, all(Effect.SendRequest.class).size());
     }
 
-    /** A machine that is cut off answers no connect at all: that attempt never ran, so another may follow. */
+    /** An isolated machine does not answer a connect: the attempt never ran, so another may follow. */
     @Test
-    void aSilentConnectEndsInTimeAndIsTriedAgain() {
+    void anUnansweredConnectTimesOutAndIsRetried() {
         request();
         now += 120_000;
         play(new Event.Woken());
@@ -268,20 +269,20 @@
         assertEquals(2, all(Effect.ConnectWorker.class).size());
     }
 
-    /** A loop that is slow, as after a start, had the time run out before it read the connects that were up long since. */
+    /** Guards against a slow event loop, as after a start, that times out connections before it notices that they are open. */
     @Test
-    void aConnectThatIsUpButNotYetReadIsNoDeadWorker() {
+    void anOpenConnectionThatWasNotNoticedYetIsNotTimedOut() {
         request();
         now += 130_000;
         play(new Event.SiblingMessage(0, new byte[0]));
-        assertEquals(0, all(Effect.CloseWorker.class).size(), "whatever event it was that let the time run out");
+        assertEquals(0, all(Effect.CloseWorker.class).size(), "whichever event makes the timeout due");
         play(new Event.WorkerConnected(0));
         play(new Event.SocketsPolled(0));
         assertEquals(0, all(Effect.CloseWorker.class).size());
         assertEquals(1, all(Effect.SendRequest.class).size());
     }
 
-    /** Whether the last byte was written tells what a break means: here the job may run, and must not run twice. */
+    /** After the last byte is written the job may run: if the connection breaks then, an unsafe job must not be repeated. */
     @Test
     void aBreakAfterTheLastByteFailsAnUnsafeJob() {
         request();
@@ -292,16 +293,16 @@
     }
 
     @Test
-    void aBreakBeforeTheLastByteIsTriedAgain() {
+    void aBreakBeforeTheLastByteIsRetried() {
         request();
         play(new Event.WorkerConnected(0));
         play(new Event.WorkerClosed(0));
         assertEquals(2, all(Effect.ConnectWorker.class).size());
     }
 
-    /** Workers that drop kept connections drop them together: each of the others would cost a request. */
+    /** Workers drop kept connections together: each of the other idle ones would cost another request. */
     @Test
-    void aKeptConnectionThatBreaksTakesTheOtherIdleOnesAlong() {
+    void aReusedConnectionThatBreaksClosesTheOtherIdleOnes() {
         request();
         request(8, "u");
         for (long connection = 0; connection < 2; connection++) {
@@ -317,9 +318,9 @@
         assertEquals(List.of(new Effect.CloseWorker(0)), all(Effect.CloseWorker.class));
     }
 
-    /** Siblings speak of workers by these: alike everywhere, and short enough for a message. */
+    /** Siblings name workers by these ids: they must be equal everywhere, and fit into a message. */
     @Test
-    void aWorkersIdComesFromItsNameAlone() {
+    void aWorkersIdDependsOnItsNameAlone() {
         assertEquals(Worker.id("s-5be2a07c"), Worker.id("s-5be2a07c"));
         assertTrue(Worker.id("s-5be2a07c") >= 0 && Worker.id("s-5be2a07c") < 1L << 42);
     }
--- a/src/test/java/granitefold/core/ShutdownTest.java
+++ b/src/test/java/granitefold/core/ShutdownTest.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A planned end on virtual time: who is served how long, and what is owed until when. */
+/** A graceful shutdown on virtual time: how long clients are served, and when open requests are answered. */
 class ShutdownTest extends ReducerCase {
-    private boolean handsOverEarly(byte[]... words) {
+    private boolean closesListenerEarly(byte[]... messages) {
         request();
-        for (byte[] word : words) {
-            play(new Event.SiblingMessage(1, word));
+        for (byte[] message : messages) {
+            play(new Event.SiblingMessage(1, message));
         }
         play(new Event.ShutdownRequested(false));
         now += SCHEDULE.handOverUs();
@@ -26,36 +26,36 @@
         return early;
     }
 
-    /** Closed early, connections of clients that have nowhere else to go were lost requests. */
+    /** Guards against requests lost because the listener closes while clients have no other dispatcher. */
     @Test
-    void aPlannedEndServesOnWhereNoSiblingIsThere() {
-        assertFalse(handsOverEarly());
+    void aShutdownKeepsServingIfNoSiblingIsUp() {
+        assertFalse(closesListenerEarly());
     }
 
-    /** Closed late, they would meet the sibling's own planned end, which mostly comes next. */
+    /** In a rolling restart the sibling usually shuts down next: clients that move late would meet that shutdown. */
     @Test
-    void aPlannedEndHandsClientsOverToASibling() {
-        assertTrue(handsOverEarly(new byte[0]));
+    void aShutdownHandsClientsOverToASibling() {
+        assertTrue(closesListenerEarly(new byte[0]));
     }
 
-    /** Its words for its last jobs passed for company: both listeners were closed for two seconds of a rolling restart. */
+    /** Guards against counting a leaving sibling as up by its last gossip: both listeners were closed for 2 s of a rolling restart. */
     @Test
-    void aSiblingThatLeavesIsNoCompany() {
-        assertFalse(handsOverEarly(new byte[0], new byte[] {'L', 'V', 1}, new byte[0]));
+    void aLeavingSiblingIsNotUp() {
+        assertFalse(closesListenerEarly(new byte[0], new byte[] {'L', 'V', 1}, new byte[0]));
     }
 
-    /** After the time that it may take it has ended, and what is heard of it is its next life. */
+    /** Once its shutdown timeout has passed, a sibling's messages come from its next process. */
     @Test
-    void aSiblingThatWasStartedAnewIsCompany() {
+    void aRestartedSiblingIsUp() {
         request();
         play(new Event.SiblingMessage(1, new byte[] {'L', 'V', 1}));
         now += SCHEDULE.killAfterUs();
-        assertTrue(handsOverEarly(new byte[0]));
+        assertTrue(closesListenerEarly(new byte[0]));
     }
 
-    /** Another process serves at the same address: whoever connects anew is its, and whoever is here is sent over. */
+    /** Another process serves at the same address: it gets all new connections, and clients of this one are told to reconnect. */
     @Test
-    void aRelievedProcessStopsListeningAtOnceAndGivesItsClientsBack() {
+    void aSupersededProcessClosesItsListenerAtOnceAndReleasesItsClients() {
         request();
         open(8);
         play(new Event.AnsweredLocally(8));
@@ -63,16 +63,16 @@
         play(new Event.ShutdownRequested(true));
         assertEquals(1, all(Effect.StopListening.class).size());
         assertEquals(1, all(Effect.CloseSiblingSocket.class).size());
-        assertEquals(0, all(Effect.HalfCloseIdleClients.class).size(), "a request may be on its way");
+        assertEquals(0, all(Effect.HalfCloseIdleClients.class).size(), "a request may be in flight");
         play(new Event.WorkerConnected(0));
         play(new Event.RequestWritten(0));
         play(new Event.AttemptUpdated(0, new AttemptUpdate.Served(new byte[0])));
-        assertTrue(all(Effect.Answer.class).get(0).close(), "its client connects anew, to the other one");
+        assertTrue(all(Effect.Answer.class).get(0).close(), "its client reconnects, to the other process");
         play(new Event.AnswerWritten(7, true));
         play(new Event.ClientClosed(7));
         now += SCHEDULE.serveAloneUs() - 1;
         play(new Event.Woken());
-        assertEquals(Phase.DRAINING, reducer.phase(), "one kept connection is idle still");
+        assertEquals(Phase.DRAINING, reducer.phase(), "one kept connection is still idle");
         now += 1;
         play(new Event.Woken());
         assertEquals(1, all(Effect.HalfCloseIdleClients.class).size());
@@ -82,30 +82,31 @@
         assertEquals(1, all(Effect.Stop.class).size());
     }
 
-    /** The platform kills a process by its classes' longest deadline, and ends were timed for 3 s and more. */
+    /** Guards against a shutdown timed for 3 s and more, while the kill follows the classes' longest deadline. */
     @Test
-    void aPlannedEndIsOverBeforeTheKillWhateverTheDeadlines() {
+    void aShutdownEndsBeforeTheKillWhateverTheDeadlines() {
         for (long deadline : new long[] {1, 200_000, SECOND, 2 * SECOND, 3 * SECOND, 60 * SECOND}) {
-            long killed = Math.min(3 * SECOND, deadline) + 700_000;
+            long killAt = Math.min(3 * SECOND, deadline) + 700_000;
             effects.clear();
             Reducer r = new Reducer(settings(deadline), new Reducer.Bounds(8, 8, 8, 120_000, 10 * SECOND), 1);
-            for (Event e : List.of(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"), new Event.WatchUpdated(null), new Event.ClientConnected(7),
+            for (Event e : List.of(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"), new Event.WatchUpdated(null),
+                    new Event.ClientConnected(7),
                     new Event.RequestArrived(7, new Submission("t", 0, 0, 9 * SECOND, 1_000, 1, 0, 0, new Payload() { })),
                     new Event.WorkerConnected(0), new Event.RequestWritten(0), new Event.ShutdownRequested(false))) {
                 effects.addAll(played(r, e, now));
             }
-            long told = now;
-            for (long at = 0; at < killed - 100_000; at += 10_000) {
-                effects.addAll(played(r, new Event.Woken(), told + at));
+            long requestedAt = now;
+            for (long at = 0; at < killAt - 100_000; at += 10_000) {
+                effects.addAll(played(r, new Event.Woken(), requestedAt + at));
             }
-            assertEquals(1, all(Effect.Answer.class).size(), "of " + deadline);
-            assertEquals(0, all(Effect.Stop.class).size(), "its client has not read that yet");
-            effects.addAll(played(r, new Event.Woken(), told + killed - 100_000));
-            assertEquals(1, all(Effect.Stop.class).size(), "of " + deadline);
+            assertEquals(1, all(Effect.Answer.class).size(), "deadline " + deadline);
+            assertEquals(0, all(Effect.Stop.class).size(), "its client has not read the answer yet");
+            effects.addAll(played(r, new Event.Woken(), requestedAt + killAt - 100_000));
+            assertEquals(1, all(Effect.Stop.class).size(), "deadline " + deadline);
         }
     }
 
-    /** Who halts with a client's bytes unread resets the connection, and the answer on it. */
+    /** A process that exits with a client's bytes unread resets the connection, which destroys the answer on it. */
     @Test
     void theProcessStaysUntilClientsHaveClosed() {
         request();
@@ -123,7 +124,7 @@
         play(new Event.AnswerWritten(7, true));
         play(new Event.ClientClosed(8));
         assertEquals(0, all(Effect.Stop.class).size());
-        // what turns up now is told so, and not sent on
+        // a request that arrives now is rejected and not forwarded
         open(9);
         play(new Event.RequestArrived(9, new Submission("u", 0, 0, SECOND, 1_000, 1, 0, 0, new Payload() { })));
         assertEquals(1, all(Effect.SendRequest.class).size());
@@ -133,9 +134,9 @@
         assertEquals(1, all(Effect.Stop.class).size());
     }
 
-    /** After a pause all of an end's timers are due in one turn: the process must not stop before it has looked into its sockets. */
+    /** After a pause of the process all shutdown timers are due at once: it must not stop before it has read its sockets. */
     @Test
-    void aPauseOverAllOfItsTimesDoesNotEndItUnseen() {
+    void aProcessPausedPastAllTimersReadsItsSocketsBeforeStopping() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.WatchUpdated(null));
         play(new Event.ShutdownRequested(false));
@@ -143,7 +144,7 @@
         effects.clear();
         effects.addAll(reducer.reduce(new Event.Woken(), now));
         assertEquals(1, all(Effect.StopListening.class).size());
-        assertEquals(0, all(Effect.Stop.class).size(), "its sockets were not looked at");
+        assertEquals(0, all(Effect.Stop.class).size(), "its sockets have not been read");
         open(9);
         request(9, "u");
         assertEquals(new Effect.Answer(9, FinalAnswer.Rejected.withDefaultRetry(Dispatcher.Refusal.ENDING), true), all(Effect.Answer.class).get(0));
@@ -152,9 +153,9 @@
         assertEquals(1, all(Effect.Stop.class).size());
     }
 
-    /** A call of accept fails for a moment: the listener is emptied once more, and the process stays for that. */
+    /** If accept fails for a moment, emptying the listener's backlog is retried, and the process waits for it. */
     @Test
-    void aListenerThatCouldNotBeEmptiedIsTriedAgain() {
+    void closingAListenerThatCouldNotBeEmptiedIsRetried() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.WatchUpdated(null));
         play(new Event.ShutdownRequested(false));
@@ -172,9 +173,9 @@
         assertEquals(1, all(Effect.Stop.class).size());
     }
 
-    /** Nobody is left: there is nothing to stay for. */
+    /** Without clients there is nothing to wait for. */
     @Test
-    void aRelievedProcessWithoutClientsEndsEarly() {
+    void aSupersededProcessWithoutClientsStopsEarly() {
         play(new Event.SocketsOpened(list(State.READY, true), "127.0.0.1:2"));
         play(new Event.ShutdownRequested(true));
         now += Lifecycle.IN_FLIGHT_US;
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -67,9 +67,9 @@
         {"rejects do not say when to come again", Rule.NO_RETRY_AFTER, BUSY,
             new Patch("wire/HttpMessages.java", "if (rejected.retryAfterUs() > 0) {", "if (rejected.retryAfterUs() < 0) {")},
         {"rejects are kept back until time is nearly over", Rule.DELAYED, BUSY,
-            new Patch("core/ModuleActions.java", "        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));",
+            new Patch("core/ModuleActions.java", "        finish(request, new FinalAnswer.Rejected(retryAfterUs, reason));",
                     "        RequestContext c = requests.get(request);\n        core.timers.at(c == null ? core.now : c.moduleDeadline - 50_000,\n"
-                            + "                t -> finish(request, new FinalAnswer.Rejected(retryAfterUs, why)));")},
+                            + "                t -> finish(request, new FinalAnswer.Rejected(retryAfterUs, reason)));")},
         {"what must not be repeated is", Rule.RESENT, SMALL + CLASSES + "steps = [ { do = break, to = [s0], at = 500ms } ]",
             new Patch("policy/SendGate.java", "return job.attempts.isEmpty() || type.effect()", "return now > 0 || type.effect()"), UNGUARDED},
         {"a key's window is not heeded", Rule.RESENT, "for = 5s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load { rate = 40, retries = 0 }\n"
