--- a/src/main/java/granitefold/core/RequestTrace.java
+++ b/src/main/java/granitefold/core/RequestTrace.java
@@ -50,7 +50,8 @@
 
     void begun(Attempt attempt) {
         if (enabled) {
-            log(LogEvent.ATTEMPT_BEGUN, attempt.context.submission.name(), attempt.number, attempt.worker.name, attempt.connection == null ? "none" : attempt.connection.id);
+            log(LogEvent.ATTEMPT_BEGUN, attempt.context.submission.name(), attempt.number, attempt.worker.name,
+                    attempt.connection == null ? "none" : attempt.connection.id);
         }
     }
 
