--- a/src/test/java/granitefold/state/FaultyStorage.java
+++ b/src/test/java/granitefold/state/FaultyStorage.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 
 /**
- * A folder in memory that does what disks do: what was not forced may be lost, torn or kept at a power loss, renames that
- * were not forced in any order, and each call may fail.
+ * A directory in memory that fails as disks do. At a power loss, content that was not forced may be lost, torn or kept, and
+ * renames that were not forced may each be lost or kept, in any combination. Each call may fail.
  */
 final class FaultyStorage implements Storage {
-    /** The power has gone: nothing after it happens. */
+    /** The power fails; nothing is executed after it. */
     static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
@@ -27,42 +27,42 @@
         }
     }
 
-    private interface Change {
-        void on(Map<String, Inode> names);
+    private interface NameChange {
+        void applyTo(Map<String, Inode> names);
     }
 
     private final SplittableRandom random;
-    private Map<String, Inode> names = new HashMap<>();
-    private Map<String, Inode> durable = new HashMap<>();
-    private final List<Change> unforced = new ArrayList<>();
-    /** Steps until the power goes, -1: it stays. */
-    int powerFor = -1;
-    /** Steps until a call fails, -1: none does. */
-    int failAt = -1;
-    int steps;
+    private Map<String, Inode> files = new HashMap<>();
+    private Map<String, Inode> durableFiles = new HashMap<>();
+    private final List<NameChange> unforcedChanges = new ArrayList<>();
+    /** Steps until the power fails; -1: never. */
+    int stepsToPowerLoss = -1;
+    /** Steps until a call fails; -1: never. */
+    int stepsToFailure = -1;
+    int stepCount;
 
     FaultyStorage(long seed) {
         random = new SplittableRandom(seed);
     }
 
     private void step() throws IOException {
-        steps++;
-        if (powerFor >= 0 && powerFor-- == 0) {
+        stepCount++;
+        if (stepsToPowerLoss >= 0 && stepsToPowerLoss-- == 0) {
             throw new PowerLoss();
         }
-        if (failAt >= 0 && failAt-- == 0) {
+        if (stepsToFailure >= 0 && stepsToFailure-- == 0) {
             throw new IOException("No space left on device");
         }
     }
 
-    private void change(Change c) {
-        c.on(names);
-        unforced.add(c);
+    private void change(NameChange c) {
+        c.applyTo(files);
+        unforcedChanges.add(c);
     }
 
     @Override
-    public byte[] read(String name, int most) {
-        Inode i = names.get(name);
+    public byte[] read(String name, int maxBytes) {
+        Inode i = files.get(name);
         return i == null ? null : i.bytes.clone();
     }
 
@@ -70,7 +70,7 @@
     public void write(String name, byte[] bytes) throws IOException {
         Inode i = new Inode(Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
         change(n -> n.put(name, i));
-        // a failure leaves a part of it
+        // A failure leaves a part of the content.
         step();
         i.bytes = bytes.clone();
     }
@@ -78,7 +78,7 @@
     @Override
     public void force(String name) throws IOException {
         step();
-        Inode i = names.get(name);
+        Inode i = files.get(name);
         if (i == null) {
             throw new IOException("missing");
         }
@@ -88,10 +88,10 @@
     @Override
     public void rename(String from, String to) throws IOException {
         step();
-        if (!names.containsKey(from)) {
+        if (!files.containsKey(from)) {
             throw new IOException("missing");
         }
-        Inode i = names.get(from);
+        Inode i = files.get(from);
         change(n -> {
             if (n.get(from) == i) {
                 n.remove(from);
@@ -103,47 +103,47 @@
     @Override
     public void forceDirectory() throws IOException {
         step();
-        durable = new HashMap<>(names);
-        unforced.clear();
+        durableFiles = new HashMap<>(files);
+        unforcedChanges.clear();
     }
 
-    /** What is there after the power has come back. */
-    void powerBack() {
-        Map<String, Inode> left = new HashMap<>(durable);
-        // journals write names in order or not: any of the changes may have made it
-        for (Change c : unforced) {
+    /** Replaces the directory by what a power loss leaves of it. */
+    void restorePower() {
+        Map<String, Inode> remaining = new HashMap<>(durableFiles);
+        // File systems need not write renames in order, so any of the changes may have become durable.
+        for (NameChange c : unforcedChanges) {
             if (random.nextBoolean()) {
-                c.on(left);
+                c.applyTo(remaining);
             }
         }
-        unforced.clear();
-        Map<String, Inode> after = new HashMap<>();
-        left.forEach((name, i) -> {
-            boolean all = i.durable.length == i.bytes.length && Arrays.equals(i.durable, i.bytes);
-            byte[] bytes = all ? i.bytes : switch (random.nextInt(3)) {
+        unforcedChanges.clear();
+        Map<String, Inode> restored = new HashMap<>();
+        remaining.forEach((name, i) -> {
+            boolean forced = i.durable.length == i.bytes.length && Arrays.equals(i.durable, i.bytes);
+            byte[] bytes = forced ? i.bytes : switch (random.nextInt(3)) {
                 case 0 -> i.durable;
                 case 1 -> i.bytes;
                 default -> {
-                    // as long as it was to be, with what was never written in it
+                    // The file has its full length, but its end was never written.
                     byte[] torn = Arrays.copyOf(i.bytes, i.bytes.length);
                     Arrays.fill(torn, random.nextInt(torn.length + 1), torn.length, (byte) 0);
                     yield torn;
                 }
             };
-            Inode n = new Inode(bytes);
-            n.durable = bytes;
-            after.put(name, n);
+            Inode inode = new Inode(bytes);
+            inode.durable = bytes;
+            restored.put(name, inode);
         });
-        names = after;
-        durable = new HashMap<>(after);
-        powerFor = -1;
-        failAt = -1;
+        files = restored;
+        durableFiles = new HashMap<>(restored);
+        stepsToPowerLoss = -1;
+        stepsToFailure = -1;
     }
 
     void put(String name, byte[] bytes) {
         Inode i = new Inode(bytes);
         i.durable = bytes;
-        names.put(name, i);
-        durable.put(name, i);
+        files.put(name, i);
+        durableFiles.put(name, i);
     }
 }
