--- a/src/main/java/granitefold/core/MetricsPublisher.java
+++ b/src/main/java/granitefold/core/MetricsPublisher.java
@@ -38,26 +38,26 @@
         }
     }
 
-    void answering(long client, int jobClass, FinalAnswer answer) {
+    void replyStarted(long client, int jobClass, FinalAnswer answer) {
         if (collector != null) {
             collector.replyStarted(client, jobClass, answer instanceof FinalAnswer.Served ? MetricsCollector.ReplyOutcome.SUCCESS
                     : answer instanceof FinalAnswer.Rejected ? MetricsCollector.ReplyOutcome.OVERLOAD : MetricsCollector.ReplyOutcome.ERROR);
         }
     }
 
-    void written(long client) {
+    void replyWritten(long client) {
         if (collector != null) {
             collector.replyWritten(client);
         }
     }
 
-    void closed(long client) {
+    void clientClosed(long client) {
         if (collector != null) {
             collector.clientClosed(client);
         }
     }
 
-    void dispatched() {
+    void attemptDispatched() {
         if (collector != null) {
             collector.attemptDispatched();
         }
--- a/src/main/java/granitefold/core/OptionalFeatures.java
+++ b/src/main/java/granitefold/core/OptionalFeatures.java
@@ -15,8 +15,8 @@
  */
 public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean metrics,
         boolean trace) {
-    /** Saving of the learned state, at an interval in microseconds; {@code ageing} adapts it when it is restored. */
-    public record Persistence(long intervalUs, LearnedStateAgingSettings ageing) { }
+    /** Saving of the learned state, at an interval in microseconds; {@code aging} adapts it when it is restored. */
+    public record Persistence(long intervalUs, LearnedStateAgingSettings aging) { }
 
     /** Returns a copy with metrics on or off. */
     public OptionalFeatures withMetrics(boolean on) {
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -175,14 +175,14 @@
         } else if (event instanceof Event.AnsweredLocally e) {
             core.clients.answering(e.client(), core.now);
         } else if (event instanceof Event.AnswerWritten e) {
-            core.metricsPublisher.written(e.client());
+            core.metricsPublisher.replyWritten(e.client());
             core.clients.written(e.client(), e.last(), core.now);
         } else if (event instanceof Event.ClientHalfClosed e) {
             core.clients.halfClosed(e.client(), core.now);
         } else if (event instanceof Event.ClientClosed e) {
             core.trace.clientClosed(e.client(), e.reason());
             early.remove(e.client());
-            core.metricsPublisher.closed(e.client());
+            core.metricsPublisher.clientClosed(e.client());
             core.clients.closed(e.client());
             requests.clientGone(e.client());
         } else if (event instanceof Event.WorkerConnected e) {
@@ -196,7 +196,7 @@
         } else if (event instanceof Event.RequestNotSent e) {
             attempts.notSent(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestWritten e) {
-            core.metricsPublisher.dispatched();
+            core.metricsPublisher.attemptDispatched();
             attempts.written(core.pool.get(e.connection()));
         } else if (event instanceof Event.AttemptUpdated e) {
             attempts.attemptUpdated(core.pool.get(e.connection()), e.update());
@@ -208,7 +208,7 @@
             DiscoveryWatch.ListAcceptance acceptance = watch.received(e.list(), !core.workers.isEmpty(), core.now);
             core.availabilityMonitor.discoveryUpdated(acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED, core.now);
             if (acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED) {
-                registry.listed(e.list().whole() ? ListUpdate.WHOLE : ListUpdate.CHANGES, e.list());
+                registry.listUpdated(e.list().whole() ? ListUpdate.WHOLE : ListUpdate.CHANGES, e.list());
             } else if (acceptance == DiscoveryWatch.ListAcceptance.DRAINS_ONLY) {
                 registry.applyDrains(e.list());
             }
@@ -245,7 +245,7 @@
     private void opened(WorkerList known, String discovery) {
         core.module.start(core.now);
         core.availabilityMonitor.opened(core.now);
-        registry.listed(ListUpdate.SAVED, known);
+        registry.listUpdated(ListUpdate.SAVED, known);
         watch = new DiscoveryWatch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -101,7 +101,7 @@
     private void reply(long client, Submission submitted, FinalAnswer answer) {
         core.trace.answered(submitted.name(), answer);
         core.clients.answering(client, core.now);
-        core.metricsPublisher.answering(client, submitted.jobClass(), answer);
+        core.metricsPublisher.replyStarted(client, submitted.jobClass(), answer);
         core.availabilityMonitor.answered(answer, core.now);
         core.effects.add(new Effect.Answer(client, answer, core.now >= core.listenUntil || core.availabilityMonitor.closesClients()));
     }
--- a/src/main/java/granitefold/core/SiblingTracker.java
+++ b/src/main/java/granitefold/core/SiblingTracker.java
@@ -22,7 +22,7 @@
     /** How long a leaving sibling can still gossip: it is killed by then. */
     private final long leavingTimeoutUs;
     private final boolean enabled;
-    private final int self;
+    private final int selfIndex;
     private final int siblingCount;
     private final Timers timers;
     private final List<Effect> effects;
@@ -32,7 +32,7 @@
     SiblingTracker(Settings settings, Timers timers, List<Effect> effects) {
         leavingTimeoutUs = ShutdownSchedule.of(settings.classes()).killAfterUs();
         enabled = settings.limits().siblingMessages();
-        self = settings.selfIndex();
+        selfIndex = settings.selfIndex();
         siblingCount = settings.siblings();
         this.timers = timers;
         this.effects = effects;
@@ -61,7 +61,7 @@
         for (int i = 0; enabled && i < REPEATS; i++) {
             timers.at(now + i * REPEAT_INTERVAL_US, t -> {
                 for (int s = 0; s < siblingCount; s++) {
-                    if (s != self) {
+                    if (s != selfIndex) {
                         effects.add(new Effect.SendToSibling(s, LEAVING));
                     }
                 }
--- a/src/main/java/granitefold/core/StatePersistence.java
+++ b/src/main/java/granitefold/core/StatePersistence.java
@@ -65,7 +65,7 @@
 
     /** Restores the saved state of a previous process. */
     void recovered(LearnedState saved, List<Dispatcher.Worker> list, long now) {
-        LearnedStateAging.Result aged = new LearnedStateAging(settings.ageing()).apply(saved, list, now);
+        LearnedStateAging.Result aged = new LearnedStateAging(settings.aging()).apply(saved, list, now);
         LearnedState state = aged.state();
         module.restore(now, state);
         state.keys().forEach(k -> previousKeys.merge(k.key(), k.until(), Math::max));
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -17,12 +17,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Drives the health board: turns its probes into effects and its changes into an overlay on discovery's list. A worker that
+ * Drives the health tracker: turns its probes into effects and its changes into an overlay on discovery's list. A worker that
  * is considered down is shown to the module as draining, so that it gets no new jobs; draining or gone in the list stays so.
  */
 final class WorkerHealth {
     private final HealthSettings settings;
-    private final WorkerHealthTracker board;
+    private final WorkerHealthTracker tracker;
     private final Timers timers;
     private final List<Effect> effects;
     /** The last health change of each worker that has had one. */
@@ -36,7 +36,7 @@
 
     WorkerHealth(HealthSettings settings, long seed, Timers timers, List<Effect> effects) {
         this.settings = settings;
-        board = new WorkerHealthTracker(settings, seed);
+        tracker = new WorkerHealthTracker(settings, seed);
         this.timers = timers;
         this.effects = effects;
     }
@@ -47,7 +47,7 @@
         probeDue(now);
     }
 
-    List<Change> listed(Collection<Worker> all, long now) {
+    List<Change> listUpdated(Collection<Worker> all, long now) {
         Set<Long> ready = all.stream().filter(worker -> worker.state == State.READY).map(worker -> worker.id)
                 .collect(Collectors.toCollection(LinkedHashSet::new));
         overlay.keySet().retainAll(ready);
@@ -59,24 +59,24 @@
             }
             return removed;
         });
-        return apply(board.updateWorkers(ready, now), now);
+        return apply(tracker.updateWorkers(ready, now), now);
     }
 
     List<Change> probed(long worker, boolean healthy, String reason, long now) {
         timers.cancel(timeouts.remove(worker));
-        return apply(board.onProbeResult(worker, healthy, reason, now), now);
+        return apply(tracker.onProbeResult(worker, healthy, reason, now), now);
     }
 
     List<Change> attemptEnded(long worker, Outcome outcome, long now) {
-        return apply(board.onAttemptOutcome(worker, outcome, now), now);
+        return apply(tracker.onAttemptOutcome(worker, outcome, now), now);
     }
 
     int down() {
-        return board.unhealthyCount();
+        return tracker.unhealthyCount();
     }
 
     boolean panic() {
-        return board.inPanicMode();
+        return tracker.inPanicMode();
     }
 
     /** Returns a listed worker as it is shown to the module. */
@@ -91,10 +91,10 @@
 
     private List<Change> apply(List<Change> changes, long now) {
         changes.forEach(change -> overlay.put(change.worker(), change));
-        if (board.inPanicMode() != panic) {
-            panic = board.inPanicMode();
+        if (tracker.inPanicMode() != panic) {
+            panic = tracker.inPanicMode();
             if (panic) {
-                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.unhealthyCount(), board.workerCount()));
+                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, tracker.unhealthyCount(), tracker.workerCount()));
             }
         }
         if (onChange != null) {
@@ -104,8 +104,8 @@
     }
 
     private void probeDue(long now) {
-        onChange.accept(apply(board.expireEjections(now), now));
-        for (long id : board.takeDueProbes(now)) {
+        onChange.accept(apply(tracker.expireEjections(now), now));
+        for (long id : tracker.takeDueProbes(now)) {
             effects.add(new Effect.StartProbe(id, workers.get(id).address));
             timeouts.put(id, timers.at(now + settings.timeoutUs(), t -> {
                 effects.add(new Effect.CancelProbe(id));
@@ -117,7 +117,7 @@
 
     private void schedule(long now) {
         timers.cancel(timer);
-        long at = board.nextWakeUpAt(now);
+        long at = tracker.nextWakeUpAt(now);
         timer = at == Long.MAX_VALUE ? null : timers.at(at, this::probeDue);
     }
 }
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -18,7 +18,7 @@
         core = coreContext;
     }
 
-    void listed(ListUpdate update, WorkerList list) {
+    void listUpdated(ListUpdate update, WorkerList list) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
         if (update != ListUpdate.CHANGES) {
             core.workers.values().forEach(worker -> worker.state = State.GONE);
@@ -47,7 +47,7 @@
         core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), update,
                 core.workers.values().stream().filter(worker -> worker.state == State.READY).count()));
         if (core.health != null) {
-            healthChanged(core.health.listed(core.workers.values(), core.now));
+            healthChanged(core.health.listUpdated(core.workers.values(), core.now));
         }
     }
 
