--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -3,45 +3,45 @@
 import granitefold.logging.LogEvent;
 
 /**
- * The phases of a process, and the one order in which a planned end goes through them. A step is over when what it had to bring
- * up has been seen, never because its time has passed: after a pause all times are over at once, and the sockets still hold what
- * came meanwhile.
+ * The phases of a process and the order in which a graceful shutdown passes through them. A phase ends only after the sockets have
+ * been read, never on a timer alone: after a pause of the process all timers are due at once, while the sockets still hold
+ * what arrived meanwhile.
  *
  * <pre>
- * DRAINING   the listener is closed once its queue is empty; resting clients are shut; what had come by then is read
- * FINISHING  each request taken gets its final answer, at the latest 0.4 s before the process may be killed
- * CLOSING    clients read their answers; what still comes is rejected
- * STOPPED    what had come to the sockets has been read, and nothing is owed
+ * DRAINING   the listener is closed once its backlog is empty; idle clients are half-closed; what had arrived by then is read
+ * FINISHING  each accepted request gets its final answer, at the latest 0.4 s before the process may be killed
+ * CLOSING    clients read their answers; further requests are rejected
+ * STOPPED    everything in the sockets has been read, and no answer is owed
  * </pre>
  */
 final class Lifecycle {
-    /** What clients sent to a connection that is shut comes in so much later at the most. */
-    static final long LAST_READ_US = 100_000;
-    /** A listener whose queue could not be emptied is tried again after this. */
-    static final long RETRY_US = 10_000;
+    /** The longest time that data sent by a client before it saw the half-close can take to arrive. */
+    static final long IN_FLIGHT_US = 100_000;
+    /** The time after which closing the listener is retried if its backlog could not be emptied. */
+    static final long LISTENER_RETRY_US = 10_000;
 
     private final CoreContext core;
     private final Requests requests;
     private final SiblingTracker siblings;
-    private final ShutdownSchedule ending;
-    /** Hands in requests that still wait for discovery's first word. */
-    private final Runnable handIn;
+    private final ShutdownSchedule schedule;
+    /** Passes on the requests that still wait for the first list of discovery. */
+    private final Runnable submitEarlyRequests;
     private Phase phase = Phase.STARTING;
-    /** Another process of this dispatcher serves: this one ends once its clients have gone over. */
-    private boolean relieved;
+    /** Another process of this dispatcher serves: this one ends once its clients have moved to it. */
+    private boolean superseded;
     private boolean listenerClosed;
-    /** Resting clients were shut, and the time for what they sent before is over. */
-    private boolean clientsShut;
-    /** Since then all that had come to the sockets was read. */
+    /** Idle clients were half-closed, and the time for data still in flight from them has passed. */
+    private boolean clientsHalfClosed;
+    /** The sockets were read completely after that. */
     private boolean clientsRead;
-    private boolean looking;
+    private boolean polling;
 
-    Lifecycle(CoreContext core, Requests requests, SiblingTracker siblings, ShutdownSchedule ending, Runnable handIn) {
+    Lifecycle(CoreContext core, Requests requests, SiblingTracker siblings, ShutdownSchedule schedule, Runnable submitEarlyRequests) {
         this.core = core;
         this.requests = requests;
         this.siblings = siblings;
-        this.ending = ending;
-        this.handIn = handIn;
+        this.schedule = schedule;
+        this.submitEarlyRequests = submitEarlyRequests;
     }
 
     Phase phase() {
@@ -51,11 +51,11 @@
     private void enter(Phase next) {
         phase = next;
         core.effects.add(new Effect.Log(LogEvent.PHASE, next));
-        core.attendance.evaluate(core.now);
-        core.books.publish();
+        core.availabilityMonitor.evaluate(core.now);
+        core.metricsPublisher.publish();
     }
 
-    /** A worker is known, or there is none to be known for now. */
+    /** Starts to serve: a worker is known, or none can be learned of for now. */
     void serve() {
         if (phase == Phase.STARTING) {
             enter(Phase.SERVING);
@@ -63,97 +63,97 @@
     }
 
     /**
-     * A planned end: clients are served on for a moment, or where no sibling is there to take them over for as long as jobs can
-     * still be done. Then the listener and idle connections go, and what is left open shortly before the process may be killed
-     * gets its final answer.
+     * Starts a graceful shutdown. If a sibling can take over the clients, they are served for a moment longer; otherwise for as
+     * long as jobs can still finish. Then the listener and idle connections are closed, and requests that are open shortly before
+     * the process may be killed get their final answer.
      *
-     * <p>Where another process of this dispatcher serves at the same address, the listener goes at once, so that every new
-     * connection is the other's. Clients that have one are sent over by what they are answered, since closing it might cross a
-     * request.
+     * <p>If another process of this dispatcher serves at the same address, the listener is closed at once, so that every new
+     * connection goes to that process. Connected clients are told to close by their next answer, since closing an idle connection
+     * could cross a request on its way.
      */
-    void terminated(boolean other) {
+    void shutdownRequested(boolean anotherServes) {
         if (phase.compareTo(Phase.DRAINING) >= 0) {
             return;
         }
-        relieved = other;
+        superseded = anotherServes;
         enter(Phase.DRAINING);
-        boolean company = siblings.company(core.now);
-        core.listensUntil = core.now + (relieved ? 0 : company ? ending.handOverUs() : ending.serveOnUs());
-        core.endsAt = core.now + ending.finishUs();
-        core.closesAt = core.now + ending.closeUs();
-        if (relieved) {
+        boolean siblingUp = siblings.siblingUp(core.now);
+        core.listenUntil = core.now + (superseded ? 0 : siblingUp ? schedule.handOverUs() : schedule.serveAloneUs());
+        core.answersDueAt = core.now + schedule.finishUs();
+        core.closingEndsAt = core.now + schedule.closeUs();
+        if (superseded) {
             core.module.superseded();
             core.effects.add(new Effect.CloseSiblingSocket());
         } else {
-            siblings.leave(core.now);
+            siblings.announceLeaving(core.now);
         }
-        core.timers.at(core.listensUntil, t -> core.effects.add(new Effect.StopListening()));
-        long keepsUntil = relieved ? core.now + ending.serveOnUs() : core.listensUntil;
-        core.timers.at(keepsUntil, t -> core.effects.add(new Effect.HalfCloseIdleClients()));
-        core.timers.at(keepsUntil + LAST_READ_US, t -> readOut());
-        core.timers.at(core.endsAt, t -> giveUpAll());
-        core.timers.at(core.closesAt, t -> look());
+        core.timers.at(core.listenUntil, t -> core.effects.add(new Effect.StopListening()));
+        long keepAliveUntil = superseded ? core.now + schedule.serveAloneUs() : core.listenUntil;
+        core.timers.at(keepAliveUntil, t -> core.effects.add(new Effect.HalfCloseIdleClients()));
+        core.timers.at(keepAliveUntil + IN_FLIGHT_US, t -> readRemaining());
+        core.timers.at(core.answersDueAt, t -> giveUpAll());
+        core.timers.at(core.closingEndsAt, t -> pollSockets());
     }
 
-    private void readOut() {
-        clientsShut = true;
-        look();
+    private void readRemaining() {
+        clientsHalfClosed = true;
+        pollSockets();
     }
 
     private void giveUpAll() {
-        handIn.run();
+        submitEarlyRequests.run();
         requests.giveUpAll();
     }
 
-    /** Asks for all that has come to the sockets by now. */
-    private void look() {
-        if (!looking) {
-            looking = true;
+    /** Requests a read of everything that the sockets hold by now. */
+    private void pollSockets() {
+        if (!polling) {
+            polling = true;
             core.effects.add(new Effect.PollSockets(Effect.PollSockets.SHUTDOWN));
         }
     }
 
-    /** All that had come to the sockets when that was asked for has been read. */
-    void looked() {
-        looking = false;
-        clientsRead |= clientsShut;
+    /** Everything that the sockets held at {@link #pollSockets} has been read. */
+    void socketsPolled() {
+        polling = false;
+        clientsRead |= clientsHalfClosed;
         if (phase == Phase.CLOSING && mayStop() && core.guard.mayStop(requests.owed())) {
             enter(Phase.STOPPED);
             core.effects.add(new Effect.Stop());
         }
     }
 
-    /** The listener's queue was taken in and the listener closed; or not all of it could be. */
+    /** The listener's backlog was accepted and the listener closed; not {@code emptied}: part of the backlog could not be accepted. */
     void listenerClosed(boolean emptied) {
         listenerClosed = emptied;
         if (!emptied) {
-            core.timers.at(core.now + RETRY_US, t -> core.effects.add(new Effect.StopListening()));
+            core.timers.at(core.now + LISTENER_RETRY_US, t -> core.effects.add(new Effect.StopListening()));
         }
     }
 
     private boolean mayStop() {
-        return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closesAt);
+        return requests.owed() == 0 && (core.clients.size() == 0 && listenerClosed || core.now >= core.closingEndsAt);
     }
 
-    /** Goes on to the next phase where all that the present one owes has been done; after each event. */
+    /** Enters the next phase if the current one has nothing left to do. Called after each event. */
     void advance() {
-        if (phase == Phase.DRAINING && relieved && listenerClosed && !clientsShut && core.clients.size() == 0) {
-            readOut();
+        if (phase == Phase.DRAINING && superseded && listenerClosed && !clientsHalfClosed && core.clients.size() == 0) {
+            readRemaining();
         }
-        if (phase == Phase.DRAINING && clientsRead && (listenerClosed || core.now >= core.endsAt)) {
+        if (phase == Phase.DRAINING && clientsRead && (listenerClosed || core.now >= core.answersDueAt)) {
             enter(Phase.FINISHING);
         }
         if (phase == Phase.FINISHING && requests.owed() == 0) {
             enter(Phase.CLOSING);
             core.guard.close();
-            if (core.recollection != null) {
-                // no more is learned: the disk has until the end of the process for it
-                core.recollection.give(core.now);
+            if (core.statePersistence != null) {
+                // nothing more is learned from here on, and the write has the rest of the process's time to finish
+                core.statePersistence.save(core.now);
             }
             core.effects.add(new Effect.HalfCloseAllClients());
         }
         if (phase == Phase.CLOSING && mayStop()) {
-            look();
+            pollSockets();
         }
     }
 }
--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -223,7 +223,7 @@
         if (stalled(latest)) {
             return AgentLine.silent();
         }
-        AvailabilityReport verdict = latest.report().verdict();
+        AvailabilityReport verdict = latest.report().availability();
         boolean takenOut = verdict.status() == AvailabilityStatus.DRAINING || verdict.status() == AvailabilityStatus.MAINT;
         if (wasTakenOut && !takenOut) {
             // Every balancer must learn that the drain was revoked, also those that poll rarely.
@@ -258,13 +258,13 @@
      */
     private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport latest, boolean verbose) {
         StatusReport report = latest == null ? null : latest.report();
-        AvailabilityStatus availability = report == null ? AvailabilityStatus.STARTING : report.verdict().status();
+        AvailabilityStatus availability = report == null ? AvailabilityStatus.STARTING : report.availability().status();
         boolean takenOut = availability == AvailabilityStatus.DRAINING || availability == AvailabilityStatus.MAINT;
         int status = stalled(latest) ? 503 : availability.acceptsTraffic() ? 200 : takenOut ? operator.http().drainStatus() : 503;
         HttpFields.Mutable fields = HttpFields.build();
         if (takenOut) {
             fields.add("x-envoy-immediate-health-check-fail", "true");
-        } else if (availability.acceptsTraffic() && report.verdict().impaired()) {
+        } else if (availability.acceptsTraffic() && report.availability().impaired()) {
             fields.add("x-envoy-degraded", "true");
         }
         String text = availability.name().toLowerCase(Locale.ROOT) + "\n";
@@ -274,7 +274,7 @@
                     + line("operator", report.requestedMode() == RequestedMode.READY, report.requestedMode().name())
                     + line("discovery", report.confirmed(), "the list is a saved one")
                     + line("peers", report.readyWorkers() > 0, "none is ready")
-                    + line("load", availability != AvailabilityStatus.OVERLOADED, report.verdict().reason())
+                    + line("load", availability != AvailabilityStatus.OVERLOADED, report.availability().reason())
                     + "readyz check " + (status == 200 ? "passed" : "failed") + ": " + text;
         }
         return text(status, text, fields);
