--- a/src/main/java/granitefold/net/StatusReporter.java
+++ b/src/main/java/granitefold/net/StatusReporter.java
@@ -87,7 +87,7 @@
 
     /** Returns the status headers for a response to a client. */
     List<HttpField> headerFields(ClientConnection client) {
-        boolean outOfService = clients.envoyHeaders() && published != null && !published.report().verdict().status().acceptsTraffic();
+        boolean outOfService = clients.envoyHeaders() && published != null && !published.report().availability().status().acceptsTraffic();
         if (!outOfService && !client.wantsMetrics()) {
             return List.of();
         }
--- a/src/test/java/granitefold/operator/OperatorFileTest.java
+++ b/src/test/java/granitefold/operator/OperatorFileTest.java
@@ -15,37 +15,37 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The operator's file, read, and broken in the ways that files get broken. */
+/** Reads valid operator's files, and files with the usual kinds of mistakes. */
 class OperatorFileTest {
     private static List<String> problems(String text) {
         return assertThrows(InvalidFileException.class, () -> OperatorFile.read("f.conf", text), text).problems();
     }
 
     @Test
-    void anEmptyFileTurnsNothingOn() throws InvalidFileException {
-        OperatorSettings o = OperatorFile.read("f.conf", "").settings();
-        assertEquals(OperatorSettings.NONE.clients(), o.clients());
-        assertFalse(o.publishesAvailability());
-        assertEquals(AvailabilitySettings.DEFAULTS, o.availability());
-        assertEquals(OptionalFeatures.NONE, o.extras(true));
+    void emptyFileEnablesNothing() throws InvalidFileException {
+        OperatorSettings settings = OperatorFile.read("f.conf", "").settings();
+        assertEquals(OperatorSettings.NONE.clients(), settings.clients());
+        assertFalse(settings.publishesAvailability());
+        assertEquals(AvailabilitySettings.DEFAULTS, settings.availability());
+        assertEquals(OptionalFeatures.NONE, settings.extras(true));
     }
 
     @Test
-    void theFileInDeployHoldsEveryKeyAndAllAreOff() throws Exception {
+    void deployedFileListsEveryKeyCommentedOut() throws Exception {
         String text = Files.readString(Path.of("deploy/operator.conf"));
         assertEquals(OperatorFile.read("d", "").effective(), OperatorFile.read("d", text).effective());
-        String on = text.lines().filter(l -> l.matches("# [a-z-]+\\.[a-z.-]+ = .*")).map(l -> l.substring(2))
+        String uncommented = text.lines().filter(l -> l.matches("# [a-z-]+\\.[a-z.-]+ = .*")).map(l -> l.substring(2))
                 .collect(Collectors.joining("\n"));
-        OperatorFile.Read all = OperatorFile.read("d", on);
-        assertEquals(new TreeSet<>(all.effective().keySet()), new TreeSet<>(on.lines().map(l -> l.substring(0, l.indexOf(' ')))
+        OperatorFile.Read all = OperatorFile.read("d", uncommented);
+        assertEquals(new TreeSet<>(all.effective().keySet()), new TreeSet<>(uncommented.lines().map(l -> l.substring(0, l.indexOf(' ')))
                 .toList()));
-        // what it calls the defaults are the defaults
+        // The values that the file gives as defaults are the defaults.
         assertEquals(AvailabilitySettings.DEFAULTS, all.settings().availability());
         assertTrue(all.settings().publishesAvailability());
     }
 
     @Test
-    void allProblemsAreToldAtOnceEachWithItsPlace() {
+    void allProblemsAreReportedWithTheirPositions() {
         List<String> all = problems("checks.agent {\n  lisen = \"127.0.0.1:1\"\n  connections = 0\n}\nlog.format = yaml\n"
                 + "probe { interval = 5, jitter = 2 }\nnonsense = 1\nclients = 7\n");
         assertEquals(7, all.size(), all.toString());
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void whatIsNoHoconIsOneLineWithItsPlace() {
+    void invalidHoconIsReportedInOneLineWithItsPosition() {
         assertTrue(problems("a = [1,\nb {").get(0).startsWith("f.conf:"));
         assertTrue(problems("checks.agent.listen = ${HOME}").get(0).contains("${...}"));
         assertTrue(problems("include \"other.conf\"").get(0).contains("include"));
@@ -65,16 +65,16 @@
     }
 
     @Test
-    void thePlatformForbidsProbesAndWins() throws InvalidFileException {
-        OperatorSettings o = OperatorFile.read("f", "probe.allowed = true").settings();
-        assertTrue(o.extras(true).health().probesEnabled());
-        assertNull(o.extras(false).health());
-        o = OperatorFile.read("f", "probe.allowed = true\neject.failures = 5").settings();
-        assertFalse(o.extras(false).health().probesEnabled());
+    void platformSettingOverridesProbing() throws InvalidFileException {
+        OperatorSettings settings = OperatorFile.read("f", "probe.allowed = true").settings();
+        assertTrue(settings.extras(true).health().probesEnabled());
+        assertNull(settings.extras(false).health());
+        settings = OperatorFile.read("f", "probe.allowed = true\neject.failures = 5").settings();
+        assertFalse(settings.extras(false).health().probesEnabled());
     }
 
     @Test
-    void whatARunningProcessCannotTakeOverIsNamed() throws InvalidFileException {
+    void keysThatNeedARestartAreListed() throws InvalidFileException {
         OperatorSettings a = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:1\"").settings();
         OperatorSettings b = OperatorFile.read("f", "checks.agent.listen = \"127.0.0.1:2\"\navailability.rise = 9").settings();
         assertEquals(List.of(), OperatorFile.keysNeedingRestart(a, b));
