--- a/src/main/java/granitefold/cli/rollout/Controller.java
+++ b/src/main/java/granitefold/cli/rollout/Controller.java
@@ -46,7 +46,7 @@
         this.file = file;
         disk = DirectoryStorage.open(file.folder());
         savedProgress = new ChecksummedFile<>(disk, PROGRESS, Progress.class);
-        file.keepers().forEach((name, address) -> supervisors.put(name, new SupervisorClient(address)));
+        file.supervisors().forEach((name, address) -> supervisors.put(name, new SupervisorClient(address)));
         AtomicInteger threadNumber = new AtomicInteger();
         executor = Executors.newFixedThreadPool(Math.max(1, supervisors.size()), r -> {
             Thread thread = new Thread(r, "rollout call " + threadNumber.incrementAndGet());
--- a/src/main/java/granitefold/cli/rollout/PlanFile.java
+++ b/src/main/java/granitefold/cli/rollout/PlanFile.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /** Rollout plan as its file describes it: the plan, the folder for its progress, and the supervisors' addresses by dispatcher. */
-public record PlanFile(Plan plan, Path folder, Map<String, InetSocketAddress> keepers) {
+public record PlanFile(Plan plan, Path folder, Map<String, InetSocketAddress> supervisors) {
     private static final long HOUR_MS = 3_600_000;
 
     /** A file and the effective value of every key. */
@@ -30,9 +30,9 @@
     }
 
     private static PlanFile read(ConfigSection all) {
-        Map<String, InetSocketAddress> keepers = new LinkedHashMap<>();
+        Map<String, InetSocketAddress> supervisors = new LinkedHashMap<>();
         for (ConfigSection s : all.sections("dispatchers")) {
-            keepers.put(s.string("name", "", "a name of letters, digits and -", t -> t.matches("[0-9A-Za-z-]{1,64}")), s.address("keeper"));
+            supervisors.put(s.string("name", "", "a name of letters, digits and -", t -> t.matches("[0-9A-Za-z-]{1,64}")), s.address("keeper"));
             if (!s.has("name") || !s.has("keeper")) {
                 s.reject("name", "a dispatcher needs a name and its keeper's address");
             }
@@ -54,10 +54,10 @@
                 tolerances.number("time", defaults.time(), 1.01, 100),
                 tolerances.number("memory", defaults.memory(), 1.01, 100),
                 tolerances.integer("crashes", defaults.crashes(), 0, 1000), worth);
-        int count = Math.max(1, keepers.size());
+        int count = Math.max(1, supervisors.size());
         List<Integer> stages = stages(all.strings("stages", "a count or a share, as 1 or 10%", t -> t.matches("\\d{1,6}|\\d{1,3}%|all")), count);
         Plan plan = new Plan(all.string("name", "", "a label of printable characters", t -> t.matches("[!-~]{1,64}")),
-                List.copyOf(keepers.keySet()), stages,
+                List.copyOf(supervisors.keySet()), stages,
                 SupervisorFile.version(baseline), SupervisorFile.version(candidate), margins,
                 all.strings("classes", "names of classes", t -> !t.isEmpty()),
                 comparison.durationUs("warm", 5_000_000, 0, HOUR_MS), comparison.durationUs("least", 20_000_000, 0, HOUR_MS),
@@ -73,7 +73,7 @@
         for (ConfigSection s : List.of(baseline, candidate, comparison, tolerances, all)) {
             s.reportUnknownKeys();
         }
-        return new PlanFile(plan, Path.of(folder), keepers);
+        return new PlanFile(plan, Path.of(folder), supervisors);
     }
 
     /** Returns the dispatchers on the new version at the end of each stage. Shares are rounded up; a stage that adds none is dropped. */
--- a/src/main/java/granitefold/cli/rollout/SupervisorServer.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisorServer.java
@@ -60,7 +60,7 @@
         EventLog.log(LogEvent.KEEPER, "listening on " + file.listen().getAddress().getHostAddress() + ":" + listener.getLocalPort());
         adoptProcesses();
         daemon(() -> accept(listener), "keeper accept");
-        daemon(this::watch, "keeper watch");
+        daemon(this::pollProcesses, "keeper watch");
         while (true) {
             Runnable next = queue.poll(TICK_MS, TimeUnit.MILLISECONDS);
             if (next != null) {
@@ -143,7 +143,7 @@
     }
 
     /** Polls the starting process for readiness and the serving process for the number of requests it holds. */
-    private void watch() {
+    private void pollProcesses() {
         try {
             while (true) {
                 SupervisedProcess process = starting;
--- a/src/test/java/granitefold/rollout/ObservationsTest.java
+++ b/src/test/java/granitefold/rollout/ObservationsTest.java
@@ -12,9 +12,9 @@
     private static final long S_US = 1_000_000, WARM_UP_US = 2 * S_US;
     private final Observations observations = new Observations();
 
-    private void status(String dispatcher, long life, long now) {
-        Sample sample = life == 0 ? null : new Sample(life, Map.of(), 0, 0, 0, 0);
-        observations.update(dispatcher, new SupervisorStatus(Order.NONE, Order.NONE, Order.NONE, "", "old", life > 0, 0, sample), true, now);
+    private void status(String dispatcher, long incarnation, long now) {
+        Sample sample = incarnation == 0 ? null : new Sample(incarnation, Map.of(), 0, 0, 0, 0);
+        observations.update(dispatcher, new SupervisorStatus(Order.NONE, Order.NONE, Order.NONE, "", "old", incarnation > 0, 0, sample), true, now);
     }
 
     private Set<String> compared(long now) {
