--- a/src/main/java/granitefold/cli/rollout/SupervisorServer.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisorServer.java
@@ -185,7 +185,7 @@
             String text = answer(new String(line, 0, n));
             socket.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            // the client has disconnected
+            // the client gets no response
         }
     }
 
