--- a/src/main/java/granitefold/core/package-info.java
+++ b/src/main/java/granitefold/core/package-info.java
@@ -4,6 +4,6 @@
  * the decision module. It does no I/O, reads no clock and starts no threads; protocols live in the adapters.
  *
  * <p>{@link granitefold.core.Reducer} is the entry point; {@link granitefold.core.Event} and
- * {@link granitefold.core.Effect} are its input and output.
+ * {@link granitefold.core.Effect} are its input and output. Times are in microseconds of the clock that is passed to the reducer.
  */
 package granitefold.core;
