--- a/src/test/java/granitefold/real/ChecksAccessIT.java
+++ b/src/test/java/granitefold/real/ChecksAccessIT.java
@@ -33,39 +33,39 @@
         start("clients.proxy-protocol = required\n");
         String job = request("/ficha", "t1", TIME, "soup");
         Exchange without = program.client().write(job);
-        assertTrue(without.closed());
+        assertTrue(without.awaitClose());
         assertTrue(program.awaitLog("refused").contains("no PROXY header"));
         Exchange half = program.client().write("PROXY TCP4 10.0.0.1 10.");
         Exchange wrong = program.client();
         wrong.socket.getOutputStream().write(v2(11, 10, 0, 0, 1, 10, 0, 0, 2, 0, 80, 0));
-        assertTrue(wrong.closed());
+        assertTrue(wrong.awaitClose());
         // version 2 with an extension that nobody knows, in two parts, then the request
         byte[] good = v2(17, 10, 0, 0, 1, 10, 0, 0, 2, 0, 80, 0, 81, 0xEE, 0, 2, 7, 7);
         Exchange client = program.client();
         client.socket.getOutputStream().write(good, 0, 14);
         client.socket.getOutputStream().write(good, 14, good.length - 14);
         client.write(job);
-        a.accept().answer("done").end();
-        assertEquals(client.status() + client.body, "200made soup");
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus() + client.body, "200made soup");
         Exchange bad = program.client().write("PROXY TCP4 10.7.7.7 10.0.0.2 5555 80\r\nnonsense\r\n\r\n");
-        assertEquals(bad.status(), 400);
+        assertEquals(bad.readStatus(), 400);
         assertTrue(program.awaitLog("10.7.7.7:5555 refused") != null);
         // a balancer's own check
         Exchange local = program.client();
         local.socket.getOutputStream().write(new byte[] {0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A,
             0x20, 0, 0, 0});
         local.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertEquals(local.status(), 200);
-        assertTrue(half.closed(), "silence within a header ends it");
+        assertEquals(local.readStatus(), 200);
+        assertTrue(half.awaitClose(), "silence within a header ends it");
     }
 
     @Test
     public void onlyNamedProxiesAreHeard() throws Exception {
         start("clients.proxy-protocol = required\nclients.proxy-from = [\"127.0.0.9\"]\n");
-        assertTrue(program.client().write("PROXY UNKNOWN\r\n" + request("/ficha", "t1", TIME, "")).closed());
+        assertTrue(program.client().write("PROXY UNKNOWN\r\n" + request("/ficha", "t1", TIME, "")).awaitClose());
         Exchange named = program.connect((InetSocketAddress) program.client().socket.getRemoteSocketAddress(), "127.0.0.9");
         named.write("PROXY UNKNOWN\r\nGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertEquals(named.status(), 200);
+        assertEquals(named.readStatus(), 200);
     }
 
     // ---------------------------------------------------------------- control
@@ -77,7 +77,7 @@
         assertTrue(command("x".repeat(500)).contains("\"error\""));
         try (RealProgram second = new RealProgram(control(), Map.of())) {
             assertTrue(second.awaitLog("bad configuration").contains("another process holds it"));
-            assertTrue(second.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(second.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(second.process.exitValue(), 2);
         }
         assertTrue(command("status").contains("\"standing\""), "the first one still answers");
@@ -93,7 +93,7 @@
         Files.writeString(socket(), "mine");
         program = new RealProgram(control(), fields);
         assertTrue(program.awaitLog("bad configuration").contains("no socket"));
-        assertTrue(program.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(Files.readString(socket()), "mine");
     }
 
@@ -102,13 +102,13 @@
         program = new RealProgram("log.format = yaml\nprobe.intervall = 2s\n", fields);
         assertTrue(program.awaitLog("granitefold: ").contains(":1: log.format: yaml is not allowed"));
         assertTrue(program.awaitLog("granitefold: ").contains(":2: probe.intervall: unknown key; did you mean probe.interval?"));
-        assertTrue(program.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(program.process.exitValue(), 2);
     }
 
     @Test
     public void logLinesAreJsonWhereAskedFor() throws Exception {
-        program = new RealProgram("log.format = json\n", fields, a);
+        program = new RealProgram("log.format = json\n", fields, workerA);
         String line = program.awaitLog("\"event\":\"phase\"");
         assertEquals(new ObjectMapper().readTree(line).get("phase").asText(), "SERVING");
         assertEquals(new ObjectMapper().readTree(line).get("level").asText(), "INFO");
@@ -120,7 +120,7 @@
     /** What a probe finds on a worker: the next connection there, read and answered. */
     private static void probe(Worker worker, int status) throws IOException {
         Exchange e = worker.accept();
-        assertEquals(e.first, "GET /healthz HTTP/1.1");
+        assertEquals(e.firstLine, "GET /healthz HTTP/1.1");
         e.write("HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n\r\n");
     }
 
@@ -128,11 +128,11 @@
     public void aWorkerWhoseProbesFailGetsNothingUntilTheySucceed() throws Exception {
         fields.put("settings", RealProgram.settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"probing\":true"));
         try (Worker b = new Worker("s-b")) {
-            program = new RealProgram(LISTEN + PROBES, fields, a, b);
+            program = new RealProgram(LISTEN + PROBES, fields, workerA, b);
             program.addressIn("checks: agent on");
             program.addressIn("checks: http on");
-            program.watch(list(1, false));
-            a.serve("done");
+            program.acceptWatch(list(1, false));
+            workerA.serve("done");
             for (int i = 0; i < 3; i++) {
                 probe(b, 503);
             }
@@ -146,29 +146,29 @@
 
     @Test
     public void thePlatformForbidsProbesAndWins() throws Exception {
-        program = new RealProgram(LISTEN + PROBES, fields, a);
+        program = new RealProgram(LISTEN + PROBES, fields, workerA);
         program.awaitLog("probes: off, the platform's settings forbid them");
-        program.serving();
+        program.awaitServing();
         // the first that comes to the worker is a job, though many intervals have passed
         assertTrue(program.awaitLog("availability: ") != null);
         Exchange client = program.client().write(request("/ficha", "t1", TIME, "soup"));
-        Exchange first = a.accept();
-        assertTrue(first.first.startsWith("POST "), first.first);
-        first.answer("done").end();
-        assertEquals(client.status(), 200);
+        Exchange first = workerA.accept();
+        assertTrue(first.firstLine.startsWith("POST "), first.firstLine);
+        first.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     @Test
     public void aWorkerWhoseAttemptsBreakInARowIsEjected() throws Exception {
         try (Worker b = new Worker("s-b")) {
-            program = new RealProgram("eject.failures = 2\neject.time = 30s\n", fields, a, b);
-            program.serving();
+            program = new RealProgram("eject.failures = 2\neject.time = 30s\n", fields, workerA, b);
+            program.awaitServing();
             b.serve();
-            a.serve("done");
+            workerA.serve("done");
             int n = 0;
             while (program.log.stream().noneMatch(l -> l.contains("s-b is EJECTED")) && n < 200) {
                 Exchange client = program.client().write(request("/ficha", "t" + n++, TIME + "Connection: close\r\n", "soup"));
-                assertEquals(client.status(), 200, "a broken attempt goes on elsewhere");
+                assertEquals(client.readStatus(), 200, "a broken attempt goes on elsewhere");
                 program.drainLog();
             }
             assertTrue(n < 200, "it is ejected");
--- a/src/test/java/granitefold/real/ChecksIT.java
+++ b/src/test/java/granitefold/real/ChecksIT.java
@@ -25,22 +25,22 @@
     public void aDrainIsSaidInEachProtocolAndWithdrawnByReady() throws Exception {
         start(control() + "clients.envoy-headers = true\nclients.load-metrics = true\nchecks.agent.ready-for = 0ms\n");
         assertTrue(await("up 100%").matches("up 100% maxconn:\\d+ #all is well\n"));
-        assertEquals(get("/readyz").first, "HTTP/1.1 200 OK");
+        assertEquals(get("/readyz").firstLine, "HTTP/1.1 200 OK");
         assertTrue(command("drain").contains("\"standing\":\"DRAINING\""));
         assertTrue(ask().startsWith("drain #"));
         Exchange e = get("/readyz?verbose");
-        assertEquals(e.first, "HTTP/1.1 404 Not Found");
+        assertEquals(e.firstLine, "HTTP/1.1 404 Not Found");
         assertTrue(e.body.contains("[-]operator failed: DRAIN") && e.body.contains("[+]loop ok"), e.body);
-        assertEquals(e.head.get("x-envoy-immediate-health-check-fail"), "true");
-        assertEquals(get("/livez").first, "HTTP/1.1 200 OK");
+        assertEquals(e.headers.get("x-envoy-immediate-health-check-fail"), "true");
+        assertEquals(get("/livez").firstLine, "HTTP/1.1 200 OK");
         // what still comes is served, and told to go elsewhere
-        a.serve("done");
+        workerA.serve("done");
         Exchange client = program.client().write(request("/ficha", "t1", TIME
                 + "endpoint-load-metrics-format: text\r\n", "soup"));
-        assertEquals(client.status(), 200);
-        assertEquals(client.head.get("connection"), "close");
-        assertEquals(client.head.get("x-envoy-immediate-health-check-fail"), "true");
-        assertTrue(client.head.get("endpoint-load-metrics").matches("TEXT cpu_utilization=\\d.*named_metrics.owed=\\d+"));
+        assertEquals(client.readStatus(), 200);
+        assertEquals(client.headers.get("connection"), "close");
+        assertEquals(client.headers.get("x-envoy-immediate-health-check-fail"), "true");
+        assertTrue(client.headers.get("endpoint-load-metrics").matches("TEXT cpu_utilization=\\d.*named_metrics.owed=\\d+"));
         assertTrue(command("maint").contains("MAINT"));
         assertTrue(ask().startsWith("maint #"));
         command("ready");
@@ -63,16 +63,16 @@
         start(control());
         command("maint");
         Exchange client = program.client().write(request("/ficha", "t1", TIME, "soup"));
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: DRAINING");
         assertTrue(command("ready").contains("the process is to end"));
         assertTrue(ask().startsWith("drain #the process is to end"));
         program.awaitLog("phase: FINISHING");
         assertTrue(ask().startsWith("stopped"));
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
-        assertTrue(program.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS));
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
+        assertTrue(program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(program.process.exitValue(), 0);
         assertFalse(Files.exists(socket()), "a planned end takes its socket away");
     }
@@ -97,30 +97,30 @@
             String said = await("%");
             int weight = Integer.parseInt(said.replaceAll("(?s).*?(\\d+)%.*", "$1"));
             assertTrue(weight <= 30, said);
-            assertEquals(get("/readyz").head.get("x-envoy-degraded"), "true");
+            assertEquals(get("/readyz").headers.get("x-envoy-degraded"), "true");
             for (int i = 0; i < 5; i++) {
                 Exchange client = program.connect(clients, null).write(request("/ficha", "t" + i, TIME, ""));
-                assertNotEquals(client.status(), 200);
+                assertNotEquals(client.readStatus(), 200);
             }
             await(" 1% maxconn");
             assertTrue(ask().contains("the saved list is wrong"));
             // discovery is back, with one that is there
-            program.watch(list(2, true, a));
+            program.acceptWatch(list(2, true, workerA));
             await("up 100%");
-            assertEquals(get("/readyz").head.get("x-envoy-degraded"), null);
+            assertEquals(get("/readyz").headers.get("x-envoy-degraded"), null);
         }
     }
 
     @Test
     public void aSilenceOfDiscoveryDegradesUntilItSpeaksAgain() throws Exception {
         start("availability.silence = 1s\n");
-        a.serve("done");
+        workerA.serve("done");
         await("discovery is silent");
-        assertEquals(get("/readyz").head.get("x-envoy-degraded"), "true");
+        assertEquals(get("/readyz").headers.get("x-envoy-degraded"), "true");
         served("t1");
         // each watch that is opened meanwhile is one more that may speak
         program.awaitLog("discovery: watch ended: silent");
-        program.watch("");
+        program.acceptWatch("");
         await("all is well");
     }
 
@@ -128,7 +128,7 @@
     @Test
     public void rudeChecksStarveNobody() throws Exception {
         start("checks.http.timeout = 1s\nchecks.agent.timeout = 1s\nchecks.http.connections = 16\n");
-        a.serve("done");
+        workerA.serve("done");
         Exchange silent = program.connect(http, null);
         List<Exchange> many = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
@@ -136,7 +136,7 @@
         }
         served("t1");
         assertEquals(get("/livez").lastStatus(), 200);
-        assertTrue(silent.closed());
+        assertTrue(silent.awaitClose());
         for (InetSocketAddress to : List.of(http, agent)) {
             Exchange loud = program.connect(to, null);
             byte[] chunk = new byte[1 << 20];
@@ -151,16 +151,16 @@
             assertTrue(cut, "60 MB are not read to their end");
         }
         for (Exchange e : many) {
-            e.restOrReset();
+            e.readToEndOrReset();
         }
         Exchange bad = program.connect(http, null).write("POST /readyz HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n");
-        assertEquals(bad.status(), 400);
-        assertTrue(bad.closed());
+        assertEquals(bad.readStatus(), 400);
+        assertTrue(bad.awaitClose());
         Exchange put = program.connect(http, null).write("PUT /readyz HTTP/1.1\r\nHost: c\r\n\r\n");
-        assertEquals(put.status(), 405);
+        assertEquals(put.readStatus(), 405);
         Exchange kept = get("/livez");
         kept.write("HEAD /nothing HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n");
-        assertTrue(kept.rest().startsWith("HTTP/1.1 404 "));
+        assertTrue(kept.readToEnd().startsWith("HTTP/1.1 404 "));
         assertTrue(ask().contains("up "));
         served("t2");
     }
@@ -169,7 +169,7 @@
     @Test
     public void fortyPollersStarveNobody() throws Exception {
         start("");
-        a.serve("done");
+        workerA.serve("done");
         List<Thread> pollers = new ArrayList<>();
         int[] answers = new int[40];
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
@@ -208,18 +208,18 @@
     public void aReloadMovesTheListenersAndOneInUseLeavesThemAsTheyAre() throws Exception {
         start(control());
         try (ServerSocket taken = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Files.writeString(program.operator, (LISTEN + control()).replace("agent.listen = \"127.0.0.1:0",
+            Files.writeString(program.operatorFile, (LISTEN + control()).replace("agent.listen = \"127.0.0.1:0",
                     "agent.listen = \"127.0.0.1:" + taken.getLocalPort()));
             program.signal("HUP");
             program.awaitLog("checks: agent cannot listen on");
             assertTrue(ask().contains("up "), "the old listener stays");
         }
-        Files.writeString(program.operator, "checks.agent.lisen = 1\nlog.format = yaml\n");
+        Files.writeString(program.operatorFile, "checks.agent.lisen = 1\nlog.format = yaml\n");
         program.signal("HUP");
         String kept = program.awaitLog("operator: kept as it was");
         assertTrue(kept.contains("did you mean checks.agent.listen?") && kept.contains("log.format"), kept);
         assertTrue(ask().contains("up "));
-        Files.writeString(program.operator, (LISTEN + control()).replace("agent.listen = \"127.0.0.1:0",
+        Files.writeString(program.operatorFile, (LISTEN + control()).replace("agent.listen = \"127.0.0.1:0",
                 "agent.listen = \"127.0.0.2:0") + "log.format = json\n");
         program.signal("HUP");
         program.awaitLog("operator: log.format takes effect at the next start");
@@ -228,7 +228,7 @@
         agent = new InetSocketAddress("127.0.0.2", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
         assertTrue(ask().contains("up "));
         // the new one serves before the old one goes
-        long until = System.nanoTime() + RealProgram.PATIENCE_S * 1_000_000_000L;
+        long until = System.nanoTime() + RealProgram.TIMEOUT_S * 1_000_000_000L;
         while (answers(old)) {
             assertTrue(System.nanoTime() < until, "the old listener still answers");
         }
@@ -237,7 +237,7 @@
     private boolean answers(InetSocketAddress listener) throws Exception {
         try (Exchange e = program.connect(listener, null)) {
             // it may still take a connection, with nobody there to answer
-            return !e.restOrReset().isEmpty();
+            return !e.readToEndOrReset().isEmpty();
         } catch (java.net.ConnectException e) {
             return false;
         }
--- a/src/test/java/granitefold/real/EndingsIT.java
+++ b/src/test/java/granitefold/real/EndingsIT.java
@@ -16,47 +16,47 @@
 public class EndingsIT extends RealTest {
     @Test
     public void aPlannedEndFinishesWhatIsOpen() throws Exception {
-        start(a);
+        start(workerA);
         Exchange early = send("/ficha?sid=1", "t1", "");
-        Exchange served = a.accept().answer("started");
-        Exchange idle = resting();
+        Exchange served = workerA.accept().startAnswer("started");
+        Exchange idle = idleConnection();
         Exchange stuck = send("/once", "t2", "");
-        a.accept().answer("started");
+        workerA.accept().startAnswer("started");
         // begun before the signal and ended after it: no machine is too slow for that
         String raw = request("/ficha?sid=1", "t3", TIME, "soup");
         Exchange late = program.client().write(raw.substring(0, 30));
         program.process.toHandle().destroy();
         program.awaitLog("phase: DRAINING");
         late.write(raw.substring(30));
-        Exchange worker = a.accept();
-        worker.answer("done").end();
-        assertEquals(late.status(), 200);
+        Exchange worker = workerA.accept();
+        worker.startAnswer("done").endAnswer();
+        assertEquals(late.readStatus(), 200);
         // whoever has a connection goes on using it
         late.write(request("/ficha?sid=1", "t4", TIME, "salt"));
-        nextAttempt(worker).answer("done").end();
-        assertEquals(late.status() + late.body, "200made salt");
-        served.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(early.status(), 200);
+        nextAttempt(worker).startAnswer("done").endAnswer();
+        assertEquals(late.readStatus() + late.body, "200made salt");
+        served.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(early.readStatus(), 200);
         program.awaitLog("phase: FINISHING");
-        assertTrue(idle.closed());
-        assertEquals(stuck.status(), 500);
-        awaitEnd();
+        assertTrue(idle.awaitClose());
+        assertEquals(stuck.readStatus(), 500);
+        awaitExit();
     }
 
     @Test
     public void aHangUpDuringAPlannedEndDoesNotDisturbIt() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("/ficha?sid=1", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: DRAINING");
         program.moveDiscovery();
         program.signal("HUP");
-        program.watch(list(2, false));
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
+        program.acceptWatch(list(2, false));
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
-        awaitEnd();
+        awaitExit();
     }
 
     /**
@@ -65,17 +65,17 @@
      */
     @Test
     public void withShortDeadlinesTheEndComesBeforeTheKill() throws Exception {
-        deadlines(500);
-        start(a);
+        useDeadlines(500);
+        start(workerA);
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
-        Exchange idle = resting();
+        workerA.accept().startAnswer("started");
+        Exchange idle = idleConnection();
         program.signal("TERM");
-        assertEquals(client.status(), 500);
-        assertTrue(idle.closed());
+        assertEquals(client.readStatus(), 500);
+        assertTrue(idle.awaitClose());
         idle.close();
         client.close();
-        awaitEnd();
+        awaitExit();
         long ms = between("phase: DRAINING", "phase: STOPPED").toMillis();
         // 1.2 s are given; for 3 s and more it would take 3.5
         assertTrue(ms < 2_500, "it took " + ms + " ms");
@@ -84,10 +84,10 @@
     /** Who halts over unread bytes resets the connection, and the answer that is still on its way goes with it. */
     @Test
     public void whoSendsOnAcrossTheLastAnswerStillReadsItsEnd() throws Exception {
-        deadlines(500);
-        start(a);
+        useDeadlines(500);
+        start(workerA);
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
+        workerA.accept().startAnswer("started");
         program.signal("TERM");
         Thread sender = new Thread(() -> {
             try {
@@ -101,46 +101,46 @@
             }
         });
         sender.start();
-        assertEquals(client.status(), 500);
-        assertEquals(client.in.read(), -1, "an end, and no reset");
+        assertEquals(client.readStatus(), 500);
+        assertEquals(client.input.read(), -1, "an end, and no reset");
         assertTrue(program.process.isAlive(), "it waits for us");
         sender.interrupt();
         sender.join();
         client.close();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Only its close was seen, and no answer. */
     @Test
     public void whoHasSentHalfARequestIsToldAtTheEnd() throws Exception {
-        deadlines(500);
-        start(a);
+        useDeadlines(500);
+        start(workerA);
         String raw = request("/ficha", "t1", TIME, "soup");
         program.signal("TERM");
         program.awaitLog("phase: DRAINING");
         Exchange client = program.client().write(raw.substring(0, raw.length() - 1));
-        assertEquals(client.status(), 503);
+        assertEquals(client.readStatus(), 503);
         // the rest comes too late, and is not sent on
         client.write(raw.substring(raw.length() - 1));
-        assertEquals(client.in.read(), -1);
+        assertEquals(client.input.read(), -1);
         client.close();
-        awaitEnd();
-        assertFalse(called(a));
+        awaitExit();
+        assertFalse(hasPendingConnection(workerA));
     }
 
     /** Some clients rest until they are ended, and send just then. */
     @Test
     public void aRequestThatCrossesTheShutdownIsNotSentOn() throws Exception {
-        deadlines(500);
-        start(a);
-        Exchange client = resting();
+        useDeadlines(500);
+        start(workerA);
+        Exchange client = idleConnection();
         program.signal("TERM");
-        assertTrue(client.closed(), "shut");
+        assertTrue(client.awaitClose(), "shut");
         client.write(request("/ficha", "t1", TIME, "soup"));
-        assertEquals(client.restOrReset(), "");
+        assertEquals(client.readToEndOrReset(), "");
         client.close();
-        awaitEnd();
-        assertFalse(called(a));
+        awaitExit();
+        assertFalse(hasPendingConnection(workerA));
     }
 
     /**
@@ -149,18 +149,18 @@
      */
     @Test
     public void clientsThatNeverCloseAreReadOutButDoNotKeepItFromEnding() throws Exception {
-        deadlines(2_000);
-        start(a);
-        Exchange rests = resting();
+        useDeadlines(2_000);
+        start(workerA);
+        Exchange rests = idleConnection();
         Exchange client = send("/once", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: FINISHING");
-        assertTrue(rests.closed(), "shut");
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
-        assertEquals(client.in.read(), -1, "shut");
-        awaitEnd();
+        assertTrue(rests.awaitClose(), "shut");
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
+        assertEquals(client.input.read(), -1, "shut");
+        awaitExit();
         long ms = between("phase: CLOSING", "phase: STOPPED").toMillis();
         // 0.35 s by its own clock; none where it halts at once
         assertTrue(ms >= 20, "it halted " + ms + " ms after its last answer");
@@ -170,14 +170,14 @@
     @Test
     public void whoIsEndedToMakeRoomIsToldSo() throws Exception {
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
-        start(a);
+        start(workerA);
         List<Exchange> begun = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             begun.add(program.client().write("P"));
         }
         int rejected = 0;
         for (Exchange e : begun) {
-            int status = e.status();
+            int status = e.readStatus();
             // those who are left run out of time
             assertTrue(status == 503 || status == 408, "told " + status);
             rejected += status == 503 ? 1 : 0;
--- a/src/test/java/granitefold/real/Exchange.java
+++ b/src/test/java/granitefold/real/Exchange.java
@@ -13,16 +13,16 @@
 /** One end of a connection, and the message read last on it. */
 final class Exchange implements Closeable {
     final Socket socket;
-    final InputStream in;
-    String first;
-    Map<String, String> head;
+    final InputStream input;
+    String firstLine;
+    Map<String, String> headers;
     String body;
 
     Exchange(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(RealProgram.PATIENCE_S * 1000);
+        socket.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
         socket.setTcpNoDelay(true);
-        in = socket.getInputStream();
+        input = socket.getInputStream();
     }
 
     Exchange write(String text) throws IOException {
@@ -31,14 +31,14 @@
     }
 
     /** All that comes until the end. */
-    String rest() throws IOException {
-        return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    String readToEnd() throws IOException {
+        return new String(input.readAllBytes(), StandardCharsets.UTF_8);
     }
 
     /** The same where the other side may have reset the connection. */
-    String restOrReset() throws IOException {
+    String readToEndOrReset() throws IOException {
         try {
-            return rest();
+            return readToEnd();
         } catch (java.net.SocketException e) {
             return "";
         }
@@ -46,28 +46,28 @@
 
     /** The status of the message read last. */
     int lastStatus() {
-        return Integer.parseInt(first.split(" ")[1]);
+        return Integer.parseInt(firstLine.split(" ")[1]);
     }
 
     /** Reads a message with its body by Content-Length; returns its first line, null at the end. */
     String read() throws IOException {
-        first = line();
-        head = new HashMap<>();
-        for (String l = first == null ? "" : line(); !l.isEmpty(); l = line()) {
-            head.put(l.substring(0, l.indexOf(':')).toLowerCase(Locale.ROOT), l.substring(l.indexOf(':') + 1).trim());
+        firstLine = readLine();
+        headers = new HashMap<>();
+        for (String l = firstLine == null ? "" : readLine(); !l.isEmpty(); l = readLine()) {
+            headers.put(l.substring(0, l.indexOf(':')).toLowerCase(Locale.ROOT), l.substring(l.indexOf(':') + 1).trim());
         }
-        body = new String(in.readNBytes(Integer.parseInt(head.getOrDefault("content-length", "0"))),
+        body = new String(input.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))),
                 StandardCharsets.UTF_8);
-        return first;
+        return firstLine;
     }
 
-    int status() throws IOException {
+    int readStatus() throws IOException {
         return Integer.parseInt(read().split(" ")[1]);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int b = in.read(); b != '\n'; b = in.read()) {
+        for (int b = input.read(); b != '\n'; b = input.read()) {
             if (b < 0) {
                 return null;
             }
@@ -77,28 +77,28 @@
     }
 
     /** Whether the other side has closed, once nothing more comes. */
-    boolean closed() throws IOException {
+    boolean awaitClose() throws IOException {
         try {
-            return in.read() < 0;
+            return input.read() < 0;
         } catch (java.net.SocketException e) {
             return true;
         }
     }
 
     /** Begins a worker's answer and tells these states of the job. */
-    Exchange answer(String... states) throws IOException {
-        return write(answering(states));
+    Exchange startAnswer(String... states) throws IOException {
+        return write(answerText(states));
     }
 
     /** An answer and its end in one write: who reads the one has read the other. */
-    void answerWhole(String... states) throws IOException {
-        write(answering(states) + "0\r\n\r\n");
+    void answerAndEnd(String... states) throws IOException {
+        write(answerText(states) + "0\r\n\r\n");
     }
 
-    private String answering(String... states) {
+    private String answerText(String... states) {
         StringBuilder b = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (String s : states) {
-            b.append(chunk("{\"id\":\"" + head.get("x-txn") + "\",\"from\":\"p\",\"state\":\"" + s + "\""
+            b.append(chunk("{\"id\":\"" + headers.get("x-txn") + "\",\"from\":\"p\",\"state\":\"" + s + "\""
                     + (s.equals("done") ? ",\"result\":\"made " + body + "\"}" : "}")));
         }
         return b.toString();
@@ -108,7 +108,7 @@
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    Exchange lines(String... lines) throws IOException {
+    Exchange writeLines(String... lines) throws IOException {
         for (String l : lines) {
             write(chunk(l));
         }
@@ -116,7 +116,7 @@
     }
 
     /** Ends a chunked answer. */
-    void end() throws IOException {
+    void endAnswer() throws IOException {
         write("0\r\n\r\n");
     }
 
--- a/src/test/java/granitefold/real/FaultTest.java
+++ b/src/test/java/granitefold/real/FaultTest.java
@@ -30,7 +30,7 @@
     void startWithFaults() throws Exception {
         prepare();
         launch();
-        program.serving();
+        program.awaitServing();
     }
 
     /** Faults may be switched on from now on, before there is a process. */
@@ -39,7 +39,7 @@
     }
 
     void launch() throws IOException {
-        program = new RealProgram(null, faults.environment(), fields, a);
+        program = new RealProgram(null, faults.environment(), fields, workerA);
     }
 
     static void sleepUntil(long fromNs, long ms) throws InterruptedException {
--- a/src/test/java/granitefold/real/GoneClientsIT.java
+++ b/src/test/java/granitefold/real/GoneClientsIT.java
@@ -22,9 +22,9 @@
     /** Past what is read ahead its leaving went unseen until the answer, and its job ran on. */
     @Test
     public void whoSendsMuchAheadOfItsAnswerEndsWithItsAttempt() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("/ficha", "t1", "");
-        Exchange attempt = a.accept().answer("started");
+        Exchange attempt = workerA.accept().startAnswer("started");
         Thread flood = new Thread(() -> {
             try {
                 client.write("x".repeat(1 << 20));
@@ -33,20 +33,20 @@
             }
         });
         flood.start();
-        assertTrue(attempt.closed());
+        assertTrue(attempt.awaitClose());
         flood.join();
-        assertTrue(client.restOrReset().isEmpty());
+        assertTrue(client.readToEndOrReset().isEmpty());
     }
 
     /** The page knows a client's going by its closing, and from here the end of sending looks the same. */
     @Test
     public void whoShutsItsSendingSideCountsAsGone() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("/ficha", "t1", "");
-        Exchange attempt = a.accept().answer("started");
+        Exchange attempt = workerA.accept().startAnswer("started");
         client.socket.shutdownOutput();
-        assertTrue(attempt.closed());
-        assertTrue(client.restOrReset().isEmpty());
+        assertTrue(attempt.awaitClose());
+        assertTrue(client.readToEndOrReset().isEmpty());
     }
 
     /** What a selector finds at once it hands out in any order: each order comes up in so many rounds. */
@@ -58,12 +58,12 @@
      */
     @Test
     public void anEndBehindTheRequestIsReadBeforeTheAttemptBegins() throws Exception {
-        start(a);
+        start(workerA);
         for (int i = 0; i < ROUNDS; i++) {
             keepConnections();
-            standStill();
+            pauseProcess();
             send("/ficha", "gone" + i, "").close();
-            goOn();
+            resumeProcess();
             assertNextIs("good" + i);
         }
     }
@@ -71,17 +71,17 @@
     /** The same within a second request on a connection, whose first one ends as the process stands still. */
     @Test
     public void anEndBehindAPipelinedRequestIsReadBeforeTheAttemptBegins() throws Exception {
-        start(a);
+        start(workerA);
         for (int i = 0; i < ROUNDS; i++) {
             keepConnections();
             Exchange client = send("/ficha", "t" + i, "");
             Exchange attempt = next();
-            attempt.answer("started");
-            standStill();
-            attempt.lines(done(attempt)).end();
+            attempt.startAnswer("started");
+            pauseProcess();
+            attempt.writeLines(done(attempt)).endAnswer();
             client.write(request("/ficha", "gone" + i, TIME, "salt"));
             client.close();
-            goOn();
+            resumeProcess();
             assertNextIs("good" + i);
         }
     }
@@ -89,23 +89,23 @@
     /** Its attempt fails and it leaves, both while the loop stands still: the failure was read first, and the next attempt begun. */
     @Test
     public void anEndBetweenTwoAttemptsIsReadBeforeTheNextBegins() throws Exception {
-        start(a);
+        start(workerA);
         for (int i = 0; i < ROUNDS; i++) {
             keepConnections();
             Exchange client = send("/ficha", "gone" + i, "");
             Exchange first = next();
-            assertEquals(first.head.get("x-txn"), "gone" + i);
-            first.answer("started");
-            standStill();
-            first.lines(done(first).replace("done", "lost")).end();
+            assertEquals(first.headers.get("x-txn"), "gone" + i);
+            first.startAnswer("started");
+            pauseProcess();
+            first.writeLines(done(first).replace("done", "lost")).endAnswer();
             client.close();
-            goOn();
+            resumeProcess();
             assertNextIs("good" + i);
         }
     }
 
     private static String done(Exchange e) {
-        return "{\"id\":\"" + e.head.get("x-txn") + "\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}";
+        return "{\"id\":\"" + e.headers.get("x-txn") + "\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}";
     }
 
     /** The attempt that comes next, wherever. */
@@ -122,8 +122,8 @@
         for (int i = 0; i < 1_000; i++) {
             int before = kept.size();
             Exchange client = send("/ficha", "k" + before + "-" + i, "");
-            next().answerWhole("done");
-            assertEquals(client.status(), 200);
+            next().answerAndEnd("done");
+            assertEquals(client.readStatus(), 200);
             if (before > 0 && kept.size() == before) {
                 return;
             }
@@ -135,8 +135,8 @@
     private void assertNextIs(String txn) throws Exception {
         Exchange client = send("/ficha", txn, "");
         Exchange next = next();
-        assertEquals(next.head.get("x-txn"), txn);
-        next.answerWhole("done");
-        assertEquals(client.status(), 200);
+        assertEquals(next.headers.get("x-txn"), txn);
+        next.answerAndEnd("done");
+        assertEquals(client.readStatus(), 200);
     }
 }
--- a/src/test/java/granitefold/real/KeptWorkerIT.java
+++ b/src/test/java/granitefold/real/KeptWorkerIT.java
@@ -19,28 +19,28 @@
 
     /** Sends one job after the other, each time with something having happened on all kept connections as the process stood still. */
     private void betweenTwoRequests(Happening what) throws Exception {
-        start(a);
+        start(workerA);
         List<Exchange> kept = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
             Exchange client = program.client().write(request("/once", "k" + i, TIME, "soup"));
             Exchange first = nextAttempt(kept.toArray(Exchange[]::new));
-            first.answerWhole("done");
-            assertEquals(client.status(), 200);
+            first.answerAndEnd("done");
+            assertEquals(client.readStatus(), 200);
             if (!kept.contains(first)) {
                 kept.add(first);
             }
-            standStill();
+            pauseProcess();
             client.write(request("/once", "t" + i, TIME, "salt"));
             for (Exchange e : kept) {
                 what.to(e);
             }
-            goOn();
-            Exchange second = a.accept();
-            assertEquals(second.head.get("x-txn"), "t" + i, "on a new connection");
-            second.answerWhole("done");
-            assertEquals(client.status() + client.body, "200made salt");
+            resumeProcess();
+            Exchange second = workerA.accept();
+            assertEquals(second.headers.get("x-txn"), "t" + i, "on a new connection");
+            second.answerAndEnd("done");
+            assertEquals(client.readStatus() + client.body, "200made salt");
             for (Exchange e : kept) {
-                assertTrue(e.socket.isClosed() || e.closed(), "and nothing was sent on the others");
+                assertTrue(e.socket.isClosed() || e.awaitClose(), "and nothing was sent on the others");
             }
             kept = new ArrayList<>(List.of(second));
         }
@@ -68,42 +68,42 @@
     /** Half a line, or a line about another request, at the moment of the close is no result, and an unsafe job is not sent again. */
     @Test
     public void halfALineAtTheCloseIsNoResult() throws Exception {
-        start(a);
+        start(workerA);
         String whole = "{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}";
         String other = whole.replace("t1", "t0");
         for (String said : new String[] {whole, whole.substring(0, 20), other + "\n"}) {
             Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
-            Exchange e = a.accept();
+            Exchange e = workerA.accept();
             e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(said.length()) + "\r\n" + said + "\r\n");
             e.close();
-            assertEquals(client.status(), 500, said);
+            assertEquals(client.readStatus(), 500, said);
         }
-        assertFalse(called(a), "nothing was sent again");
+        assertFalse(hasPendingConnection(workerA), "nothing was sent again");
     }
 
     /** An answer that never ends holds its client no longer than its time, and its connection is not used again. */
     @Test
     public void anAnswerThatNeverEndsIsGivenUp() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = program.client().write(request("/once", "t1", "X-Remaining-Ms: 400\r\n", "soup"));
-        Exchange e = a.accept();
+        Exchange e = workerA.accept();
         e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"id");
-        assertEquals(client.status(), 504);
-        assertTrue(e.closed());
-        assertFalse(called(a));
+        assertEquals(client.readStatus(), 504);
+        assertTrue(e.awaitClose());
+        assertFalse(hasPendingConnection(workerA));
     }
 
     /** One of many requests on workers ends with its client: the others' attempts go on. */
     @Test
     public void aClientThatLeavesTakesNoOtherAttemptAlong() throws Exception {
-        start(a);
+        start(workerA);
         Exchange leaves = send("/ficha", "t1", "");
-        Exchange one = a.accept().answer("started");
+        Exchange one = workerA.accept().startAnswer("started");
         Exchange stays = send("/ficha", "t2", "");
-        Exchange two = a.accept().answer("started");
+        Exchange two = workerA.accept().startAnswer("started");
         leaves.close();
-        assertTrue(one.closed());
-        two.lines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(stays.status() + stays.body, "200made");
+        assertTrue(one.awaitClose());
+        two.writeLines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(stays.readStatus() + stays.body, "200made");
     }
 }
--- a/src/test/java/granitefold/real/OpsIT.java
+++ b/src/test/java/granitefold/real/OpsIT.java
@@ -140,20 +140,20 @@
                         "limits", "{\"cores\":0.5,\"memory_mb\":96,\"sockets\":192}"), worker)) {
             worker.serve("started", "done");
             InetSocketAddress ops = program.addressIn("checks: ops on ");
-            program.serving();
+            program.awaitServing();
             for (int i = 0; i < 2_000; i++) {
                 program.client().write(i % 3 == 0 ? "POST /ficha HTTP/1.1\r\nHost:" : "");
             }
             for (int i = 0; i < 50; i++) {
                 Exchange client = program.client().write(RealProgram.request("/ficha", "t" + i,
                         "X-Remaining-Ms: 9000\r\nX-Estimate: 1000\r\n", "soup"));
-                assertEquals(client.status(), 200);
+                assertEquals(client.readStatus(), 200);
                 client.close();
             }
             String figures = "";
             // they may lag by half a second
             for (int i = 0; i < 1_000 && !figures.contains("\"success\":50"); i++) {
-                figures = program.connect(ops, null).write("vars\n").rest();
+                figures = program.connect(ops, null).write("vars\n").readToEnd();
             }
             assertTrue(figures.contains("\"success\":50"), figures);
             String high = Files.readAllLines(Path.of("/proc", String.valueOf(program.process.pid()), "status")).stream()
--- a/src/test/java/granitefold/real/QuietListIT.java
+++ b/src/test/java/granitefold/real/QuietListIT.java
@@ -16,62 +16,62 @@
     /** A line was taken for a whole list, and an indented one ended the watch. */
     @Test
     public void anIndentedListIsTakenIn() throws Exception {
-        Exchange watch = start(a);
-        a.status = "draining";
-        b.status = "up";
-        String indented = list(2, false, a, b).replace("{", "{\n  ").replace(",", " ,\r\n\t").replace("]", "\n\n]");
-        watch.lines(indented, "", " \r");
+        Exchange watch = start(workerA);
+        workerA.status = "draining";
+        workerB.status = "up";
+        String indented = list(2, false, workerA, workerB).replace("{", "{\n  ").replace(",", " ,\r\n\t").replace("]", "\n\n]");
+        watch.writeLines(indented, "", " \r");
         program.awaitLog("discovery: list 2 CHANGES");
         Exchange client = send("/ficha", "t1", "");
-        b.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerB.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
         assertTrue(program.log.stream().noneMatch(l -> l.contains("watch ended")), program.log.toString());
     }
 
     /** A reset, a refusal, a broken line, half a list, an end at once: each is followed by a next call that tells what was missed. */
     @Test
     public void whateverEndsAWatchItIsAskedForAnew() throws Exception {
-        Exchange watch = start(a);
+        Exchange watch = start(workerA);
         watch.socket.setSoLinger(true, 0);
         watch.close();
-        Exchange refused = program.watch();
+        Exchange refused = program.acceptWatch();
         refused.close();
-        program.watch("{]}");
-        Exchange half = program.watch();
-        half.write("5\r\n{\"ind\r\n").end();
-        a.status = "draining";
-        b.status = "up";
-        program.watch(list(2, true, a, b));
+        program.acceptWatch("{]}");
+        Exchange half = program.acceptWatch();
+        half.write("5\r\n{\"ind\r\n").endAnswer();
+        workerA.status = "draining";
+        workerB.status = "up";
+        program.acceptWatch(list(2, true, workerA, workerB));
         program.awaitLog("discovery: list 2 WHOLE");
         Exchange client = send("/ficha", "t1", "");
-        b.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerB.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** What is older than ours is not believed of who is up, but of who drains, until there is a list that counts. */
     @Test
     public void anOlderListsDrainsAreHeeded() throws Exception {
-        b.status = "up";
-        Exchange watch = start(a, b);
-        watch.lines(list(9, true, a, b));
+        workerB.status = "up";
+        Exchange watch = start(workerA, workerB);
+        watch.writeLines(list(9, true, workerA, workerB));
         program.awaitLog("discovery: list 9");
-        a.status = "draining";
-        watch.lines(list(8, true, a, b));
+        workerA.status = "draining";
+        watch.writeLines(list(8, true, workerA, workerB));
         program.awaitLog("discovery: list not taken in");
         for (int i = 0; i < 4; i++) {
             Exchange client = send("/ficha", "t" + i, "");
-            Exchange attempt = b.accept();
-            attempt.answerWhole("done");
-            assertEquals(client.status(), 200);
+            Exchange attempt = workerB.accept();
+            attempt.answerAndEnd("done");
+            assertEquals(client.readStatus(), 200);
             attempt.close();
         }
-        a.status = "up";
-        b.status = "draining";
-        watch.lines(list(10, true, a, b));
+        workerA.status = "up";
+        workerB.status = "draining";
+        watch.writeLines(list(10, true, workerA, workerB));
         program.awaitLog("discovery: list 10");
         Exchange client = send("/ficha", "t9", "");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** The descriptors for discovery and for workers are set aside before clients are let in. */
@@ -83,8 +83,8 @@
         }
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
         fields.put("discovery", "\"127.0.0.1:" + port + "\"");
-        b.status = "up";
-        program = new RealProgram(fields, a);
+        workerB.status = "up";
+        program = new RealProgram(fields, workerA);
         InetSocketAddress address = program.addressIn(" listening on ");
         program.awaitLog("discovery: watch ended");
         List<Exchange> idle = new ArrayList<>();
@@ -95,18 +95,18 @@
         for (Exchange e : idle.subList(120, 150)) {
             e.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        assertEquals(idle.get(149).status(), 200);
+        assertEquals(idle.get(149).readStatus(), 200);
         try (ServerSocket discovery = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
-            discovery.setSoTimeout(RealProgram.PATIENCE_S * 1000);
+            discovery.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
             Exchange watch = new Exchange(discovery.accept());
             watch.read();
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            a.status = "draining";
-            watch.lines(list(2, true, a, b));
+            workerA.status = "draining";
+            watch.writeLines(list(2, true, workerA, workerB));
             program.awaitLog("discovery: list 2");
             Exchange client = program.connect(address, null).write(RealProgram.request("/ficha", "t1", TIME, "soup"));
-            b.accept().answer("done").end();
-            assertEquals(client.status(), 200);
+            workerB.accept().startAnswer("done").endAnswer();
+            assertEquals(client.readStatus(), 200);
             watch.close();
         }
         for (Exchange e : idle) {
--- a/src/test/java/granitefold/real/RealChecks.java
+++ b/src/test/java/granitefold/real/RealChecks.java
@@ -29,7 +29,7 @@
             + "availability.slow-start = 0ms\navailability.slow-start-from = 100\n";
     final Map<String, String> fields = new HashMap<>();
     Path folder;
-    Worker a;
+    Worker workerA;
     RealProgram program;
     InetSocketAddress agent;
     InetSocketAddress http;
@@ -38,7 +38,7 @@
     public void setUp() throws IOException {
         fields.clear();
         folder = Files.createTempDirectory("checks");
-        a = new Worker("s-a");
+        workerA = new Worker("s-a");
     }
 
     @AfterMethod(alwaysRun = true)
@@ -46,7 +46,7 @@
         if (program != null) {
             program.close();
         }
-        a.close();
+        workerA.close();
         for (Path p : Files.list(folder).toList()) {
             Files.delete(p);
         }
@@ -63,14 +63,14 @@
 
     /** Starts with both listeners, and more in the operator's file; discovery confirms the list. */
     Exchange start(String more) throws Exception {
-        program = new RealProgram(LISTEN + more, fields, a);
+        program = new RealProgram(LISTEN + more, fields, workerA);
         agent = program.addressIn("checks: agent on");
         http = program.addressIn("checks: http on");
-        return program.serving();
+        return program.awaitServing();
     }
 
     String ask() throws IOException {
-        return program.connect(agent, null).rest();
+        return program.connect(agent, null).readToEnd();
     }
 
     Exchange get(String target) throws IOException {
@@ -89,7 +89,7 @@
 
     /** Asks until the answer holds a text: what is measured takes its counts and dwell. */
     String await(String part) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.TIMEOUT_S);
         String said = ask();
         while (!said.contains(part)) {
             assertTrue(System.nanoTime() - until < 0, "no '" + part + "', but " + said);
@@ -101,6 +101,6 @@
 
     void served(String txn) throws IOException {
         Exchange client = program.client().write(request("/ficha", txn, TIME + "Connection: close\r\n", "soup"));
-        assertEquals(client.status() + client.body, "200made soup");
+        assertEquals(client.readStatus() + client.body, "200made soup");
     }
 }
--- a/src/test/java/granitefold/real/RealProgram.java
+++ b/src/test/java/granitefold/real/RealProgram.java
@@ -21,22 +21,22 @@
  * over loopback. Nothing sleeps: whoever waits, waits for the other side's word, at most {@link #PATIENCE_S}.
  */
 final class RealProgram implements Closeable {
-    static final int PATIENCE_S = 30;
+    static final int TIMEOUT_S = 30;
     /** In the environment of a start: a jar to run instead of the deploy file's command. */
-    static final String JAR = "GRANITEFOLD_TEST_JAR";
+    static final String JAR_VARIABLE = "GRANITEFOLD_TEST_JAR";
     private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
     final List<String> log = new ArrayList<>();
     final Process process;
     private final Map<String, String> config = new HashMap<>();
-    private final Path file = Files.createTempFile("config", ".json");
-    private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    private final Path configurationFile = Files.createTempFile("config", ".json");
+    private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
     private ServerSocket discovery = listen();
     private final List<Closeable> opened = new ArrayList<>();
     private InetSocketAddress address;
 
     /** The operator's file, where there is one. */
-    final Path operator;
+    final Path operatorFile;
 
     /** Starts with these workers known; the fields replace or join those of the configuration. */
     RealProgram(Map<String, String> fields, Worker... workers) throws IOException {
@@ -51,21 +51,21 @@
     /** The same with these variables in its environment. */
     RealProgram(String operatorText, Map<String, String> environment, Map<String, String> fields, Worker... workers) throws IOException {
         config.put("name", "\"n0\"");
-        config.put("listen", "\"" + text(HOST, 0) + "\"");
-        config.put("discovery", "\"" + text(HOST, discovery.getLocalPort()) + "\"");
+        config.put("listen", "\"" + hostAndPort(HOST, 0) + "\"");
+        config.put("discovery", "\"" + hostAndPort(HOST, discovery.getLocalPort()) + "\"");
         config.put("seed", "\"8c1f30d27a5be964\"");
         config.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024}");
         config.put("known", list(1, true, workers));
         config.put("settings", settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"idleCloseMs\":60000"));
         config.putAll(fields);
-        Files.writeString(file, json());
-        operator = operatorText == null ? null : Files.createTempFile("operator", ".conf");
-        if (operator != null) {
-            Files.writeString(operator, operatorText);
-            operator.toFile().deleteOnExit();
+        Files.writeString(configurationFile, json());
+        operatorFile = operatorText == null ? null : Files.createTempFile("operator", ".conf");
+        if (operatorFile != null) {
+            Files.writeString(operatorFile, operatorText);
+            operatorFile.toFile().deleteOnExit();
         }
-        process = launch(file, operator, environment);
-        Thread reader = new Thread(() -> process.inputReader().lines().forEach(lines::add));
+        process = launch(configurationFile, operatorFile, environment);
+        Thread reader = new Thread(() -> process.inputReader().lines().forEach(unreadLines::add));
         reader.setDaemon(true);
         reader.start();
     }
@@ -80,12 +80,12 @@
     void moveDiscovery() throws IOException {
         discovery.close();
         discovery = listen();
-        config.put("discovery", "\"" + text(HOST, discovery.getLocalPort()) + "\"");
-        Files.writeString(file, json());
+        config.put("discovery", "\"" + hostAndPort(HOST, discovery.getLocalPort()) + "\"");
+        Files.writeString(configurationFile, json());
     }
 
     void breakConfiguration() throws IOException {
-        Files.writeString(file, json().substring(1));
+        Files.writeString(configurationFile, json().substring(1));
     }
 
     void signal(String name) throws IOException {
@@ -93,27 +93,27 @@
     }
 
     /** Starts the program on a configuration as it is. */
-    static Process launchOn(String config) throws IOException {
-        Path file = Files.createTempFile("config", ".json");
-        Files.writeString(file, config);
-        return launch(file, null, Map.of());
+    static Process launchWithConfiguration(String config) throws IOException {
+        Path configurationFile = Files.createTempFile("config", ".json");
+        Files.writeString(configurationFile, config);
+        return launch(configurationFile, null, Map.of());
     }
 
-    private static Process launch(Path file, Path operator, Map<String, String> environment) throws IOException {
-        file.toFile().deleteOnExit();
-        String run = environment.containsKey(JAR) ? "exec java -jar " + environment.get(JAR) + " serve" : run();
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", run + (operator == null ? "" : " --operator " + operator))
+    private static Process launch(Path configurationFile, Path operatorFile, Map<String, String> environment) throws IOException {
+        configurationFile.toFile().deleteOnExit();
+        String command = environment.containsKey(JAR_VARIABLE) ? "exec java -jar " + environment.get(JAR_VARIABLE) + " serve" : runCommand();
+        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", command + (operatorFile == null ? "" : " --operator " + operatorFile))
                 .redirectErrorStream(true);
-        b.environment().put("LB_CONFIG", file.toString());
+        b.environment().put("LB_CONFIG", configurationFile.toString());
         b.environment().putAll(environment);
         return b.start();
     }
 
     /** The deploy file's command. */
-    static String run() throws IOException {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
+    static String runCommand() throws IOException {
+        String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
                 .findFirst().orElseThrow();
-        return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'));
+        return command.substring(command.indexOf('"') + 1, command.lastIndexOf('"'));
     }
 
     static String settings(String limits) {
@@ -124,27 +124,27 @@
         StringBuilder b = new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
         for (Worker p : workers) {
             b.append(b.charAt(b.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(p.name)
-                    .append("\",\"address\":\"").append(text(HOST, p.server.getLocalPort())).append("\",\"status\":\"")
+                    .append("\",\"address\":\"").append(hostAndPort(HOST, p.server.getLocalPort())).append("\",\"status\":\"")
                     .append(p.status).append("\",\"weight\":1.0,\"since_ms\":0,\"zone\":\"a\",\"type\":\"m\"}");
         }
         return b + "]}";
     }
 
-    private static String text(InetAddress host, int port) {
+    private static String hostAndPort(InetAddress host, int port) {
         return host.getHostAddress() + ":" + port;
     }
 
     private static ServerSocket listen() throws IOException {
         ServerSocket s = new ServerSocket(0, 50, HOST);
-        s.setSoTimeout(PATIENCE_S * 1000);
+        s.setSoTimeout(TIMEOUT_S * 1000);
         return s;
     }
 
     /** Waits for a line of the log that holds a text. */
     String awaitLog(String part) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        for (String line = lines.poll(PATIENCE_S, TimeUnit.SECONDS); line != null;
-                line = lines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        for (String line = unreadLines.poll(TIMEOUT_S, TimeUnit.SECONDS); line != null;
+                line = unreadLines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) {
             log.add(line);
             if (line.contains(part)) {
                 return line;
@@ -165,22 +165,22 @@
 
     /** Takes in what the log has by now. */
     void drainLog() {
-        lines.drainTo(log);
+        unreadLines.drainTo(log);
     }
 
     /** Accepts the next watch on discovery and answers with these lines. */
-    Exchange watch(String... list) throws IOException {
-        Exchange e = keep(new Exchange(discovery.accept()));
+    Exchange acceptWatch(String... list) throws IOException {
+        Exchange e = closeAtEnd(new Exchange(discovery.accept()));
         e.read();
         e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        e.lines(list);
+        e.writeLines(list);
         return e;
     }
 
     /** Accepts the first watch, tells that nothing changed, and waits until the program serves. */
-    Exchange serving() throws IOException, InterruptedException {
+    Exchange awaitServing() throws IOException, InterruptedException {
         address = addressIn(" listening on ");
-        Exchange watch = watch(list(1, false));
+        Exchange watch = acceptWatch(list(1, false));
         awaitLog("phase: SERVING");
         return watch;
     }
@@ -197,8 +197,8 @@
         if (from != null) {
             s.bind(new InetSocketAddress(from, 0));
         }
-        s.connect(to, PATIENCE_S * 1000);
-        return keep(new Exchange(s));
+        s.connect(to, TIMEOUT_S * 1000);
+        return closeAtEnd(new Exchange(s));
     }
 
     /** A new client connection. */
@@ -206,7 +206,7 @@
         return connect(address, null);
     }
 
-    private Exchange keep(Exchange e) {
+    private Exchange closeAtEnd(Exchange e) {
         opened.add(e);
         return e;
     }
@@ -237,17 +237,17 @@
 
         /** From now on takes every connection; each request is answered at once, with {@code states} of a job. */
         void serve(String... states) {
-            daemon(() -> {
+            startDaemon(() -> {
                 while (true) {
                     Exchange e = new Exchange(server.accept());
-                    daemon(() -> {
+                    startDaemon(() -> {
                         while (e.read() != null) {
                             if (states.length == 0) {
                                 e.close();
-                            } else if (e.first.startsWith("GET ")) {
+                            } else if (e.firstLine.startsWith("GET ")) {
                                 e.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                             } else {
-                                e.answer(states).end();
+                                e.startAnswer(states).endAnswer();
                             }
                         }
                     });
@@ -255,14 +255,14 @@
             });
         }
 
-        private interface Talk {
-            void go() throws IOException;
+        private interface IoTask {
+            void run() throws IOException;
         }
 
-        private static void daemon(Talk talk) {
+        private static void startDaemon(IoTask task) {
             Thread thread = new Thread(() -> {
                 try {
-                    talk.go();
+                    task.run();
                 } catch (IOException e) {
                     // the test is over, or the program has gone
                 }
--- a/src/test/java/granitefold/real/RealTest.java
+++ b/src/test/java/granitefold/real/RealTest.java
@@ -21,16 +21,16 @@
     static final String TIME = "X-Remaining-Ms: 20000\r\nX-Estimate: 2000\r\n";
     static final String LIMITS = "\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"idleCloseMs\":60000";
     final Map<String, String> fields = new HashMap<>();
-    Worker a;
-    Worker b;
+    Worker workerA;
+    Worker workerB;
     RealProgram program;
 
     @BeforeMethod
     public void workers() throws IOException {
         fields.clear();
-        a = new Worker("s-a");
-        b = new Worker("s-b");
-        b.status = "removed";
+        workerA = new Worker("s-a");
+        workerB = new Worker("s-b");
+        workerB.status = "removed";
     }
 
     @AfterMethod(alwaysRun = true)
@@ -38,17 +38,17 @@
         if (program != null) {
             program.close();
         }
-        a.close();
-        b.close();
+        workerA.close();
+        workerB.close();
     }
 
     Exchange start(Worker... known) throws Exception {
         program = new RealProgram(fields, known);
-        return program.serving();
+        return program.awaitServing();
     }
 
     /** Classes whose deadlines are no longer than this. */
-    void deadlines(long ms) {
+    void useDeadlines(long ms) {
         fields.put("settings", RealProgram.settings(LIMITS).replaceAll("\"deadlineMs\":[0-9]+", "\"deadlineMs\":" + ms));
     }
 
@@ -57,18 +57,18 @@
     }
 
     /** A kept client connection with nothing owed on it. */
-    Exchange resting() throws IOException {
+    Exchange idleConnection() throws IOException {
         Exchange e = program.client().write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        if (e.status() != 200) {
-            throw new AssertionError(e.first);
+        if (e.readStatus() != 200) {
+            throw new AssertionError(e.firstLine);
         }
         return e;
     }
 
     /** The process stands still: what others do from now on waits in its sockets, and is there all at once when it goes on. */
-    void standStill() throws Exception {
+    void pauseProcess() throws Exception {
         program.signal("STOP");
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.TIMEOUT_S);
         while (!stopped()) {
             if (System.nanoTime() - until > 0) {
                 throw new AssertionError("it does not stand still");
@@ -102,7 +102,7 @@
         }
     }
 
-    void goOn() throws IOException {
+    void resumeProcess() throws IOException {
         program.signal("CONT");
     }
 
@@ -110,20 +110,20 @@
     Exchange nextAttempt(Exchange... kept) throws Exception {
         try {
             // each is looked at for a moment, in turn
-            a.server.setSoTimeout(5);
-            b.server.setSoTimeout(5);
-            long until = System.nanoTime() + RealProgram.PATIENCE_S * 1_000_000_000L;
+            workerA.server.setSoTimeout(5);
+            workerB.server.setSoTimeout(5);
+            long until = System.nanoTime() + RealProgram.TIMEOUT_S * 1_000_000_000L;
             while (System.nanoTime() - until < 0) {
                 for (Exchange e : kept) {
-                    if (e.in.available() > 0) {
+                    if (e.input.available() > 0) {
                         e.read();
                         return e;
                     }
                 }
-                for (Worker p : new Worker[] {a, b}) {
+                for (Worker p : new Worker[] {workerA, workerB}) {
                     try {
                         Exchange e = p.accept();
-                        if (e.first != null) {
+                        if (e.firstLine != null) {
                             return e;
                         }
                         // given up before a byte was written on it: no attempt has begun
@@ -134,14 +134,14 @@
                 }
             }
         } finally {
-            a.server.setSoTimeout(RealProgram.PATIENCE_S * 1000);
-            b.server.setSoTimeout(RealProgram.PATIENCE_S * 1000);
+            workerA.server.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
+            workerB.server.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
         }
         throw new AssertionError("no attempt came");
     }
 
-    void awaitEnd() throws InterruptedException {
-        if (!program.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS) || program.process.exitValue() != 0) {
+    void awaitExit() throws InterruptedException {
+        if (!program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS) || program.process.exitValue() != 0) {
             throw new AssertionError("it has not ended in order");
         }
     }
@@ -156,7 +156,7 @@
     }
 
     /** Whether anybody has connected to a worker that nobody accepted yet; for when the program has ended, or cannot any more. */
-    static boolean called(Worker p) throws IOException {
+    static boolean hasPendingConnection(Worker p) throws IOException {
         p.server.setSoTimeout(1);
         try {
             p.server.accept().close();
--- a/src/test/java/granitefold/real/RequestTraceIT.java
+++ b/src/test/java/granitefold/real/RequestTraceIT.java
@@ -8,11 +8,11 @@
 public class RequestTraceIT extends RealTest {
     @Test
     public void aRequestCanBeFollowedFromItsArrivalToTheCloseOfItsConnection() throws Exception {
-        program = new RealProgram("log.requests = true", fields, a);
-        program.serving();
+        program = new RealProgram("log.requests = true", fields, workerA);
+        program.awaitServing();
         Exchange client = send("/ficha?sid=1", "t1", "");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
         program.awaitLog("client 1: connected");
         program.awaitLog("request t1: taken as 1 of client 1, class 0");
@@ -25,13 +25,13 @@
 
     @Test
     public void aRefusalTellsItsReason() throws Exception {
-        deadlines(500);
-        a.status = "draining";
-        program = new RealProgram("log.requests = true", fields, a);
-        program.watch(RealProgram.list(1, false));
+        useDeadlines(500);
+        workerA.status = "draining";
+        program = new RealProgram("log.requests = true", fields, workerA);
+        program.acceptWatch(RealProgram.list(1, false));
         Exchange client = connected();
         client.write(RealProgram.request("/ficha", "t1", "X-Remaining-Ms: 300\r\nX-Estimate: 2000\r\n", "soup"));
-        assertEquals(client.status(), 503);
+        assertEquals(client.readStatus(), 503);
         program.awaitLog("request t1: answered: Rejected");
     }
 
--- a/src/test/java/granitefold/real/RolloutIT.java
+++ b/src/test/java/granitefold/real/RolloutIT.java
@@ -28,7 +28,7 @@
     private static final int RATE = 240;
     private static final String FLEET = "for = 300s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = " + RATE + "\n"
             + "tenants { acme { share = 0.7 }, otro { share = 0.3 } }\n";
-    private static final int PATIENCE_S = 240;
+    private static final int TIMEOUT_S = 240;
     /** By their numbers, the long ones first; three that the simulated comparison and the search play too go by hand, as {@code -Drollouts=11,12,14}. */
     /** The longest first, so that none is left over while the others are done. */
     private static final List<Integer> STORIES = Stream.of(System.getProperty("rollouts", "10,13,7,3,8,9,1,2,4,0,6,5").split(","))
@@ -54,38 +54,38 @@
             new Case("a version that is no worse takes over, and nobody notices", (r, fresh) -> {
                 r.writePlan("good", fresh, PlanParameters.TEST);
                 r.start();
-                done(r.awaitResult(PATIENCE_S));
+                done(r.awaitResult(TIMEOUT_S));
             }, SAME),
             new Case("a fleet stands mixed with a later version and goes over to it", (r, fresh) -> {
                 r.writePlan("later", fresh, new PlanParameters("\"2\", all", 2, 10, 90, 20, true, false, PlanParameters.TEST.tolerances()));
                 r.start();
-                done(r.awaitResult(PATIENCE_S));
+                done(r.awaitResult(TIMEOUT_S));
             }, LATER),
             new Case("a version that refuses one in ten goes back", (r, fresh) -> {
                 r.writePlan("loses", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "served|refused");
+                returned(r.awaitResult(TIMEOUT_S), "served|refused");
             }, PatchedJar.rejectShare(0.1)),
             new Case("a version that refuses a tenant goes back", (r, fresh) -> {
                 r.writePlan("refuses", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "served|refused");
+                returned(r.awaitResult(TIMEOUT_S), "served|refused");
             }, PatchedJar.rejectTenant(1)),
             new Case("a version that is slow goes back", (r, fresh) -> {
                 r.writePlan("slow", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "time");
+                returned(r.awaitResult(TIMEOUT_S), "time");
             }, PatchedJar.delayAnswers(60)),
             new Case("a version that does not start gives way to the old one", (r, fresh) -> {
                 Files.write(fresh, new byte[] {1, 2, 3});
                 r.writePlan("broken", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "n0 to the new version");
+                returned(r.awaitResult(TIMEOUT_S), "n0 to the new version");
             }),
             new Case("a version that ends after a while goes back", true, (r, fresh) -> {
                 r.writePlan("ends", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "ends by themselves|does not come|did not come");
+                returned(r.awaitResult(TIMEOUT_S), "ends by themselves|does not come|did not come");
             }, PatchedJar.exitTimerField(), PatchedJar.exitAfter(4000)),
             new Case("a controller is killed again and again, and the rollout comes to its end", (r, fresh) -> {
                 r.writePlan("killed", fresh, PlanParameters.TEST);
@@ -95,7 +95,7 @@
                     p.destroyForcibly().waitFor();
                 }
                 r.start();
-                done(r.awaitResult(PATIENCE_S));
+                done(r.awaitResult(TIMEOUT_S));
             }, SAME),
             new Case("a second controller is refused, and keepers are killed on the way", (r, fresh) -> {
                 r.writePlan("second", fresh, PlanParameters.TEST);
@@ -106,7 +106,7 @@
                 r.awaitLog("is held by another process");
                 r.injectStep("{ do = kill-keeper, to = [n0, n1, n2, n3] }");
                 assertTrue(first.isAlive());
-                assertTrue(first.waitFor(PATIENCE_S, TimeUnit.SECONDS), r.lastLines());
+                assertTrue(first.waitFor(TIMEOUT_S, TimeUnit.SECONDS), r.lastLines());
                 assertEquals(r.status().path("state").asText(), "DONE", r.lastLines());
             }, SAME),
             new Case("cut off from half of the dispatchers it holds, and goes back once it reaches them", (r, fresh) -> {
@@ -120,12 +120,12 @@
                 assertEquals(r.sendCommand("back"), 0);
                 r.awaitLog("RETURNING");
                 r.injectStep("{ do = heal, edges = [control] }");
-                returned(r.awaitResult(PATIENCE_S), "operator");
+                returned(r.awaitResult(TIMEOUT_S), "operator");
             }, SAME),
             new Case("a version that says that it serves and answers nothing goes back", true, (r, fresh) -> {
                 r.writePlan("mute", fresh, PlanParameters.TEST);
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "time");
+                returned(r.awaitResult(TIMEOUT_S), "time");
             }, PatchedJar.neverAnswer()),
             new Case("a controller is stopped, another one is refused, and the first goes on", (r, fresh) -> {
                 r.writePlan("stopped", fresh, PlanParameters.TEST);
@@ -137,7 +137,7 @@
                 r.awaitLog("is held by another process");
                 r.awaitServed(20 * RATE);
                 RealTest.signal(first, "CONT");
-                assertTrue(first.waitFor(PATIENCE_S, TimeUnit.SECONDS), r.lastLines());
+                assertTrue(first.waitFor(TIMEOUT_S, TimeUnit.SECONDS), r.lastLines());
                 assertEquals(r.status().path("state").asText(), "DONE", r.lastLines());
             }, SAME),
             new Case("discovery goes and a worker hangs in a stage, for old and new alike, and nothing is stopped", (r, fresh) -> {
@@ -149,20 +149,20 @@
                 r.awaitServed(4 * RATE);
                 r.injectStep("{ do = well, to = [s0] }");
                 r.injectStep("{ do = discovery-up }");
-                done(r.awaitResult(PATIENCE_S));
+                done(r.awaitResult(TIMEOUT_S));
             }, SAME),
             new Case("all are killed in a stage, come back as they were, and the rollout comes to its end", (r, fresh) -> {
                 r.writePlan("blackout", fresh, PlanParameters.TEST);
                 r.start();
                 r.awaitLog("LOOKING stage 1");
                 r.injectStep("{ do = kill, to = [n0, n1, n2, n3] }");
-                done(r.awaitResult(PATIENCE_S));
+                done(r.awaitResult(TIMEOUT_S));
             }, SAME),
             new Case("a version that leaks goes back", (r, fresh) -> {
                 r.writePlan("leaks", fresh, new PlanParameters("\"1\", all", 2, 6, 90, 20, true, true,
                         "served = 0.05, refused = 0.06, errors = 0.06, time = 2, memory = 1.5"));
                 r.start();
-                returned(r.awaitResult(PATIENCE_S), "memory");
+                returned(r.awaitResult(TIMEOUT_S), "memory");
             }, PatchedJar.leakField(), PatchedJar.leakMemory(16 << 10)));
 
     /** A later version's siblings tell each other things that this one does not know. */
--- a/src/test/java/granitefold/real/RunScriptIT.java
+++ b/src/test/java/granitefold/real/RunScriptIT.java
@@ -33,7 +33,7 @@
         if (config != null) {
             Files.writeString(file, config);
         }
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", RealProgram.run()).redirectErrorStream(true);
+        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", RealProgram.runCommand()).redirectErrorStream(true);
         b.environment().put("PATH", dir.toString());
         b.environment().put("LB_CONFIG", file.toString());
         Process p = b.start();
@@ -63,7 +63,7 @@
         try (RealProgram.Worker worker = new RealProgram.Worker("a");
                 RealProgram program = new RealProgram(Map.of("peer_listen", "\"127.0.0.1:0\"", "peers", "[\"127.0.0.1:9\"]"),
                         worker)) {
-            program.serving();
+            program.awaitServing();
             Path proc = Path.of("/proc", String.valueOf(program.process.pid()));
             Set<String> own;
             try (Stream<Path> fds = Files.list(proc.resolve("fd"))) {
@@ -86,7 +86,7 @@
 
     /** What the program says before it ends on a configuration that is missing. */
     private static String saidBefore(String shell) throws IOException, InterruptedException {
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", shell + RealProgram.run()).redirectErrorStream(true);
+        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", shell + RealProgram.runCommand()).redirectErrorStream(true);
         b.environment().put("LB_CONFIG", "/missing");
         Process p = b.start();
         String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/granitefold/real/ServeIT.java
+++ b/src/test/java/granitefold/real/ServeIT.java
@@ -23,18 +23,18 @@
 
     @Test
     public void passesARequestOnUnchangedAndKeepsBothConnections() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = program.client();
         String target = "/guardar/x%20y?sid=7f3a&q=%2F";
         String raw = request(target, "t1", TIME + "Idempotency-Key: k9\r\nX-Labels: slots=2\r\n", "soup");
         client.write(raw.substring(0, 9)).write(raw.substring(9, raw.length() - 2));
         client.write(raw.substring(raw.length() - 2));
-        Exchange worker = a.accept();
-        assertEquals(worker.first, "POST " + target + " HTTP/1.1");
-        assertEquals(worker.head.get("x-txn") + worker.head.get("idempotency-key") + worker.body, "t1k9soup");
-        assertTrue(Integer.parseInt(worker.head.get("x-remaining-ms")) <= 20_000);
-        worker.answerWhole("started", "done");
-        assertEquals(client.status() + client.body, "200made soup");
+        Exchange worker = workerA.accept();
+        assertEquals(worker.firstLine, "POST " + target + " HTTP/1.1");
+        assertEquals(worker.headers.get("x-txn") + worker.headers.get("idempotency-key") + worker.body, "t1k9soup");
+        assertTrue(Integer.parseInt(worker.headers.get("x-remaining-ms")) <= 20_000);
+        worker.answerAndEnd("started", "done");
+        assertEquals(client.readStatus() + client.body, "200made soup");
         // the client's is used at once, a worker's once it has rested; until then others are opened
         List<Exchange> kept = new ArrayList<>(List.of(worker));
         for (Exchange next = null; next == null || !kept.contains(next); ) {
@@ -43,20 +43,20 @@
             }
             client.write(request("/ficha", "t" + (1 + kept.size()), TIME, "salt"));
             next = nextAttempt(kept.toArray(Exchange[]::new));
-            next.answerWhole("done");
-            assertEquals(client.status() + client.body, "200made salt");
+            next.answerAndEnd("done");
+            assertEquals(client.readStatus() + client.body, "200made salt");
             assertTrue(kept.size() < 1_000, "none is ever used again");
         }
     }
 
     @Test
     public void connectionCloseIsKept() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("t1", "Connection: close\r\n");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
-        assertEquals(client.head.get("connection"), "close");
-        assertTrue(client.closed());
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
+        assertEquals(client.headers.get("connection"), "close");
+        assertTrue(client.awaitClose());
     }
 
     private static Object[][] bad() {
@@ -100,135 +100,135 @@
 
     @Test
     public void badInputIsAnsweredAndSurvived() throws Exception {
-        start(a);
+        start(workerA);
         for (Object[] row : bad()) {
             Exchange client = program.client().write((String) row[0]);
-            assertEquals(client.status(), row[1], (String) row[0]);
-            assertTrue(client.closed(), (String) row[0]);
+            assertEquals(client.readStatus(), row[1], (String) row[0]);
+            assertTrue(client.awaitClose(), (String) row[0]);
         }
         // none of it has come to a worker
         Exchange client = send("good", "");
-        Exchange worker = a.accept();
-        assertEquals(worker.head.get("x-txn"), "good");
-        worker.answer("done").end();
-        assertEquals(client.status(), 200);
+        Exchange worker = workerA.accept();
+        assertEquals(worker.headers.get("x-txn"), "good");
+        worker.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** Each is owed an error or a close, and none of them may keep its place for good. */
     @Test
     public void clientsThatNeverComeToAnEndAreTimedOut() throws Exception {
-        start(a);
+        start(workerA);
         Exchange silent = program.client();
         Exchange head = program.client().write("POST /ficha HTTP/1.1\r\nHost: x\r\n");
         Exchange body = program.client().write(request("/ficha", "t", TIME, "soup").replace("soup", "s"));
         Exchange kept = program.client().write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertEquals(kept.status(), 200);
+        assertEquals(kept.readStatus(), 200);
         kept.write("GET /hea");
         for (Exchange e : List.of(head, body, kept)) {
-            assertEquals(e.status(), 408);
+            assertEquals(e.readStatus(), 408);
         }
-        assertTrue(silent.closed() && head.closed() && body.closed() && kept.closed());
+        assertTrue(silent.awaitClose() && head.awaitClose() && body.awaitClose() && kept.awaitClose());
     }
 
     @Test
     public void aCrowdOfSilentClientsKeepsNobodyOut() throws Exception {
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
-        start(a);
+        start(workerA);
         for (int i = 0; i < 150; i++) {
             program.client();
         }
         Exchange client = send("t1", "");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** An answer or a cancel for one would be taken for the other's. */
     @Test
     public void theIdOfAnOpenRequestIsRefusedAndThatOneIsNotTouched() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         Exchange other = send("t1", "");
-        assertEquals(other.status(), 409);
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status() + client.body, "200made");
+        assertEquals(other.readStatus(), 409);
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus() + client.body, "200made");
     }
 
     /** Each answer used to be written from within the one before, until the stack was used up. */
     @Test
     public void aThousandPipelinedRequestsAreAnswered() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = program.client().write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".repeat(1000));
         for (int i = 0; i < 1000; i++) {
-            assertEquals(client.status(), 200);
+            assertEquals(client.readStatus(), 200);
         }
     }
 
     /** A truncated line never becomes a 200, and the next attempt comes only once the last one's connection is gone. */
     @Test
     public void aTruncatedAnswerIsTriedAgain() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("t1", "");
-        Exchange first = a.accept().answer("started");
+        Exchange first = workerA.accept().startAnswer("started");
         String cut = "{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"ma";
-        first.write(Integer.toHexString(cut.length()) + "\r\n" + cut + "\r\n").end();
-        assertTrue(first.closed());
-        Exchange second = a.accept();
-        second.answer("done").end();
-        assertEquals(client.status() + client.body, "200made soup");
+        first.write(Integer.toHexString(cut.length()) + "\r\n" + cut + "\r\n").endAnswer();
+        assertTrue(first.awaitClose());
+        Exchange second = workerA.accept();
+        second.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus() + client.body, "200made soup");
     }
 
     /** A worker that never ends its answer must not keep a connection for good. */
     @Test
     public void anAnswerWithoutItsEndIsServedAndItsConnectionClosed() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("t1", "");
-        Exchange worker = a.accept().answer("done");
-        assertEquals(client.status(), 200);
-        assertTrue(worker.closed());
+        Exchange worker = workerA.accept().startAnswer("done");
+        assertEquals(client.readStatus(), 200);
+        assertTrue(worker.awaitClose());
     }
 
     /** What may have run and must not run twice ends as failed, never as a reject. */
     @Test
     public void afterALossAnUnsafeJobFails() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
-        a.accept().answer("started", "lost").end();
-        assertEquals(client.status(), 500);
+        workerA.accept().startAnswer("started", "lost").endAnswer();
+        assertEquals(client.readStatus(), 500);
     }
 
     @Test
     public void whatIsReturnedGoesElsewhere() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
-        Exchange first = a.accept();
+        Exchange first = workerA.accept();
         first.write("HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-        a.accept().answer("returned").end();
-        nextAttempt(first).answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("returned").endAnswer();
+        nextAttempt(first).startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     @Test
     public void aClientThatLeavesEndsItsTry() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = send("t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         client.close();
-        assertTrue(worker.closed());
+        assertTrue(worker.awaitClose());
         // more behind the request than one buffer holds must not hide that
         client = send("t2", "");
-        worker = a.accept().answer("started");
+        worker = workerA.accept().startAnswer("started");
         client.write("x".repeat(20_000)).close();
-        assertTrue(worker.closed());
+        assertTrue(worker.awaitClose());
     }
 
     @Test
     public void aSilentWorkerIsAnsweredForByTheDeadline() throws Exception {
-        start(a);
+        start(workerA);
         Exchange client = program.client().write(request("/once", "t1", "X-Remaining-Ms: 300\r\n", "soup"));
-        Exchange worker = a.accept();
-        assertEquals(client.status(), 504);
-        assertTrue(worker.closed());
+        Exchange worker = workerA.accept();
+        assertEquals(client.readStatus(), 504);
+        assertTrue(worker.awaitClose());
     }
 
     /** A reject tells when to come back, and comes at once: with no worker at all there is nothing to wait for. */
@@ -236,63 +236,63 @@
     public void withoutWorkersARequestIsRejectedAtOnce() throws Exception {
         start();
         Exchange client = send("t1", "");
-        assertEquals(client.status(), 503);
-        assertTrue(Double.parseDouble(client.head.get("retry-after")) > 0);
+        assertEquals(client.readStatus(), 503);
+        assertTrue(Double.parseDouble(client.headers.get("retry-after")) > 0);
     }
 
     @Test
     public void drainingWorkersGetNothingNewAndBadLinesReopenTheWatch() throws Exception {
-        Exchange watch = start(a);
-        watch.lines("not a list");
+        Exchange watch = start(workerA);
+        watch.writeLines("not a list");
         program.awaitLog("discovery: watch ended");
-        a.status = "draining";
-        b.status = "up";
-        program.watch("", list(2, false, a, b));
+        workerA.status = "draining";
+        workerB.status = "up";
+        program.acceptWatch("", list(2, false, workerA, workerB));
         program.awaitLog("discovery: list 2");
         Exchange client = send("t1", "");
-        b.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerB.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** A cut link says nothing: only the missing heartbeats show it. */
     @Test
     public void aSilentWatchIsOpenedAgain() throws Exception {
-        Exchange watch = start(a);
-        assertTrue(watch.closed());
-        program.watch(list(2, false));
+        Exchange watch = start(workerA);
+        assertTrue(watch.awaitClose());
+        program.acceptWatch(list(2, false));
         program.awaitLog("discovery: list 2");
     }
 
     /** The signal would end the JVM. The old discovery is left at once, and a broken file changes nothing. */
     @Test
     public void aHangUpMovesTheWatchAndABrokenFileDoesNot() throws Exception {
-        Exchange watch = start(a);
+        Exchange watch = start(workerA);
         program.breakConfiguration();
         program.signal("HUP");
         program.awaitLog("configuration: kept as it was");
         program.moveDiscovery();
         program.signal("HUP");
-        assertTrue(watch.closed());
-        program.watch(list(2, false));
+        assertTrue(watch.awaitClose());
+        program.acceptWatch(list(2, false));
         program.awaitLog("discovery: list 2");
         Exchange client = send("t1", "");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** The worker would close this connection: a request must not meet that. */
     @Test
     public void anIdleConnectionIsClosedBeforeTheWorkerCloses() throws Exception {
         fields.put("settings", RealProgram.settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"idleCloseMs\":1000"));
-        start(a);
+        start(workerA);
         Exchange client = send("t1", "");
-        Exchange worker = a.accept();
-        worker.answer("done").end();
-        assertEquals(client.status(), 200);
-        assertTrue(worker.closed());
+        Exchange worker = workerA.accept();
+        worker.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
+        assertTrue(worker.awaitClose());
         client.write(request("/ficha", "t2", TIME, "salt"));
-        a.accept().answer("done").end();
-        assertEquals(client.status() + client.body, "200made salt");
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus() + client.body, "200made salt");
     }
 
     /** Siblings speak in datagrams; whatever else comes there does no harm. */
@@ -300,14 +300,14 @@
     public void siblingsAreToldAndRubbishIsIgnored() throws Exception {
         try (DatagramSocket sibling = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            sibling.setSoTimeout(RealProgram.PATIENCE_S * 1000);
+            sibling.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
             String own = "\"127.0.0.1:" + free.getLocalPort() + "\"";
             free.close();
             fields.put("settings", RealProgram.settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000")
                     .replace("\"siblings\":1", "\"siblings\":2"));
             fields.put("peer_listen", own);
             fields.put("peers", "[" + own + ",\"127.0.0.1:" + sibling.getLocalPort() + "\"]");
-            start(a);
+            start(workerA);
             Exchange client = send("t1", "");
             DatagramPacket word = new DatagramPacket(new byte[1000], 1000);
             sibling.receive(word);
@@ -315,15 +315,15 @@
             for (int length : new int[] {0, 1, 100, 257, 1000}) {
                 sibling.send(new DatagramPacket(new byte[length], length, word.getSocketAddress()));
             }
-            a.accept().answer("done").end();
-            assertEquals(client.status(), 200);
+            workerA.accept().startAnswer("done").endAnswer();
+            assertEquals(client.readStatus(), 200);
         }
     }
 
     @Test
     public void brokenConfigurationIsOneLineAndAStatus() throws Exception {
         for (String config : List.of("{", "[]", "{}", "{\"settings\":{\"classes\":[{\"effect\":\"odd\"}]}}")) {
-            Process p = RealProgram.launchOn(config);
+            Process p = RealProgram.launchWithConfiguration(config);
             String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(p.waitFor(), 2, config);
             assertEquals(said.lines().count(), 1, said);
--- a/src/test/java/granitefold/real/SettingsIT.java
+++ b/src/test/java/granitefold/real/SettingsIT.java
@@ -33,22 +33,22 @@
     /** A file with the classes in another order is read in the middle of a request: its class is still what it was. */
     @Test
     public void aHangUpThatTurnsTheClassesRoundTouchesNoRequest() throws Exception {
-        Exchange watch = start(a);
+        Exchange watch = start(workerA);
         Exchange once = send("/once", "t1", "");
-        Exchange attempt = a.accept().answer("started");
+        Exchange attempt = workerA.accept().startAnswer("started");
         program.moveDiscovery();
         Files.writeString(configuration(), turned(Files.readString(configuration())));
         program.signal("HUP");
-        assertTrue(watch.closed());
-        program.watch(list(2, false));
+        assertTrue(watch.awaitClose());
+        program.acceptWatch(list(2, false));
         program.awaitLog("discovery: list 2");
-        attempt.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"lost\"}").end();
-        assertEquals(once.status(), 500, "it may have run, and must not be sent again");
+        attempt.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"lost\"}").endAnswer();
+        assertEquals(once.readStatus(), 500, "it may have run, and must not be sent again");
         // nor is what comes later taken for another class: this one may be sent again as often as it likes
         Exchange ficha = send("/ficha", "t2", "");
-        nextAttempt(attempt).answer("started", "lost").end();
-        nextAttempt(attempt).answer("started", "done").end();
-        assertEquals(ficha.status(), 200);
+        nextAttempt(attempt).startAnswer("started", "lost").endAnswer();
+        nextAttempt(attempt).startAnswer("started", "done").endAnswer();
+        assertEquals(ficha.readStatus(), 200);
     }
 
     /** The folder is the last customer's, and so are the names of the dispatchers. */
@@ -57,25 +57,25 @@
         Path folder = Files.createTempDirectory("state");
         String operator = "state.dir = \"" + folder + "\"\nstate.every = 100ms\n";
         try {
-            program = new RealProgram(operator, fields, a);
-            program.serving();
+            program = new RealProgram(operator, fields, workerA);
+            program.awaitServing();
             Exchange client = program.client().write(request("/guardar", "t1", TIME + "Idempotency-Key: k1\r\n", "soup"));
-            a.accept().answer("done").end();
-            assertEquals(client.status(), 200);
+            workerA.accept().startAnswer("done").endAnswer();
+            assertEquals(client.readStatus(), 200);
             client.close();
             program.signal("TERM");
-            awaitEnd();
+            awaitExit();
             program.close();
             fields.put("settings", turned(RealProgram.settings(LIMITS)));
-            program = new RealProgram(operator, fields, a);
-            program.serving();
+            program = new RealProgram(operator, fields, workerA);
+            program.awaitServing();
             program.hasLogged("state: the file is of other settings than ours, and not used");
             program.drainLog();
             assertTrue(program.log.stream().noneMatch(l -> l.contains("state: recovered")), program.log.toString());
             // the key is another customer's, and says nothing of this one's request
             client = program.client().write(request("/guardar", "t2", TIME + "Idempotency-Key: k1\r\n", "salt"));
-            a.accept().answer("done").end();
-            assertEquals(client.status() + client.body, "200made salt");
+            workerA.accept().startAnswer("done").endAnswer();
+            assertEquals(client.readStatus() + client.body, "200made salt");
         } finally {
             program.close();
             try (Stream<Path> files = Files.walk(folder)) {
@@ -89,19 +89,19 @@
     public void wordsOfOtherSettingsAreNotHeard() throws Exception {
         try (DatagramSocket sibling = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            sibling.setSoTimeout(RealProgram.PATIENCE_S * 1000);
+            sibling.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
             InetSocketAddress own = (InetSocketAddress) free.getLocalSocketAddress();
             free.close();
             fields.put("settings", RealProgram.settings(LIMITS).replace("\"siblings\":1", "\"siblings\":2")
                     .replaceAll("\"deadlineMs\":[0-9]+", "\"deadlineMs\":20000"));
             fields.put("peer_listen", "\"127.0.0.1:" + own.getPort() + "\"");
             fields.put("peers", "[\"127.0.0.1:" + own.getPort() + "\",\"127.0.0.1:" + sibling.getLocalPort() + "\"]");
-            start(a);
+            start(workerA);
             Exchange client = send("/ficha", "t1", "");
             DatagramPacket word = new DatagramPacket(new byte[1000], 1000);
             sibling.receive(word);
-            a.accept().answer("done").end();
-            assertEquals(client.status(), 200);
+            workerA.accept().startAnswer("done").endAnswer();
+            assertEquals(client.readStatus(), 200);
             byte[] foreign = java.util.Arrays.copyOf(word.getData(), word.getLength());
             foreign[foreign.length - 1] ^= 1;
             sibling.send(new DatagramPacket(foreign, foreign.length, own));
@@ -112,6 +112,6 @@
             program.awaitLog("phase: FINISHING");
             assertTrue(between("phase: DRAINING", "phase: FINISHING").toMillis() > 3_000, "nobody was heard");
         }
-        assertFalse(called(a));
+        assertFalse(hasPendingConnection(workerA));
     }
 }
--- a/src/test/java/granitefold/real/StateIT.java
+++ b/src/test/java/granitefold/real/StateIT.java
@@ -28,20 +28,20 @@
     private static final long LAST_US = 2_000_000;
     private final Map<String, String> fields = new HashMap<>();
     private Path folder;
-    private Worker a;
+    private Worker workerA;
     private RealProgram program;
 
     @BeforeMethod
     public void setUp() throws IOException {
         folder = Files.createTempDirectory("state");
-        a = new Worker("s-a");
+        workerA = new Worker("s-a");
     }
 
     @AfterMethod(alwaysRun = true)
     public void close() throws Exception {
         program.close();
         program.process.waitFor();
-        a.close();
+        workerA.close();
         remove(folder);
     }
 
@@ -54,14 +54,14 @@
     }
 
     private RealProgram start() throws Exception {
-        program = new RealProgram("state.dir = \"" + folder + "\"\nstate.every = 100ms\n", fields, a);
-        program.serving();
+        program = new RealProgram("state.dir = \"" + folder + "\"\nstate.every = 100ms\n", fields, workerA);
+        program.awaitServing();
         return program;
     }
 
     /** Waits until the file holds what is looked for. */
     private StateFile.Content await(Predicate<StateFile.Content> what) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.TIMEOUT_S);
         while (true) {
             byte[] file = DirectoryStorage.readOnly(folder).read("learned.state", StateFile.MAX_LENGTH_BYTES);
             if (file != null && what.test(StateFile.decode(file))) {
@@ -80,7 +80,7 @@
     public void aKeyedJobOfAFormerLifeIsNotSentAgainWithinItsWindow() throws Exception {
         start();
         save("t1", "k1");
-        Exchange running = a.accept().answer("started");
+        Exchange running = workerA.accept().startAnswer("started");
         await(c -> !c.learned().keys().isEmpty());
         program.process.destroyForcibly().waitFor();
         running.close();
@@ -88,25 +88,25 @@
         start();
         program.hasLogged("state: recovered");
         Exchange repeat = save("t2", "k1");
-        assertEquals(repeat.status(), 503);
-        assertTrue(Double.parseDouble(repeat.head.get("retry-after")) > 1, repeat.head.toString());
+        assertEquals(repeat.readStatus(), 503);
+        assertTrue(Double.parseDouble(repeat.headers.get("retry-after")) > 1, repeat.headers.toString());
         Exchange other = save("t3", "k2");
-        a.accept().answer("done").end();
-        assertEquals(other.status() + other.body, "200made soup");
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(other.readStatus() + other.body, "200made soup");
     }
 
     @Test
     public void whatWasLearnedComesBackAndAPlannedEndWritesTheLast() throws Exception {
         start();
-        a.serve("started", "done");
+        workerA.serve("started", "done");
         for (int i = 0; i < 20; i++) {
-            assertEquals(program.client().write(request("/ficha", "t" + i, TIME + "Connection: close\r\n", "")).status(), 200);
+            assertEquals(program.client().write(request("/ficha", "t" + i, TIME + "Connection: close\r\n", "")).readStatus(), 200);
         }
         // however slow the disk is, all of it is there by now
         await(x -> x.learned().buckets().stream().anyMatch(b -> b.used().get(0) == 20));
         long termAt = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
         program.signal("TERM");
-        assertTrue(program.process.waitFor(RealProgram.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(program.process.exitValue(), 0);
         // the file of that name may have just been put aside where the disk took longer than the end may
         StateFile.Content c = new StateStore(DirectoryStorage.readOnly(folder), 2).load().content();
@@ -126,8 +126,8 @@
     public void aSecondProcessServesWithoutTheFolder() throws Exception {
         start();
         await(c -> true);
-        try (RealProgram second = new RealProgram("state.dir = \"" + folder + "\"\n", Map.of(), a)) {
-            second.serving();
+        try (RealProgram second = new RealProgram("state.dir = \"" + folder + "\"\n", Map.of(), workerA)) {
+            second.awaitServing();
             assertTrue(second.hasLogged("state: nothing is kept").contains("held by another process"));
         }
     }
@@ -140,8 +140,8 @@
         Path aside = Files.createTempDirectory("aside");
         Files.move(folder, aside, StandardCopyOption.ATOMIC_MOVE);
         program.awaitLog("state: not written");
-        a.serve("done");
-        assertEquals(program.client().write(request("/ficha", "t1", TIME, "")).status(), 200);
+        workerA.serve("done");
+        assertEquals(program.client().write(request("/ficha", "t1", TIME, "")).readStatus(), 200);
         Files.createDirectory(folder);
         await(c -> true);
         remove(aside);
@@ -152,7 +152,7 @@
         Files.writeString(folder.resolve("learned.state"), "rubbish that is long enough to have a head in it");
         Path elsewhere = Files.createTempFile("elsewhere", ".state");
         Files.createSymbolicLink(folder.resolve("learned.state.1"), elsewhere);
-        program = new RealProgram("state.dir = \"" + folder + "\"\nstate.every = 100ms\n", fields, a);
+        program = new RealProgram("state.dir = \"" + folder + "\"\nstate.every = 100ms\n", fields, workerA);
         assertTrue(program.awaitLog("state: learned.state:").contains("not a state file"));
         assertTrue(program.awaitLog("state: learned.state.1:").contains("not a file"));
         program.awaitLog("state: nothing to recover");
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -43,7 +43,7 @@
     /** The listener was closed over its queue when a call of accept failed, or was interrupted, while it was emptied. */
     @Test(dataProvider = "failing")
     public void aQueuedRequestIsAnsweredThoughAcceptFailsAsTheListenerCloses(Errno error) throws Exception {
-        deadlines(DEADLINE_MS);
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         terminate();
         program.awaitLog("phase: DRAINING");
@@ -52,53 +52,53 @@
         sleepUntil(System.nanoTime(), DEADLINE_MS + 300);
         assertTrue(faults.injected(SystemCallFault.ACCEPT) > 0, "no call of accept has failed");
         faults.disable(SystemCallFault.ACCEPT);
-        assertFinal(client.status());
-        awaitEnd();
+        assertFinal(client.readStatus());
+        awaitExit();
     }
 
     /** The loop stood still in a call of accept that the JDK repeated, until the kill. */
     @Test
     public void whatWasTakenIsAnsweredThoughEveryAcceptIsAbortedUntilTheKill() throws Exception {
-        deadlines(DEADLINE_MS);
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
+        workerA.accept().startAnswer("started");
         faults.enable(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
         program.client();
         while (faults.injected(SystemCallFault.ACCEPT) == 0) {
             Thread.onSpinWait();
         }
         long told = terminate();
-        assertFinal(client.status());
+        assertFinal(client.readStatus());
         assertTrue(System.nanoTime() - told < KILLED_MS * 1_000_000, "the answer came after the kill");
     }
 
     /** After a pause all of an end's timers fired in one turn, and the process halted before it had looked into its sockets. */
     @Test
     public void aRequestThatCameDuringAPauseIsAnsweredBeforeTheEnd() throws Exception {
-        deadlines(DEADLINE_MS);
-        start(a);
+        useDeadlines(DEADLINE_MS);
+        start(workerA);
         long told = terminate();
         program.awaitLog("phase: DRAINING");
-        standStill();
+        pauseProcess();
         Exchange client = send("/ficha", "t1", "");
         sleepUntil(told, DEADLINE_MS + 350);
-        goOn();
-        assertFinal(client.status());
-        awaitEnd();
+        resumeProcess();
+        assertFinal(client.readStatus());
+        awaitExit();
     }
 
     /** Held up when it is told and once more as it answers: the last answers came after the kill. */
     @Test
     public void theLastAnswersComeBeforeTheKillThoughTheProcessIsHeldUp() throws Exception {
-        deadlines(DEADLINE_MS);
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
-        standStill();
+        workerA.accept().startAnswer("started");
+        pauseProcess();
         long told = terminate();
         sleepUntil(told, HELD_MS);
-        goOn();
+        resumeProcess();
         faults.enable(SystemCallFault.HELD_WRITE, 100, (int) HELD_MS);
         Thread killer = new Thread(() -> {
             try {
@@ -108,78 +108,78 @@
             }
         });
         killer.start();
-        assertEquals(client.status(), 500);
+        assertEquals(client.readStatus(), 500);
         killer.join();
     }
 
     /** A connection that was never used is not shut under the request that it is about to bring. */
     @Test
     public void aNewConnectionsFirstRequestIsAnsweredToTheEnd() throws Exception {
-        deadlines(DEADLINE_MS);
-        start(a);
+        useDeadlines(DEADLINE_MS);
+        start(workerA);
         long told = terminate();
         // a client that says nothing for 2.8 s is a bad one
         sleepUntil(told, DEADLINE_MS - 1_000);
         Exchange client = program.client();
         program.awaitLog("phase: FINISHING");
         client.write(request("/ficha", "t1", TIME, "soup"));
-        assertFinal(client.status());
+        assertFinal(client.readStatus());
     }
 
     /** More signals than one, of several kinds, in any order. */
     @Test
     public void signalsInSeriesLoseNothing() throws Exception {
-        deadlines(DEADLINE_MS);
-        start(a);
+        useDeadlines(DEADLINE_MS);
+        start(workerA);
         Exchange client = send("/ficha", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         for (String name : new String[] {"HUP", "TERM", "HUP", "TERM", "INT", "HUP", "TERM"}) {
             signal(program.process, name);
         }
         program.awaitLog("phase: DRAINING");
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
-        awaitEnd();
+        awaitExit();
     }
 
     /** An end's times are spans: no step of the wall clock shortens or lengthens them. */
     @Test
     public void aSteppedWallClockDoesNotEndItEarly() throws Exception {
-        deadlines(DEADLINE_MS);
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/ficha", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         terminate();
         program.awaitLog("phase: DRAINING");
         faults.enable(SystemCallFault.WALL_CLOCK, 100, 3600);
         Exchange late = send("/ficha", "t2", "");
-        Exchange second = a.accept().answer("started");
+        Exchange second = workerA.accept().startAnswer("started");
         faults.enable(SystemCallFault.WALL_CLOCK, 100, -3600);
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        second.lines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status() + late.status(), 400);
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        second.writeLines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus() + late.readStatus(), 400);
         client.close();
         late.close();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Told to end before its selector ran, the process broke off with a client in the listener's queue. */
     @Test
     public void aTermDuringTheStartStillAnswersWhoHasConnected() throws Exception {
-        deadlines(DEADLINE_MS);
+        useDeadlines(DEADLINE_MS);
         Path folder = Files.createTempDirectory("start");
         Path jar = PatchedJar.build(Path.of("target/granitefold.jar"), folder, "slow-start", new PatchedJar.Patch("net/EventLoop.java",
                 "        selectorThread.start();", "        Thread.sleep(" + START_MS + ");\n        selectorThread.start();"));
-        program = new RealProgram(null, Map.of(RealProgram.JAR, jar.toString()), fields, a);
+        program = new RealProgram(null, Map.of(RealProgram.JAR_VARIABLE, jar.toString()), fields, workerA);
         Exchange client = program.connect(program.addressIn(" listening on "), null);
         client.write(request("/ficha", "t1", TIME, "soup"));
         terminate();
-        Exchange worker = a.accept();
-        worker.answer("done").end();
-        assertEquals(client.status(), 200);
+        Exchange worker = workerA.accept();
+        worker.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
-        awaitEnd();
+        awaitExit();
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
         }
--- a/src/test/java/granitefold/real/SystemCallsIT.java
+++ b/src/test/java/granitefold/real/SystemCallsIT.java
@@ -29,9 +29,9 @@
         startWithFaults();
         faults.failNext(call, error);
         Exchange client = send("/ficha", "t1", "");
-        a.server.setSoTimeout(CONNECT_TIMEOUT_MS / 2);
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.server.setSoTimeout(CONNECT_TIMEOUT_MS / 2);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
         assertEquals(faults.injected(call), 1);
     }
 
@@ -42,7 +42,7 @@
         faults.enable(call, error);
         long sentNs = System.nanoTime();
         Exchange client = send("/ficha", "t1", "");
-        assertEquals(client.status(), 503);
+        assertEquals(client.readStatus(), 503);
         assertTrue(System.nanoTime() - sentNs < TimeUnit.MILLISECONDS.toNanos(CONNECT_TIMEOUT_MS / 2), "it waited for the time to connect");
         assertTrue(faults.injected(call) > 0, "no call has failed");
     }
@@ -57,10 +57,10 @@
         sleepUntil(System.nanoTime(), START_FAILS_MS);
         faults.disable(SystemCallFault.SOCKET);
         assertTrue(faults.injected(SystemCallFault.SOCKET) > 0, "no socket was asked for");
-        program.serving();
+        program.awaitServing();
         Exchange client = send("/ficha", "t1", "");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     @DataProvider
@@ -81,11 +81,11 @@
         Exchange client = program.client().write(request("/ficha", "t1", "X-Remaining-Ms: 3000\r\nX-Estimate: 2000\r\n", "soup"));
         sleepUntil(System.nanoTime(), 2 * ACCEPT_FAILS_MS);
         faults.disable(SystemCallFault.ACCEPT);
-        Exchange worker = a.accept();
-        long toldMs = Long.parseLong(worker.head.get("x-remaining-ms"));
+        Exchange worker = workerA.accept();
+        long toldMs = Long.parseLong(worker.headers.get("x-remaining-ms"));
         assertTrue(toldMs <= 3000 - 2 * ACCEPT_FAILS_MS + SLACK_MS, "told " + toldMs);
-        worker.answer("done").end();
-        assertEquals(client.status(), 200);
+        worker.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
     }
 
     /** The JDK repeats a call of accept for as long as it fails with ECONNABORTED: the loop stood still with it. */
@@ -93,9 +93,9 @@
     public void openConnectionsAreServedWhileEveryAcceptIsAborted() throws Exception {
         startWithFaults();
         Exchange open = send("/once", "t1", "");
-        Exchange worker = a.accept().answer("done");
-        worker.end();
-        assertEquals(open.status(), 200);
+        Exchange worker = workerA.accept().startAnswer("done");
+        worker.endAnswer();
+        assertEquals(open.readStatus(), 200);
         faults.enable(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
         Exchange waiting = send("/once", "t2", "");
         while (faults.injected(SystemCallFault.ACCEPT) == 0) {
@@ -103,12 +103,12 @@
         }
         open.write(request("/once", "t3", TIME, ""));
         Exchange third = nextAttempt(worker);
-        assertEquals(third.head.get("x-txn"), "t3");
-        third.answer("done").end();
-        assertEquals(open.status(), 200);
+        assertEquals(third.headers.get("x-txn"), "t3");
+        third.startAnswer("done").endAnswer();
+        assertEquals(open.readStatus(), 200);
         faults.disable(SystemCallFault.ACCEPT);
-        nextAttempt(worker, third).answer("done").end();
-        assertEquals(waiting.status(), 200);
+        nextAttempt(worker, third).startAnswer("done").endAnswer();
+        assertEquals(waiting.readStatus(), 200);
     }
 
     /** The rest of a 100 that was written in part was never sent, and the answer came into the middle of it. */
@@ -120,8 +120,8 @@
         Exchange client = program.client().write(raw.substring(0, raw.length() - "soup".length()));
         assertEquals(client.read(), "HTTP/1.1 100 Continue");
         client.write("soup");
-        a.accept().answer("done").end();
-        assertEquals(client.status() + client.body, "200made soup");
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus() + client.body, "200made soup");
         assertTrue(faults.injected(SystemCallFault.SHORT_WRITE) > 0, "no write came short");
     }
 
@@ -135,9 +135,9 @@
         for (int i = 0; i < 5; i++) {
             client.write(request("/once", "t" + i, TIME, "soup"));
             Exchange attempt = nextAttempt(kept.toArray(Exchange[]::new));
-            attempt.answer("started", "done").end();
+            attempt.startAnswer("started", "done").endAnswer();
             kept.add(attempt);
-            assertEquals(client.status() + client.body, "200made soup");
+            assertEquals(client.readStatus() + client.body, "200made soup");
         }
         assertTrue(faults.injected(SystemCallFault.INTERRUPTED) > 0, "no call was interrupted");
     }
@@ -147,16 +147,16 @@
     public void whatEverySignalInterruptsGoesOnAfterwards() throws Exception {
         startWithFaults();
         Exchange client = send("/once", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         faults.enable(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT, 0);
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
         Exchange second = send("/once", "t2", "");
         sleepUntil(System.nanoTime(), ACCEPT_FAILS_MS);
         assertTrue(faults.injected(SystemCallFault.INTERRUPTED) > 0, "no call was interrupted");
         faults.disable(SystemCallFault.INTERRUPTED);
-        assertEquals(client.status() + client.body, "200made");
-        nextAttempt(worker).answer("started", "done").end();
-        assertEquals(second.status(), 200);
+        assertEquals(client.readStatus() + client.body, "200made");
+        nextAttempt(worker).startAnswer("started", "done").endAnswer();
+        assertEquals(second.readStatus(), 200);
     }
 
     /** Reads and writes that come short, waits that are interrupted: nothing is to be noticed of them. */
@@ -170,9 +170,9 @@
         for (int i = 0; i < 5; i++) {
             Exchange client = send("/once", "t" + i, "");
             Exchange attempt = nextAttempt(kept.toArray(Exchange[]::new));
-            attempt.answer("started", "done").end();
+            attempt.startAnswer("started", "done").endAnswer();
             kept.add(attempt);
-            assertEquals(client.status() + client.body, "200made soup");
+            assertEquals(client.readStatus() + client.body, "200made soup");
             // by then the worker's connection has rested, and the next attempt may come on it
             Thread.sleep(RESTED_MS);
         }
--- a/src/test/java/granitefold/real/UpgradeIT.java
+++ b/src/test/java/granitefold/real/UpgradeIT.java
@@ -15,7 +15,7 @@
 public final class UpgradeIT {
     /** The issue asks for 20; {@code -Dupgrades=20} plays them. */
     private static final int UPGRADES = Integer.getInteger("upgrades", 5);
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
 
     private static Fleet.Dispatcher serving(Fleet fleet) throws Exception {
         Fleet.Dispatcher d = fleet.dispatcher("", fleet.discovery.listJson(null));
@@ -25,7 +25,7 @@
     }
 
     private static void ended(Process p) throws InterruptedException {
-        assertTrue(p.waitFor(PATIENCE_S, TimeUnit.SECONDS), "the old one ends by itself");
+        assertTrue(p.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the old one ends by itself");
         assertEquals(p.exitValue(), 0);
     }
 
