--- a/src/test/java/granitefold/real/EndingsIT.java
+++ b/src/test/java/granitefold/real/EndingsIT.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A planned end, and what is still owed to whom at each of its instants. */
+/** Graceful shutdown: what each client still receives in each of its phases. */
 public class EndingsIT extends RealTest {
     @Test
-    public void aPlannedEndFinishesWhatIsOpen() throws Exception {
+    public void gracefulShutdownFinishesOpenRequests() throws Exception {
         start(workerA);
         Exchange early = send("/ficha?sid=1", "t1", "");
         Exchange served = workerA.accept().startAnswer("started");
         Exchange idle = idleConnection();
         Exchange stuck = send("/once", "t2", "");
         workerA.accept().startAnswer("started");
-        // begun before the signal and ended after it: no machine is too slow for that
+        // Started before the signal and completed after it, which works on slow machines too.
         String raw = request("/ficha?sid=1", "t3", TIME, "soup");
         Exchange late = program.client().write(raw.substring(0, 30));
         program.process.toHandle().destroy();
@@ -31,7 +31,7 @@
         Exchange worker = workerA.accept();
         worker.startAnswer("done").endAnswer();
         assertEquals(late.readStatus(), 200);
-        // whoever has a connection goes on using it
+        // A client keeps using the connection that it has.
         late.write(request("/ficha?sid=1", "t4", TIME, "salt"));
         nextAttempt(worker).startAnswer("done").endAnswer();
         assertEquals(late.readStatus() + late.body, "200made salt");
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void aHangUpDuringAPlannedEndDoesNotDisturbIt() throws Exception {
+    public void sighupDuringGracefulShutdownHasNoEffect() throws Exception {
         start(workerA);
         Exchange client = send("/ficha?sid=1", "t1", "");
         Exchange worker = workerA.accept().startAnswer("started");
@@ -60,11 +60,11 @@
     }
 
     /**
-     * The platform kills a process so much the earlier as its classes' deadlines are short; ends were timed for the longest, so
-     * that a worker that hung just then cost its client the answer.
+     * The platform's kill comes earlier where the classes' deadlines are short. Guards against a shutdown timed for the longest
+     * deadline: a client whose worker hangs during the shutdown got no answer before the kill.
      */
     @Test
-    public void withShortDeadlinesTheEndComesBeforeTheKill() throws Exception {
+    public void shortDeadlinesShortenTheShutdown() throws Exception {
         useDeadlines(500);
         start(workerA);
         Exchange client = send("/once", "t1", "");
@@ -77,13 +77,13 @@
         client.close();
         awaitExit();
         long ms = between("phase: DRAINING", "phase: STOPPED").toMillis();
-        // 1.2 s are given; for 3 s and more it would take 3.5
-        assertTrue(ms < 2_500, "it took " + ms + " ms");
+        // The kill comes after 1.2 s; with deadlines of 3 s and more the shutdown takes 3.5 s.
+        assertTrue(ms < 2_500, "the shutdown took " + ms + " ms");
     }
 
-    /** Who halts over unread bytes resets the connection, and the answer that is still on its way goes with it. */
+    /** Guards against exiting with unread bytes: that resets the connection and destroys an answer still in transit. */
     @Test
-    public void whoSendsOnAcrossTheLastAnswerStillReadsItsEnd() throws Exception {
+    public void clientThatKeepsSendingStillReadsTheWholeLastAnswer() throws Exception {
         useDeadlines(500);
         start(workerA);
         Exchange client = send("/once", "t1", "");
@@ -93,26 +93,26 @@
             try {
                 while (!Thread.currentThread().isInterrupted()) {
                     client.write("x");
-                    // more than 128 KiB ahead of an answer would be a flood
+                    // More than 128 KiB ahead of an answer counts as a flood.
                     Thread.sleep(0, 200_000);
                 }
             } catch (IOException | InterruptedException e) {
-                // it is over
+                // The connection was closed or the test has ended.
             }
         });
         sender.start();
         assertEquals(client.readStatus(), 500);
-        assertEquals(client.input.read(), -1, "an end, and no reset");
-        assertTrue(program.process.isAlive(), "it waits for us");
+        assertEquals(client.input.read(), -1, "the connection must end without a reset");
+        assertTrue(program.process.isAlive(), "the process must wait for the client to close");
         sender.interrupt();
         sender.join();
         client.close();
         awaitExit();
     }
 
-    /** Only its close was seen, and no answer. */
+    /** Guards against closing a connection with a partial request without an answer. */
     @Test
-    public void whoHasSentHalfARequestIsToldAtTheEnd() throws Exception {
+    public void partialRequestIsRejectedAtShutdown() throws Exception {
         useDeadlines(500);
         start(workerA);
         String raw = request("/ficha", "t1", TIME, "soup");
@@ -120,7 +120,7 @@
         program.awaitLog("phase: DRAINING");
         Exchange client = program.client().write(raw.substring(0, raw.length() - 1));
         assertEquals(client.readStatus(), 503);
-        // the rest comes too late, and is not sent on
+        // The rest arrives too late and is not forwarded.
         client.write(raw.substring(raw.length() - 1));
         assertEquals(client.input.read(), -1);
         client.close();
@@ -128,14 +128,14 @@
         assertFalse(hasPendingConnection(workerA));
     }
 
-    /** Some clients rest until they are ended, and send just then. */
+    /** A client that was idle sends a request just after its connection was shut down. */
     @Test
-    public void aRequestThatCrossesTheShutdownIsNotSentOn() throws Exception {
+    public void requestSentAfterTheConnectionWasShutDownIsNotForwarded() throws Exception {
         useDeadlines(500);
         start(workerA);
         Exchange client = idleConnection();
         program.signal("TERM");
-        assertTrue(client.awaitClose(), "shut");
+        assertTrue(client.awaitClose(), "the connection was not shut down");
         client.write(request("/ficha", "t1", TIME, "soup"));
         assertEquals(client.readToEndOrReset(), "");
         client.close();
@@ -144,44 +144,44 @@
     }
 
     /**
-     * Their last words are read for as long as the process may live: who halts at once resets what crosses it. Then it ends
-     * all the same, since what is told from then on is of no use to anybody.
+     * Data in transit is read until the closing timeout, since an immediate exit resets connections with unread data. Clients
+     * that stay connected do not delay the exit beyond it.
      */
     @Test
-    public void clientsThatNeverCloseAreReadOutButDoNotKeepItFromEnding() throws Exception {
+    public void unreadDataIsDrainedButOpenClientsDoNotPreventExit() throws Exception {
         useDeadlines(2_000);
         start(workerA);
-        Exchange rests = idleConnection();
+        Exchange idle = idleConnection();
         Exchange client = send("/once", "t1", "");
         Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: FINISHING");
-        assertTrue(rests.awaitClose(), "shut");
+        assertTrue(idle.awaitClose(), "the connection was not shut down");
         worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
         assertEquals(client.readStatus(), 200);
-        assertEquals(client.input.read(), -1, "shut");
+        assertEquals(client.input.read(), -1, "the connection was not shut down");
         awaitExit();
         long ms = between("phase: CLOSING", "phase: STOPPED").toMillis();
-        // 0.35 s by its own clock; none where it halts at once
-        assertTrue(ms >= 20, "it halted " + ms + " ms after its last answer");
+        // The closing timeout is 0.35 s; an immediate exit takes no time.
+        assertTrue(ms >= 20, "the process exited " + ms + " ms after its last answer");
     }
 
-    /** Whoever is ended to make room for another has just sent a first byte: a bare close might cross the rest of its request. */
+    /** A client closed to make room for another gets a 503, since a close without an answer could cross the rest of its request. */
     @Test
-    public void whoIsEndedToMakeRoomIsToldSo() throws Exception {
+    public void clientClosedToMakeRoomGetsAnAnswer() throws Exception {
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
         start(workerA);
-        List<Exchange> begun = new ArrayList<>();
+        List<Exchange> partial = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            begun.add(program.client().write("P"));
+            partial.add(program.client().write("P"));
         }
         int rejected = 0;
-        for (Exchange e : begun) {
+        for (Exchange e : partial) {
             int status = e.readStatus();
-            // those who are left run out of time
-            assertTrue(status == 503 || status == 408, "told " + status);
+            // The remaining ones are timed out.
+            assertTrue(status == 503 || status == 408, "unexpected status " + status);
             rejected += status == 503 ? 1 : 0;
         }
-        assertTrue(rejected > 0, "some made room");
+        assertTrue(rejected > 0, "no client was closed to make room");
     }
 }
--- a/src/test/java/granitefold/real/Exchange.java
+++ b/src/test/java/granitefold/real/Exchange.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One end of a connection, and the message read last on it. */
+/** One end of an HTTP connection, with the message read last from it. */
 final class Exchange implements Closeable {
     final Socket socket;
     final InputStream input;
@@ -30,12 +30,12 @@
         return this;
     }
 
-    /** All that comes until the end. */
+    /** Reads everything until the end of the connection. */
     String readToEnd() throws IOException {
         return new String(input.readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    /** The same where the other side may have reset the connection. */
+    /** Reads everything until the end; returns an empty text if the other side reset the connection. */
     String readToEndOrReset() throws IOException {
         try {
             return readToEnd();
@@ -44,12 +44,12 @@
         }
     }
 
-    /** The status of the message read last. */
+    /** Returns the status of the message read last. */
     int lastStatus() {
         return Integer.parseInt(firstLine.split(" ")[1]);
     }
 
-    /** Reads a message with its body by Content-Length; returns its first line, null at the end. */
+    /** Reads a message with its body by Content-Length; returns its first line, or null at the end of the connection. */
     String read() throws IOException {
         firstLine = readLine();
         headers = new HashMap<>();
@@ -61,6 +61,7 @@
         return firstLine;
     }
 
+    /** Reads a message and returns its status. */
     int readStatus() throws IOException {
         return Integer.parseInt(read().split(" ")[1]);
     }
@@ -76,7 +77,7 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    /** Whether the other side has closed, once nothing more comes. */
+    /** Waits for a byte or the end of the connection, and returns whether it has ended. */
     boolean awaitClose() throws IOException {
         try {
             return input.read() < 0;
@@ -85,12 +86,12 @@
         }
     }
 
-    /** Begins a worker's answer and tells these states of the job. */
+    /** Starts a worker's chunked answer with these job states. */
     Exchange startAnswer(String... states) throws IOException {
         return write(answerText(states));
     }
 
-    /** An answer and its end in one write: who reads the one has read the other. */
+    /** Writes an answer and its end at once, so that both arrive together. */
     void answerAndEnd(String... states) throws IOException {
         write(answerText(states) + "0\r\n\r\n");
     }
@@ -108,6 +109,7 @@
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
+    /** Writes each line as a chunk of a started answer. */
     Exchange writeLines(String... lines) throws IOException {
         for (String l : lines) {
             write(chunk(l));
@@ -115,7 +117,7 @@
         return this;
     }
 
-    /** Ends a chunked answer. */
+    /** Writes the last chunk of an answer. */
     void endAnswer() throws IOException {
         write("0\r\n\r\n");
     }
--- a/src/test/java/granitefold/real/GoneClientsIT.java
+++ b/src/test/java/granitefold/real/GoneClientsIT.java
@@ -10,18 +10,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A client that closed its connection has gone: nothing more is begun for it. */
+/** No attempt is started for a client that has closed its connection. */
 public class GoneClientsIT extends RealTest {
-    private final List<Exchange> kept = new ArrayList<>();
+    private final List<Exchange> workerConnections = new ArrayList<>();
 
     @BeforeMethod
-    public void none() {
-        kept.clear();
+    public void clearConnections() {
+        workerConnections.clear();
     }
 
-    /** Past what is read ahead its leaving went unseen until the answer, and its job ran on. */
+    /** Guards against missing a close behind more data than the read-ahead buffer holds, which let the job run on. */
     @Test
-    public void whoSendsMuchAheadOfItsAnswerEndsWithItsAttempt() throws Exception {
+    public void floodingClientIsClosedAndItsAttemptCancelled() throws Exception {
         start(workerA);
         Exchange client = send("/ficha", "t1", "");
         Exchange attempt = workerA.accept().startAnswer("started");
@@ -29,7 +29,7 @@
             try {
                 client.write("x".repeat(1 << 20));
             } catch (IOException e) {
-                // it was ended, as it should be
+                // Expected: the connection was closed.
             }
         });
         flood.start();
@@ -38,9 +38,9 @@
         assertTrue(client.readToEndOrReset().isEmpty());
     }
 
-    /** The page knows a client's going by its closing, and from here the end of sending looks the same. */
+    /** A client that closes counts as gone, and a shutdown of its sending side looks the same from here. */
     @Test
-    public void whoShutsItsSendingSideCountsAsGone() throws Exception {
+    public void halfClosedClientCountsAsGone() throws Exception {
         start(workerA);
         Exchange client = send("/ficha", "t1", "");
         Exchange attempt = workerA.accept().startAnswer("started");
@@ -49,92 +49,92 @@
         assertTrue(client.readToEndOrReset().isEmpty());
     }
 
-    /** What a selector finds at once it hands out in any order: each order comes up in so many rounds. */
+    /** A selector returns simultaneous events in any order; this many rounds cover each order. */
     private static final int ROUNDS = 10;
 
     /**
-     * The loop comes late to a request, and the client's end waits behind it: with a kept connection at hand the attempt began before
-     * that was read.
+     * Guards against starting an attempt on an idle worker connection before the client's close is read, when a delayed event
+     * loop finds the request and the close together.
      */
     @Test
-    public void anEndBehindTheRequestIsReadBeforeTheAttemptBegins() throws Exception {
+    public void closeAfterTheRequestIsReadBeforeTheAttemptStarts() throws Exception {
         start(workerA);
         for (int i = 0; i < ROUNDS; i++) {
-            keepConnections();
+            reuseWorkerConnection();
             pauseProcess();
             send("/ficha", "gone" + i, "").close();
             resumeProcess();
-            assertNextIs("good" + i);
+            assertNextAttemptIs("good" + i);
         }
     }
 
-    /** The same within a second request on a connection, whose first one ends as the process stands still. */
+    /** The same for a second request on a connection whose first request ends while the process is paused. */
     @Test
-    public void anEndBehindAPipelinedRequestIsReadBeforeTheAttemptBegins() throws Exception {
+    public void closeAfterAPipelinedRequestIsReadBeforeTheAttemptStarts() throws Exception {
         start(workerA);
         for (int i = 0; i < ROUNDS; i++) {
-            keepConnections();
+            reuseWorkerConnection();
             Exchange client = send("/ficha", "t" + i, "");
-            Exchange attempt = next();
+            Exchange attempt = nextTracked();
             attempt.startAnswer("started");
             pauseProcess();
-            attempt.writeLines(done(attempt)).endAnswer();
+            attempt.writeLines(doneLine(attempt)).endAnswer();
             client.write(request("/ficha", "gone" + i, TIME, "salt"));
             client.close();
             resumeProcess();
-            assertNextIs("good" + i);
+            assertNextAttemptIs("good" + i);
         }
     }
 
-    /** Its attempt fails and it leaves, both while the loop stands still: the failure was read first, and the next attempt begun. */
+    /** Guards against starting the next attempt when an attempt fails and its client closes while the process is paused. */
     @Test
-    public void anEndBetweenTwoAttemptsIsReadBeforeTheNextBegins() throws Exception {
+    public void closeBetweenTwoAttemptsIsReadBeforeTheNextStarts() throws Exception {
         start(workerA);
         for (int i = 0; i < ROUNDS; i++) {
-            keepConnections();
+            reuseWorkerConnection();
             Exchange client = send("/ficha", "gone" + i, "");
-            Exchange first = next();
+            Exchange first = nextTracked();
             assertEquals(first.headers.get("x-txn"), "gone" + i);
             first.startAnswer("started");
             pauseProcess();
-            first.writeLines(done(first).replace("done", "lost")).endAnswer();
+            first.writeLines(doneLine(first).replace("done", "lost")).endAnswer();
             client.close();
             resumeProcess();
-            assertNextIs("good" + i);
+            assertNextAttemptIs("good" + i);
         }
     }
 
-    private static String done(Exchange e) {
+    private static String doneLine(Exchange e) {
         return "{\"id\":\"" + e.headers.get("x-txn") + "\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}";
     }
 
-    /** The attempt that comes next, wherever. */
-    private Exchange next() throws Exception {
-        Exchange e = nextAttempt(kept.toArray(Exchange[]::new));
-        if (!kept.contains(e)) {
-            kept.add(e);
+    /** Returns the next attempt, on a known or a new worker connection, and keeps its connection. */
+    private Exchange nextTracked() throws Exception {
+        Exchange e = nextAttempt(workerConnections.toArray(Exchange[]::new));
+        if (!workerConnections.contains(e)) {
+            workerConnections.add(e);
         }
         return e;
     }
 
-    /** Sends until a kept connection is used again, and so has rested. */
-    private void keepConnections() throws Exception {
+    /** Sends requests until an idle worker connection is used again. */
+    private void reuseWorkerConnection() throws Exception {
         for (int i = 0; i < 1_000; i++) {
-            int before = kept.size();
+            int before = workerConnections.size();
             Exchange client = send("/ficha", "k" + before + "-" + i, "");
-            next().answerAndEnd("done");
+            nextTracked().answerAndEnd("done");
             assertEquals(client.readStatus(), 200);
-            if (before > 0 && kept.size() == before) {
+            if (before > 0 && workerConnections.size() == before) {
                 return;
             }
         }
-        throw new AssertionError("none is ever used again");
+        throw new AssertionError("no worker connection was reused");
     }
 
-    /** The next request that comes to a worker, on a kept connection or on a new one, is this one. */
-    private void assertNextIs(String txn) throws Exception {
+    /** Asserts that the next request at a worker, on an existing connection or a new one, is this one. */
+    private void assertNextAttemptIs(String txn) throws Exception {
         Exchange client = send("/ficha", txn, "");
-        Exchange next = next();
+        Exchange next = nextTracked();
         assertEquals(next.headers.get("x-txn"), txn);
         next.answerAndEnd("done");
         assertEquals(client.readStatus(), 200);
--- a/src/test/java/granitefold/real/RealProgram.java
+++ b/src/test/java/granitefold/real/RealProgram.java
@@ -22,7 +22,7 @@
  */
 final class RealProgram implements Closeable {
     static final int TIMEOUT_S = 30;
-    /** In the environment of a start: a jar to run instead of the deploy file's command. */
+    /** Environment variable that names a jar to run instead of the deploy file's command. */
     static final String JAR_VARIABLE = "GRANITEFOLD_TEST_JAR";
     private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
@@ -35,20 +35,20 @@
     private final List<Closeable> opened = new ArrayList<>();
     private InetSocketAddress address;
 
-    /** The operator's file, where there is one. */
+    /** The operator's file; null without one. */
     final Path operatorFile;
 
-    /** Starts with these workers known; the fields replace or join those of the configuration. */
+    /** Starts with these known workers; {@code fields} are added to the configuration or replace its fields. */
     RealProgram(Map<String, String> fields, Worker... workers) throws IOException {
         this(null, fields, workers);
     }
 
-    /** The same with an operator's file of this text. */
+    /** Starts with an operator's file of this text as well; null for none. */
     RealProgram(String operatorText, Map<String, String> fields, Worker... workers) throws IOException {
         this(operatorText, Map.of(), fields, workers);
     }
 
-    /** The same with these variables in its environment. */
+    /** Starts with these environment variables as well. */
     RealProgram(String operatorText, Map<String, String> environment, Map<String, String> fields, Worker... workers) throws IOException {
         config.put("name", "\"n0\"");
         config.put("listen", "\"" + hostAndPort(HOST, 0) + "\"");
@@ -76,7 +76,7 @@
         return json + "}";
     }
 
-    /** Moves discovery to another address, and names it in the configuration. */
+    /** Moves discovery to another address and writes it to the configuration file. */
     void moveDiscovery() throws IOException {
         discovery.close();
         discovery = listen();
@@ -92,7 +92,7 @@
         new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid()).inheritIO().start();
     }
 
-    /** Starts the program on a configuration as it is. */
+    /** Starts the program with exactly this configuration. */
     static Process launchWithConfiguration(String config) throws IOException {
         Path configurationFile = Files.createTempFile("config", ".json");
         Files.writeString(configurationFile, config);
@@ -109,7 +109,7 @@
         return b.start();
     }
 
-    /** The deploy file's command. */
+    /** Returns the deploy file's {@code run} command. */
     static String runCommand() throws IOException {
         String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
                 .findFirst().orElseThrow();
@@ -140,7 +140,7 @@
         return s;
     }
 
-    /** Waits for a line of the log that holds a text. */
+    /** Waits for a new log line that contains a text, and returns it. */
     String awaitLog(String part) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         for (String line = unreadLines.poll(TIMEOUT_S, TimeUnit.SECONDS); line != null;
@@ -153,7 +153,7 @@
         throw new AssertionError("no '" + part + "' in the log:\n" + String.join("\n", log));
     }
 
-    /** The same for a line that may have come already. */
+    /** Returns a log line that contains a text, waiting for it if it has not been read yet. */
     String hasLogged(String part) throws InterruptedException {
         for (String line : log) {
             if (line.contains(part)) {
@@ -163,12 +163,12 @@
         return awaitLog(part);
     }
 
-    /** Takes in what the log has by now. */
+    /** Adds the lines logged so far to {@link #log}. */
     void drainLog() {
         unreadLines.drainTo(log);
     }
 
-    /** Accepts the next watch on discovery and answers with these lines. */
+    /** Accepts the next discovery watch and answers with these lines. */
     Exchange acceptWatch(String... list) throws IOException {
         Exchange e = closeAtEnd(new Exchange(discovery.accept()));
         e.read();
@@ -177,7 +177,7 @@
         return e;
     }
 
-    /** Accepts the first watch, tells that nothing changed, and waits until the program serves. */
+    /** Accepts the first discovery watch, reports no change, and waits until the program serves. */
     Exchange awaitServing() throws IOException, InterruptedException {
         address = addressIn(" listening on ");
         Exchange watch = acceptWatch(list(1, false));
@@ -185,13 +185,13 @@
         return watch;
     }
 
-    /** The address at the end of a line of the log that holds a text. */
+    /** Waits for a log line that contains a text, and returns the address at its end. */
     InetSocketAddress addressIn(String part) throws InterruptedException {
         String line = awaitLog(part);
         return new InetSocketAddress(HOST, Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim()));
     }
 
-    /** A new connection to an address, from one of loopback's own where it is named. */
+    /** Opens a connection, from the given loopback address if it is not null. */
     Exchange connect(InetSocketAddress to, String from) throws IOException {
         Socket s = new Socket();
         if (from != null) {
@@ -201,7 +201,7 @@
         return closeAtEnd(new Exchange(s));
     }
 
-    /** A new client connection. */
+    /** Opens a new client connection. */
     Exchange client() throws IOException {
         return connect(address, null);
     }
@@ -225,7 +225,7 @@
         discovery.close();
     }
 
-    /** A worker that does what the test says. */
+    /** A worker controlled by the test. */
     static final class Worker implements Closeable {
         final String name;
         final ServerSocket server = listen();
@@ -235,7 +235,7 @@
             this.name = name;
         }
 
-        /** From now on takes every connection; each request is answered at once, with {@code states} of a job. */
+        /** Accepts every connection from now on and answers each request at once with these job states; with none, closes. */
         void serve(String... states) {
             startDaemon(() -> {
                 while (true) {
@@ -264,14 +264,14 @@
                 try {
                     task.run();
                 } catch (IOException e) {
-                    // the test is over, or the program has gone
+                    // The test or the program has ended.
                 }
             });
             thread.setDaemon(true);
             thread.start();
         }
 
-        /** The next connection, with the request that it brings. */
+        /** Accepts the next connection and reads its request. */
         Exchange accept() throws IOException {
             Exchange e = new Exchange(server.accept());
             e.read();
--- a/src/test/java/granitefold/real/RealTest.java
+++ b/src/test/java/granitefold/real/RealTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** What tests of rare moments share: the real program, two workers, and a hand on its process, which can be made to stand still. */
+/** Base of the tests of the built program: its process, which can be paused and resumed, and two workers. */
 class RealTest {
     static final String TIME = "X-Remaining-Ms: 20000\r\nX-Estimate: 2000\r\n";
     static final String LIMITS = "\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"idleCloseMs\":60000";
@@ -26,7 +26,7 @@
     RealProgram program;
 
     @BeforeMethod
-    public void workers() throws IOException {
+    public void createWorkers() throws IOException {
         fields.clear();
         workerA = new Worker("s-a");
         workerB = new Worker("s-b");
@@ -47,7 +47,7 @@
         return program.awaitServing();
     }
 
-    /** Classes whose deadlines are no longer than this. */
+    /** Sets the deadline of every class. */
     void useDeadlines(long ms) {
         fields.put("settings", RealProgram.settings(LIMITS).replaceAll("\"deadlineMs\":[0-9]+", "\"deadlineMs\":" + ms));
     }
@@ -56,7 +56,7 @@
         return program.client().write(request(target, txn, TIME + more, "soup"));
     }
 
-    /** A kept client connection with nothing owed on it. */
+    /** Opens a client connection that is idle after one answered request. */
     Exchange idleConnection() throws IOException {
         Exchange e = program.client().write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         if (e.readStatus() != 200) {
@@ -65,19 +65,19 @@
         return e;
     }
 
-    /** The process stands still: what others do from now on waits in its sockets, and is there all at once when it goes on. */
+    /** Pauses the process: events queue up in its sockets and are all pending when it resumes. */
     void pauseProcess() throws Exception {
         program.signal("STOP");
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.TIMEOUT_S);
         while (!stopped()) {
             if (System.nanoTime() - until > 0) {
-                throw new AssertionError("it does not stand still");
+                throw new AssertionError("the process did not stop");
             }
             Thread.onSpinWait();
         }
     }
 
-    /** Each of its threads stops by itself; the process's own state tells of the first alone. */
+    /** Checks every thread: threads stop one by one, and the state of the process is that of its first thread only. */
     private boolean stopped() throws IOException {
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + program.process.pid() + "/task"))) {
             for (Path thread : threads.toList()) {
@@ -85,7 +85,7 @@
                 try {
                     stat = Files.readString(thread.resolve("stat"));
                 } catch (IOException e) {
-                    continue; // it ended in between
+                    continue; // The thread has ended meanwhile.
                 }
                 if (stat.charAt(stat.lastIndexOf(')') + 2) != 'T') {
                     return false;
@@ -95,7 +95,7 @@
         return true;
     }
 
-    /** Sends a signal to any process; it has been sent on return. */
+    /** Sends a signal to a process and returns once it is sent. */
     static void signal(Process to, String name) throws IOException, InterruptedException {
         if (new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + to.pid()).start().waitFor() != 0) {
             throw new IOException("signal " + name + " could not be sent");
@@ -106,10 +106,10 @@
         program.signal("CONT");
     }
 
-    /** The attempt that comes next, on one of these connections or on a new one to either worker; read. */
+    /** Waits for the next attempt, on one of these connections or a new one to either worker, and reads it. */
     Exchange nextAttempt(Exchange... kept) throws Exception {
         try {
-            // each is looked at for a moment, in turn
+            // Polls each worker in turn.
             workerA.server.setSoTimeout(5);
             workerB.server.setSoTimeout(5);
             long until = System.nanoTime() + RealProgram.TIMEOUT_S * 1_000_000_000L;
@@ -120,16 +120,16 @@
                         return e;
                     }
                 }
-                for (Worker p : new Worker[] {workerA, workerB}) {
+                for (Worker worker : new Worker[] {workerA, workerB}) {
                     try {
-                        Exchange e = p.accept();
+                        Exchange e = worker.accept();
                         if (e.firstLine != null) {
                             return e;
                         }
-                        // given up before a byte was written on it: no attempt has begun
+                        // Closed before a byte was written: no attempt has started.
                         e.close();
                     } catch (SocketTimeoutException e) {
-                        // not here
+                        // No connection at this worker yet.
                     }
                 }
             }
@@ -137,29 +137,29 @@
             workerA.server.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
             workerB.server.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
         }
-        throw new AssertionError("no attempt came");
+        throw new AssertionError("no attempt arrived");
     }
 
     void awaitExit() throws InterruptedException {
         if (!program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS) || program.process.exitValue() != 0) {
-            throw new AssertionError("it has not ended in order");
+            throw new AssertionError("the process did not exit with status 0 in time");
         }
     }
 
-    /** By the program's own word, how long it took from one line of its log to a later one. */
+    /** Returns the time between two log lines by the program's own timestamps. */
     Duration between(String from, String to) throws InterruptedException {
-        return Duration.between(at(program.hasLogged(from)), at(program.hasLogged(to)));
+        return Duration.between(timestamp(program.hasLogged(from)), timestamp(program.hasLogged(to)));
     }
 
-    private static Instant at(String line) {
+    private static Instant timestamp(String line) {
         return Instant.parse(line.substring(0, line.indexOf(' ')));
     }
 
-    /** Whether anybody has connected to a worker that nobody accepted yet; for when the program has ended, or cannot any more. */
-    static boolean hasPendingConnection(Worker p) throws IOException {
-        p.server.setSoTimeout(1);
+    /** Returns whether a connection to a worker is waiting to be accepted; for use when the program can open no further one. */
+    static boolean hasPendingConnection(Worker worker) throws IOException {
+        worker.server.setSoTimeout(1);
         try {
-            p.server.accept().close();
+            worker.server.accept().close();
             return true;
         } catch (SocketTimeoutException e) {
             return false;
--- a/src/test/java/granitefold/real/Samples.java
+++ b/src/test/java/granitefold/real/Samples.java
@@ -1,10 +1,10 @@
 package granitefold.real;
 
-/** Settings that tests of the real program start from. */
+/** Platform settings for tests of the built program. */
 final class Samples {
     private Samples() { }
 
-    /** Three classes, one of each effect, and these limits beside those that all tests share. */
+    /** Returns settings with three classes, one of each effect, and these limits in addition to the common ones. */
     static String settings(String limits) {
         return "{\"classes\":[{\"name\":\"ficha\",\"effect\":\"retryable\",\"group\":\"all\",\"onTimeMs\":300,"
                 + "\"deadlineMs\":5000,\"points\":1},{\"name\":\"guardar\",\"effect\":\"dedup\",\"group\":\"all\","
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -15,11 +15,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Requests that a stopping process had taken, with faults just then: each is answered before the process ends. */
+/** Graceful shutdown under faults: every request that the stopping process received is answered before it exits. */
 public class StoppingNodeIT extends FaultTest {
-    private static final long DEADLINE_MS = 3_000, KILLED_MS = DEADLINE_MS + 700, HELD_MS = 150, START_MS = 500;
+    private static final long DEADLINE_MS = 3_000, KILL_AFTER_MS = DEADLINE_MS + 700, PAUSE_MS = 150, START_DELAY_MS = 500;
 
-    /** Sends SIGTERM; from then on the platform's time up to its kill runs. */
+    /** Sends SIGTERM and returns the time in nanoseconds; the platform kills the process a fixed time after it. */
     private long terminate() throws Exception {
         long at = System.nanoTime();
         signal(program.process, "TERM");
@@ -27,22 +27,22 @@
     }
 
     private static void assertFinal(int status) {
-        assertTrue(status == 200 || status == 500 || status == 503, "answered " + status);
+        assertTrue(status == 200 || status == 500 || status == 503, "unexpected status " + status);
     }
 
     private void killAt(long fromNs) throws Exception {
-        sleepUntil(fromNs, KILLED_MS);
+        sleepUntil(fromNs, KILL_AFTER_MS);
         program.process.destroyForcibly();
     }
 
     @DataProvider
-    public Object[][] failing() {
+    public Object[][] acceptErrors() {
         return new Object[][] {{Errno.ENFILE}, {Errno.EINTR}, {Errno.ECONNABORTED}};
     }
 
-    /** The listener was closed over its queue when a call of accept failed, or was interrupted, while it was emptied. */
-    @Test(dataProvider = "failing")
-    public void aQueuedRequestIsAnsweredThoughAcceptFailsAsTheListenerCloses(Errno error) throws Exception {
+    /** Guards against closing the listener with connections still queued, after accept failed or was interrupted while emptying the queue. */
+    @Test(dataProvider = "acceptErrors")
+    public void queuedRequestIsAnsweredWhenAcceptFailsWhileTheListenerCloses(Errno error) throws Exception {
         useDeadlines(DEADLINE_MS);
         startWithFaults();
         terminate();
@@ -50,15 +50,15 @@
         faults.enable(SystemCallFault.ACCEPT, error);
         Exchange client = send("/ficha", "t1", "");
         sleepUntil(System.nanoTime(), DEADLINE_MS + 300);
-        assertTrue(faults.injected(SystemCallFault.ACCEPT) > 0, "no call of accept has failed");
+        assertTrue(faults.injected(SystemCallFault.ACCEPT) > 0, "no accept call has failed");
         faults.disable(SystemCallFault.ACCEPT);
         assertFinal(client.readStatus());
         awaitExit();
     }
 
-    /** The loop stood still in a call of accept that the JDK repeated, until the kill. */
+    /** Guards against the event loop blocking until the kill in an accept call that the JDK retries on ECONNABORTED. */
     @Test
-    public void whatWasTakenIsAnsweredThoughEveryAcceptIsAbortedUntilTheKill() throws Exception {
+    public void acceptedRequestIsAnsweredBeforeTheKillWhenEveryAcceptIsAborted() throws Exception {
         useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/once", "t1", "");
@@ -68,41 +68,41 @@
         while (faults.injected(SystemCallFault.ACCEPT) == 0) {
             Thread.onSpinWait();
         }
-        long told = terminate();
+        long terminatedAtNs = terminate();
         assertFinal(client.readStatus());
-        assertTrue(System.nanoTime() - told < KILLED_MS * 1_000_000, "the answer came after the kill");
+        assertTrue(System.nanoTime() - terminatedAtNs < KILL_AFTER_MS * 1_000_000, "the answer arrived after the kill");
     }
 
-    /** After a pause all of an end's timers fired in one turn, and the process halted before it had looked into its sockets. */
+    /** Guards against exiting without reading the sockets when all shutdown timers expire in one loop iteration after a pause. */
     @Test
-    public void aRequestThatCameDuringAPauseIsAnsweredBeforeTheEnd() throws Exception {
+    public void requestReceivedDuringAPauseIsAnsweredBeforeExit() throws Exception {
         useDeadlines(DEADLINE_MS);
         start(workerA);
-        long told = terminate();
+        long terminatedAtNs = terminate();
         program.awaitLog("phase: DRAINING");
         pauseProcess();
         Exchange client = send("/ficha", "t1", "");
-        sleepUntil(told, DEADLINE_MS + 350);
+        sleepUntil(terminatedAtNs, DEADLINE_MS + 350);
         resumeProcess();
         assertFinal(client.readStatus());
         awaitExit();
     }
 
-    /** Held up when it is told and once more as it answers: the last answers came after the kill. */
+    /** Guards against last answers after the kill when the process is paused at SIGTERM and again during its writes. */
     @Test
-    public void theLastAnswersComeBeforeTheKillThoughTheProcessIsHeldUp() throws Exception {
+    public void lastAnswersAreSentBeforeTheKillWhenTheProcessIsDelayed() throws Exception {
         useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/once", "t1", "");
         workerA.accept().startAnswer("started");
         pauseProcess();
-        long told = terminate();
-        sleepUntil(told, HELD_MS);
+        long terminatedAtNs = terminate();
+        sleepUntil(terminatedAtNs, PAUSE_MS);
         resumeProcess();
-        faults.enable(SystemCallFault.HELD_WRITE, 100, (int) HELD_MS);
+        faults.enable(SystemCallFault.HELD_WRITE, 100, (int) PAUSE_MS);
         Thread killer = new Thread(() -> {
             try {
-                killAt(told);
+                killAt(terminatedAtNs);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -112,23 +112,23 @@
         killer.join();
     }
 
-    /** A connection that was never used is not shut under the request that it is about to bring. */
+    /** A connection that has not carried a request yet is not closed while its first request is on the way. */
     @Test
-    public void aNewConnectionsFirstRequestIsAnsweredToTheEnd() throws Exception {
+    public void firstRequestOfANewConnectionIsAnsweredDuringShutdown() throws Exception {
         useDeadlines(DEADLINE_MS);
         start(workerA);
-        long told = terminate();
-        // a client that says nothing for 2.8 s is a bad one
-        sleepUntil(told, DEADLINE_MS - 1_000);
+        long terminatedAtNs = terminate();
+        // A client that sends nothing for 2.8 s is timed out.
+        sleepUntil(terminatedAtNs, DEADLINE_MS - 1_000);
         Exchange client = program.client();
         program.awaitLog("phase: FINISHING");
         client.write(request("/ficha", "t1", TIME, "soup"));
         assertFinal(client.readStatus());
     }
 
-    /** More signals than one, of several kinds, in any order. */
+    /** SIGHUP, SIGTERM and SIGINT in quick succession. */
     @Test
-    public void signalsInSeriesLoseNothing() throws Exception {
+    public void repeatedSignalsLoseNoRequest() throws Exception {
         useDeadlines(DEADLINE_MS);
         start(workerA);
         Exchange client = send("/ficha", "t1", "");
@@ -143,9 +143,9 @@
         awaitExit();
     }
 
-    /** An end's times are spans: no step of the wall clock shortens or lengthens them. */
+    /** The shutdown timers use monotonic time: a step of the wall clock neither shortens nor lengthens them. */
     @Test
-    public void aSteppedWallClockDoesNotEndItEarly() throws Exception {
+    public void wallClockStepDoesNotShortenTheShutdown() throws Exception {
         useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/ficha", "t1", "");
@@ -164,13 +164,13 @@
         awaitExit();
     }
 
-    /** Told to end before its selector ran, the process broke off with a client in the listener's queue. */
+    /** Guards against dropping a client in the listener's queue when SIGTERM arrives before the selector thread runs. */
     @Test
-    public void aTermDuringTheStartStillAnswersWhoHasConnected() throws Exception {
+    public void sigtermDuringStartupStillAnswersConnectedClients() throws Exception {
         useDeadlines(DEADLINE_MS);
         Path folder = Files.createTempDirectory("start");
         Path jar = PatchedJar.build(Path.of("target/granitefold.jar"), folder, "slow-start", new PatchedJar.Patch("net/EventLoop.java",
-                "        selectorThread.start();", "        Thread.sleep(" + START_MS + ");\n        selectorThread.start();"));
+                "        selectorThread.start();", "        Thread.sleep(" + START_DELAY_MS + ");\n        selectorThread.start();"));
         program = new RealProgram(null, Map.of(RealProgram.JAR_VARIABLE, jar.toString()), fields, workerA);
         Exchange client = program.connect(program.addressIn(" listening on "), null);
         client.write(request("/ficha", "t1", TIME, "soup"));
--- a/src/test/java/granitefold/real/SystemCallsIT.java
+++ b/src/test/java/granitefold/real/SystemCallsIT.java
@@ -12,20 +12,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** System calls that fail as Linux documents, on the whole program. */
+/** The built program with system calls that fail in ways that Linux documents. */
 public class SystemCallsIT extends FaultTest {
-    private static final long RESTED_MS = 200;
-    private static final int ALWAYS_PERCENT = 100, CONNECT_TIMEOUT_MS = 5_000, ACCEPT_FAILS_MS = 250, START_FAILS_MS = 1_000, SLACK_MS = 150;
+    private static final long IDLE_MS = 200;
+    private static final int ALWAYS_PERCENT = 100, CONNECT_TIMEOUT_MS = 5_000, ACCEPT_FAILURE_MS = 250, START_FAILURE_MS = 1_000, TOLERANCE_MS = 150;
 
     @DataProvider
-    public Object[][] failing() {
+    public Object[][] connectErrors() {
         return new Object[][] {{SystemCallFault.SOCKET, Errno.ENFILE}, {SystemCallFault.SOCKET, Errno.ENOBUFS},
             {SystemCallFault.CONNECT, Errno.EADDRNOTAVAIL}, {SystemCallFault.CONNECT, Errno.ENETUNREACH}};
     }
 
-    /** What could not be opened was waited for as if it were on its way, for the whole of the time to connect. */
-    @Test(dataProvider = "failing")
-    public void aConnectionThatCannotBeOpenedIsNotWaitedFor(SystemCallFault call, Errno error) throws Exception {
+    /** Guards against treating a connection that could not be opened as pending until the connect timeout. */
+    @Test(dataProvider = "connectErrors")
+    public void failedConnectIsRetriedWithoutWaitingForTheTimeout(SystemCallFault call, Errno error) throws Exception {
         startWithFaults();
         faults.failNext(call, error);
         Exchange client = send("/ficha", "t1", "");
@@ -35,28 +35,28 @@
         assertEquals(faults.injected(call), 1);
     }
 
-    /** All attempts are used up before a client could have waited for one of them. */
-    @Test(dataProvider = "failing")
-    public void whereNoConnectionCanBeOpenedTheClientHearsOfItAtOnce(SystemCallFault call, Errno error) throws Exception {
+    /** All attempts fail well within one connect timeout. */
+    @Test(dataProvider = "connectErrors")
+    public void clientIsRejectedAtOnceWhenNoConnectionCanBeOpened(SystemCallFault call, Errno error) throws Exception {
         startWithFaults();
         faults.enable(call, error);
         long sentNs = System.nanoTime();
         Exchange client = send("/ficha", "t1", "");
         assertEquals(client.readStatus(), 503);
-        assertTrue(System.nanoTime() - sentNs < TimeUnit.MILLISECONDS.toNanos(CONNECT_TIMEOUT_MS / 2), "it waited for the time to connect");
-        assertTrue(faults.injected(call) > 0, "no call has failed");
+        assertTrue(System.nanoTime() - sentNs < TimeUnit.MILLISECONDS.toNanos(CONNECT_TIMEOUT_MS / 2), "the answer waited for the connect timeout");
+        assertTrue(faults.injected(call) > 0, "no system call has failed");
     }
 
-    /** The process ended with "cannot start". */
-    @Test(dataProvider = "momentary")
-    public void aStartWaitsUntilASocketCanBeOpened(Errno error) throws Exception {
+    /** Guards against exiting with "cannot start" on a transient error of the socket call. */
+    @Test(dataProvider = "transientErrors")
+    public void startupWaitsUntilASocketCanBeOpened(Errno error) throws Exception {
         prepare();
         faults.enable(SystemCallFault.SOCKET, error);
         launch();
-        // the first one may be the JVM's own, before the program's
-        sleepUntil(System.nanoTime(), START_FAILS_MS);
+        // The first socket may be one that the JVM opens for itself.
+        sleepUntil(System.nanoTime(), START_FAILURE_MS);
         faults.disable(SystemCallFault.SOCKET);
-        assertTrue(faults.injected(SystemCallFault.SOCKET) > 0, "no socket was asked for");
+        assertTrue(faults.injected(SystemCallFault.SOCKET) > 0, "no socket call has failed");
         program.awaitServing();
         Exchange client = send("/ficha", "t1", "");
         workerA.accept().startAnswer("done").endAnswer();
@@ -64,31 +64,31 @@
     }
 
     @DataProvider
-    public Object[][] momentary() {
+    public Object[][] transientErrors() {
         return new Object[][] {{Errno.ENFILE}, {Errno.ENOBUFS}};
     }
 
     @DataProvider
-    public Object[][] unaccepted() {
+    public Object[][] acceptErrors() {
         return new Object[][] {{Errno.ENFILE}, {Errno.EINTR}, {Errno.ECONNABORTED}};
     }
 
-    /** The client's time runs while its connection waits to be accepted; the worker was told as if it did not. */
-    @Test(dataProvider = "unaccepted")
-    public void theTimeThatAnAttemptTellsLeavesOutTheWaitToBeAccepted(Errno error) throws Exception {
+    /** Guards against a remaining time sent to the worker that ignores the time the client's connection waited for accept. */
+    @Test(dataProvider = "acceptErrors")
+    public void remainingTimeOfAnAttemptExcludesTheWaitForAccept(Errno error) throws Exception {
         startWithFaults();
         faults.enable(SystemCallFault.ACCEPT, error);
         Exchange client = program.client().write(request("/ficha", "t1", "X-Remaining-Ms: 3000\r\nX-Estimate: 2000\r\n", "soup"));
-        sleepUntil(System.nanoTime(), 2 * ACCEPT_FAILS_MS);
+        sleepUntil(System.nanoTime(), 2 * ACCEPT_FAILURE_MS);
         faults.disable(SystemCallFault.ACCEPT);
         Exchange worker = workerA.accept();
-        long toldMs = Long.parseLong(worker.headers.get("x-remaining-ms"));
-        assertTrue(toldMs <= 3000 - 2 * ACCEPT_FAILS_MS + SLACK_MS, "told " + toldMs);
+        long remainingMs = Long.parseLong(worker.headers.get("x-remaining-ms"));
+        assertTrue(remainingMs <= 3000 - 2 * ACCEPT_FAILURE_MS + TOLERANCE_MS, "remaining time sent: " + remainingMs + " ms");
         worker.startAnswer("done").endAnswer();
         assertEquals(client.readStatus(), 200);
     }
 
-    /** The JDK repeats a call of accept for as long as it fails with ECONNABORTED: the loop stood still with it. */
+    /** Guards against the event loop blocking in accept, which the JDK retries for as long as it fails with ECONNABORTED. */
     @Test
     public void openConnectionsAreServedWhileEveryAcceptIsAborted() throws Exception {
         startWithFaults();
@@ -111,9 +111,9 @@
         assertEquals(waiting.readStatus(), 200);
     }
 
-    /** The rest of a 100 that was written in part was never sent, and the answer came into the middle of it. */
+    /** Guards against losing the rest of a partly written 100 response, so that the final answer followed in the middle of it. */
     @Test
-    public void whoWaitsForAContinueGetsItWhole() throws Exception {
+    public void continueResponseIsWrittenWholly() throws Exception {
         startWithFaults();
         faults.enable(SystemCallFault.SHORT_WRITE, ALWAYS_PERCENT, 0);
         String raw = request("/ficha", "t1", TIME + "Expect: 100-continue\r\n", "soup");
@@ -122,36 +122,36 @@
         client.write("soup");
         workerA.accept().startAnswer("done").endAnswer();
         assertEquals(client.readStatus() + client.body, "200made soup");
-        assertTrue(faults.injected(SystemCallFault.SHORT_WRITE) > 0, "no write came short");
+        assertTrue(faults.injected(SystemCallFault.SHORT_WRITE) > 0, "no write was short");
     }
 
-    /** The JDK tells of an interrupted read by a number below -1, which passed for the connection's end. */
+    /** Guards against taking the JDK's result for an interrupted read, a number below -1, for the end of the connection. */
     @Test
-    public void interruptedReadsAndWritesEndNoConnection() throws Exception {
+    public void interruptedReadsAndWritesCloseNoConnection() throws Exception {
         startWithFaults();
         faults.enable(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT / 2, 0);
         Exchange client = program.client();
-        List<Exchange> kept = new ArrayList<>();
+        List<Exchange> workerConnections = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             client.write(request("/once", "t" + i, TIME, "soup"));
-            Exchange attempt = nextAttempt(kept.toArray(Exchange[]::new));
+            Exchange attempt = nextAttempt(workerConnections.toArray(Exchange[]::new));
             attempt.startAnswer("started", "done").endAnswer();
-            kept.add(attempt);
+            workerConnections.add(attempt);
             assertEquals(client.readStatus() + client.body, "200made soup");
         }
         assertTrue(faults.injected(SystemCallFault.INTERRUPTED) > 0, "no call was interrupted");
     }
 
-    /** Where every read and write is interrupted for a while, nothing is read or written, and nothing ends. */
+    /** While every read and write is interrupted nothing is transferred, and no connection is closed. */
     @Test
-    public void whatEverySignalInterruptsGoesOnAfterwards() throws Exception {
+    public void transfersContinueAfterEveryCallWasInterrupted() throws Exception {
         startWithFaults();
         Exchange client = send("/once", "t1", "");
         Exchange worker = workerA.accept().startAnswer("started");
         faults.enable(SystemCallFault.INTERRUPTED, ALWAYS_PERCENT, 0);
         worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
         Exchange second = send("/once", "t2", "");
-        sleepUntil(System.nanoTime(), ACCEPT_FAILS_MS);
+        sleepUntil(System.nanoTime(), ACCEPT_FAILURE_MS);
         assertTrue(faults.injected(SystemCallFault.INTERRUPTED) > 0, "no call was interrupted");
         faults.disable(SystemCallFault.INTERRUPTED);
         assertEquals(client.readStatus() + client.body, "200made");
@@ -159,22 +159,22 @@
         assertEquals(second.readStatus(), 200);
     }
 
-    /** Reads and writes that come short, waits that are interrupted: nothing is to be noticed of them. */
+    /** Short reads, short writes and interrupted waits do not show to clients or workers. */
     @Test
-    public void shortReadsAndWritesAndInterruptedWaitsChangeNothing() throws Exception {
+    public void shortReadsAndWritesAndInterruptedWaitsHaveNoEffect() throws Exception {
         startWithFaults();
         faults.enable(SystemCallFault.SHORT_WRITE, ALWAYS_PERCENT, 0);
         faults.enable(SystemCallFault.SHORT_READ, ALWAYS_PERCENT, 0);
         faults.enable(SystemCallFault.WAIT, ALWAYS_PERCENT / 2, 0);
-        List<Exchange> kept = new ArrayList<>();
+        List<Exchange> workerConnections = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             Exchange client = send("/once", "t" + i, "");
-            Exchange attempt = nextAttempt(kept.toArray(Exchange[]::new));
+            Exchange attempt = nextAttempt(workerConnections.toArray(Exchange[]::new));
             attempt.startAnswer("started", "done").endAnswer();
-            kept.add(attempt);
+            workerConnections.add(attempt);
             assertEquals(client.readStatus() + client.body, "200made soup");
-            // by then the worker's connection has rested, and the next attempt may come on it
-            Thread.sleep(RESTED_MS);
+            // After this time the worker's connection counts as idle and may carry the next attempt.
+            Thread.sleep(IDLE_MS);
         }
     }
 }
--- a/src/test/java/granitefold/real/UpgradeIT.java
+++ b/src/test/java/granitefold/real/UpgradeIT.java
@@ -11,126 +11,126 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A new version beside the running one, on the same addresses, under load. */
+/** A new version started beside the running one, on the same addresses, under load. */
 public final class UpgradeIT {
-    /** The issue asks for 20; {@code -Dupgrades=20} plays them. */
+    /** {@code -Dupgrades=20} runs as many as the acceptance criterion asks for. */
     private static final int UPGRADES = Integer.getInteger("upgrades", 5);
     private static final int TIMEOUT_S = 30;
 
-    private static Fleet.Dispatcher serving(Fleet fleet) throws Exception {
-        Fleet.Dispatcher d = fleet.dispatcher("", fleet.discovery.listJson(null));
-        d.startAlongside();
-        d.awaitReady();
-        return d;
+    private static Fleet.Dispatcher startServing(Fleet fleet) throws Exception {
+        Fleet.Dispatcher dispatcher = fleet.dispatcher("", fleet.discovery.listJson(null));
+        dispatcher.startAlongside();
+        dispatcher.awaitReady();
+        return dispatcher;
     }
 
-    private static void ended(Process p) throws InterruptedException {
-        assertTrue(p.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the old one ends by itself");
-        assertEquals(p.exitValue(), 0);
+    private static void assertExitsNormally(Process process) throws InterruptedException {
+        assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the old process did not exit by itself");
+        assertEquals(process.exitValue(), 0);
     }
 
-    /** A listener that closed reset what was in its queue, and kept connections closed across requests. */
+    /** Guards against a closing listener that resets queued connections, and against closing kept connections as requests arrive. */
     @Test
-    public void nothingIsLostAndNothingTurnedBackUnheard() throws Exception {
+    public void upgradeLosesNoRequestAndRefusesNoConnection() throws Exception {
         try (Fleet fleet = new Fleet(4, 8)) {
-            Fleet.Dispatcher d = serving(fleet);
-            try (ClosedLoopClients kept = new ClosedLoopClients("k", d.address(), 8, 20_000, true);
-                    ClosedLoopClients fresh = new ClosedLoopClients("f", d.address(), 8, 20_000, false)) {
+            Fleet.Dispatcher dispatcher = startServing(fleet);
+            try (ClosedLoopClients keepAlive = new ClosedLoopClients("k", dispatcher.address(), 8, 20_000, true);
+                    ClosedLoopClients perRequest = new ClosedLoopClients("f", dispatcher.address(), 8, 20_000, false)) {
                 for (int i = 0; i < UPGRADES; i++) {
-                    kept.awaitServed(kept.count(End.SERVED) + 50);
-                    Process old = d.startAlongside();
-                    d.awaitReady();
-                    d.awaitLog("upgrade: took over what the old version learned of 4 workers");
+                    keepAlive.awaitServed(keepAlive.count(End.SERVED) + 50);
+                    Process old = dispatcher.startAlongside();
+                    dispatcher.awaitReady();
+                    dispatcher.awaitLog("upgrade: took over what the old version learned of 4 workers");
                     old.destroy();
-                    fresh.awaitServed(fresh.count(End.SERVED) + 50);
-                    ended(old);
+                    perRequest.awaitServed(perRequest.count(End.SERVED) + 50);
+                    assertExitsNormally(old);
                 }
-                kept.stop();
-                fresh.stop();
-                for (ClosedLoopClients c : new ClosedLoopClients[] {kept, fresh}) {
+                keepAlive.stop();
+                perRequest.stop();
+                for (ClosedLoopClients c : new ClosedLoopClients[] {keepAlive, perRequest}) {
                     assertEquals(c.count(End.CUT) + c.count(End.FAILED), 0, c.toString());
                     assertTrue(c.count(End.UNHEARD) + c.count(End.REFUSED) <= 2L * UPGRADES, c.toString());
                     assertEquals(c.count(End.SERVED) + c.count(End.REJECTED), c.requests(), c.toString());
                 }
-                System.out.println(UPGRADES + " upgrades: kept " + kept + "; fresh " + fresh);
+                System.out.println(UPGRADES + " upgrades: kept " + keepAlive + "; fresh " + perRequest);
             }
             assertEquals(fleet.jobsRepeated(), 0);
         }
     }
 
-    /** The new version never comes to serve, or ends early: the old one goes on as if nothing had been. */
+    /** A new version that never serves or exits early does not affect the old one. */
     @Test
-    public void aNewVersionThatEndsEarlyCostsNothing() throws Exception {
+    public void newVersionThatExitsEarlyLosesNothing() throws Exception {
         try (Fleet fleet = new Fleet(4, 8)) {
-            Fleet.Dispatcher d = serving(fleet);
-            try (ClosedLoopClients kept = new ClosedLoopClients("k", d.address(), 8, 20_000, true)) {
-                kept.awaitServed(50);
-                Process old = d.startAlongside();
-                d.kill();
-                kept.awaitServed(kept.count(End.SERVED) + 50);
+            Fleet.Dispatcher dispatcher = startServing(fleet);
+            try (ClosedLoopClients keepAlive = new ClosedLoopClients("k", dispatcher.address(), 8, 20_000, true)) {
+                keepAlive.awaitServed(50);
+                Process old = dispatcher.startAlongside();
+                dispatcher.kill();
+                keepAlive.awaitServed(keepAlive.count(End.SERVED) + 50);
                 assertTrue(old.isAlive());
-                // what the killed one held of the shared folder says nothing: this is a planned end like any other
+                // The files that the killed process left in the shared folder do not matter: the graceful shutdown is a normal one.
                 old.destroy();
-                kept.awaitServed(kept.count(End.SERVED) + 50);
-                kept.stop();
-                assertEquals(kept.count(End.CUT) + kept.count(End.FAILED), 0, kept.toString());
-                ended(old);
+                keepAlive.awaitServed(keepAlive.count(End.SERVED) + 50);
+                keepAlive.stop();
+                assertEquals(keepAlive.count(End.CUT) + keepAlive.count(End.FAILED), 0, keepAlive.toString());
+                assertExitsNormally(old);
             }
         }
     }
 
-    /** Either may be killed at any moment: what was open there is lost, and the one that is left serves on. */
+    /** Either process may be killed at any moment: only its open requests are lost, and the other one serves on. */
     @Test
-    public void bothMayBeKilledInTurn() throws Exception {
+    public void eitherProcessMayBeKilled() throws Exception {
         Random random = new Random(7);
         int clients = 8;
         try (Fleet fleet = new Fleet(4, 8)) {
-            Fleet.Dispatcher d = serving(fleet);
-            try (ClosedLoopClients kept = new ClosedLoopClients("k", d.address(), clients, 20_000, true)) {
+            Fleet.Dispatcher dispatcher = startServing(fleet);
+            try (ClosedLoopClients keepAlive = new ClosedLoopClients("k", dispatcher.address(), clients, 20_000, true)) {
                 for (int i = 0; i < 4; i++) {
-                    kept.awaitServed(kept.count(End.SERVED) + 50);
-                    Process old = d.startAlongside();
+                    keepAlive.awaitServed(keepAlive.count(End.SERVED) + 50);
+                    Process old = dispatcher.startAlongside();
                     if (i % 2 == 0) {
-                        // mostly before the new one has said yes, which then may say so alone
-                        kept.awaitServed(kept.count(End.SERVED) + random.nextInt(300));
+                        // Mostly before the new process is ready, which then becomes ready without the old one.
+                        keepAlive.awaitServed(keepAlive.count(End.SERVED) + random.nextInt(300));
                         old.destroyForcibly().waitFor();
-                        d.awaitReady();
+                        dispatcher.awaitReady();
                     } else {
-                        d.awaitReady();
+                        dispatcher.awaitReady();
                         old.destroy();
-                        kept.awaitServed(kept.count(End.SERVED) + random.nextInt(20));
-                        Process killed = d.process();
-                        // the old one is on its way out: whoever is left over waits for the next start
+                        keepAlive.awaitServed(keepAlive.count(End.SERVED) + random.nextInt(20));
+                        Process killed = dispatcher.process();
+                        // The old process is shutting down: the remaining clients wait for the next start.
                         killed.destroyForcibly().waitFor();
-                        d.startAlongside();
-                        d.awaitReady();
+                        dispatcher.startAlongside();
+                        dispatcher.awaitReady();
                     }
-                    kept.awaitServed(kept.count(End.SERVED) + 50);
+                    keepAlive.awaitServed(keepAlive.count(End.SERVED) + 50);
                 }
-                kept.stop();
-                assertEquals(kept.count(End.FAILED), 0, kept.toString());
-                // of each kill at most what its clients had open
-                assertTrue(kept.count(End.CUT) <= 4L * clients, kept.toString());
+                keepAlive.stop();
+                assertEquals(keepAlive.count(End.FAILED), 0, keepAlive.toString());
+                // Each kill cuts at most the one open request of each client.
+                assertTrue(keepAlive.count(End.CUT) <= 4L * clients, keepAlive.toString());
             }
-            assertEquals(fleet.jobsRepeated(), 0, "no id was started twice");
+            assertEquals(fleet.jobsRepeated(), 0, "a job id was started twice");
         }
     }
 
-    /** The old one is stopped when its end is asked for: the new one serves, and the old one ends once it goes on. */
+    /** The old process is paused at its SIGTERM: the new one serves, and the old one exits once it is resumed. */
     @Test
-    public void theOldOneMayBeStoppedMeanwhile() throws Exception {
+    public void oldProcessMayBePausedDuringTheUpgrade() throws Exception {
         try (Fleet fleet = new Fleet(4, 8)) {
-            Fleet.Dispatcher d = serving(fleet);
-            Process old = d.startAlongside();
-            d.awaitReady();
+            Fleet.Dispatcher dispatcher = startServing(fleet);
+            Process old = dispatcher.startAlongside();
+            dispatcher.awaitReady();
             RealTest.signal(old, "STOP");
             RealTest.signal(old, "TERM");
             RealTest.signal(old, "CONT");
-            ended(old);
-            try (ClosedLoopClients fresh = new ClosedLoopClients("f", d.address(), 4, 20_000, false)) {
-                fresh.awaitServed(50);
-                fresh.stop();
-                assertEquals(fresh.count(End.SERVED), fresh.requests(), fresh.toString());
+            assertExitsNormally(old);
+            try (ClosedLoopClients perRequest = new ClosedLoopClients("f", dispatcher.address(), 4, 20_000, false)) {
+                perRequest.awaitServed(50);
+                perRequest.stop();
+                assertEquals(perRequest.count(End.SERVED), perRequest.requests(), perRequest.toString());
             }
         }
     }
