--- a/src/test/java/granitefold/real/ChecksIT.java
+++ b/src/test/java/granitefold/real/ChecksIT.java
@@ -19,21 +19,21 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The checks and controls of the real program, as balancers, operators and whoever else comes there meet them. */
+/** The health checks and controls of the built program, as balancers and operators use them and others misuse them. */
 public class ChecksIT extends RealChecks {
     @Test
-    public void aDrainIsSaidInEachProtocolAndWithdrawnByReady() throws Exception {
-        start(control() + "clients.envoy-headers = true\nclients.load-metrics = true\nchecks.agent.ready-for = 0ms\n");
-        assertTrue(await("up 100%").matches("up 100% maxconn:\\d+ #all is well\n"));
+    public void drainIsReportedInEachProtocolAndWithdrawnByReady() throws Exception {
+        start(controlSocketSettings() + "clients.envoy-headers = true\nclients.load-metrics = true\nchecks.agent.ready-for = 0ms\n");
+        assertTrue(awaitAgentLine("up 100%").matches("up 100% maxconn:\\d+ #all is well\n"));
         assertEquals(get("/readyz").firstLine, "HTTP/1.1 200 OK");
-        assertTrue(command("drain").contains("\"standing\":\"DRAINING\""));
-        assertTrue(ask().startsWith("drain #"));
-        Exchange e = get("/readyz?verbose");
-        assertEquals(e.firstLine, "HTTP/1.1 404 Not Found");
-        assertTrue(e.body.contains("[-]operator failed: DRAIN") && e.body.contains("[+]loop ok"), e.body);
-        assertEquals(e.headers.get("x-envoy-immediate-health-check-fail"), "true");
+        assertTrue(sendCommand("drain").contains("\"standing\":\"DRAINING\""));
+        assertTrue(askAgent().startsWith("drain #"));
+        Exchange response = get("/readyz?verbose");
+        assertEquals(response.firstLine, "HTTP/1.1 404 Not Found");
+        assertTrue(response.body.contains("[-]operator failed: DRAIN") && response.body.contains("[+]loop ok"), response.body);
+        assertEquals(response.headers.get("x-envoy-immediate-health-check-fail"), "true");
         assertEquals(get("/livez").firstLine, "HTTP/1.1 200 OK");
-        // what still comes is served, and told to go elsewhere
+        // Requests that still arrive are served with a hint to go elsewhere.
         workerA.serve("done");
         Exchange client = program.client().write(request("/ficha", "t1", TIME
                 + "endpoint-load-metrics-format: text\r\n", "soup"));
@@ -41,133 +41,133 @@
         assertEquals(client.headers.get("connection"), "close");
         assertEquals(client.headers.get("x-envoy-immediate-health-check-fail"), "true");
         assertTrue(client.headers.get("endpoint-load-metrics").matches("TEXT cpu_utilization=\\d.*named_metrics.owed=\\d+"));
-        assertTrue(command("maint").contains("MAINT"));
-        assertTrue(ask().startsWith("maint #"));
-        command("ready");
-        assertTrue(ask().startsWith("up "), "ready-for is 0 here");
-        served("t2");
+        assertTrue(sendCommand("maint").contains("MAINT"));
+        assertTrue(askAgent().startsWith("maint #"));
+        sendCommand("ready");
+        assertTrue(askAgent().startsWith("up "), "ready-for is 0 in this test");
+        assertServed("t2");
     }
 
     @Test
-    public void readyIsSaidForAWhileAfterADrainWasWithdrawn() throws Exception {
-        start(control());
-        assertTrue(await("up 100%").startsWith("ready up "));
-        command("drain");
-        assertTrue(ask().startsWith("drain"));
-        command("ready");
-        assertTrue(ask().startsWith("ready up "));
+    public void agentReportsReadyForAWhileAfterADrainIsWithdrawn() throws Exception {
+        start(controlSocketSettings());
+        assertTrue(awaitAgentLine("up 100%").startsWith("ready up "));
+        sendCommand("drain");
+        assertTrue(askAgent().startsWith("drain"));
+        sendCommand("ready");
+        assertTrue(askAgent().startsWith("ready up "));
     }
 
     @Test
-    public void aPlannedEndInMaintGoesItsWayAndReadyDoesNotStopIt() throws Exception {
-        start(control());
-        command("maint");
+    public void gracefulShutdownInMaintCompletesAndReadyDoesNotStopIt() throws Exception {
+        start(controlSocketSettings());
+        sendCommand("maint");
         Exchange client = program.client().write(request("/ficha", "t1", TIME, "soup"));
         Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: DRAINING");
-        assertTrue(command("ready").contains("the process is to end"));
-        assertTrue(ask().startsWith("drain #the process is to end"));
+        assertTrue(sendCommand("ready").contains("the process is to end"));
+        assertTrue(askAgent().startsWith("drain #the process is to end"));
         program.awaitLog("phase: FINISHING");
-        assertTrue(ask().startsWith("stopped"));
+        assertTrue(askAgent().startsWith("stopped"));
         worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
         assertEquals(client.readStatus(), 200);
         assertTrue(program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(program.process.exitValue(), 0);
-        assertFalse(Files.exists(socket()), "a planned end takes its socket away");
+        assertFalse(Files.exists(controlSocketFile()), "a graceful shutdown must delete its socket file");
     }
 
-    /** Killed and back with a saved list that is wrong in all, while discovery says nothing. */
+    /** The process restarts after a kill with a saved list whose workers no longer exist, while discovery is silent. */
     @Test
-    public void aStaleListIsNoFullHealth() throws Exception {
+    public void staleWorkerListLowersTheReportedHealth() throws Exception {
         start("");
-        await("up 100%");
+        awaitAgentLine("up 100%");
         program.process.destroyForcibly().waitFor();
         program.close();
-        try (Worker gone = new Worker("s-gone")) {
-            String wrong = list(1, true, gone);
-            gone.close();
+        try (Worker missing = new Worker("s-gone")) {
+            String wrong = list(1, true, missing);
+            missing.close();
             fields.put("known", wrong);
             fields.put("settings", RealProgram.settings("\"attemptsCap\":1,\"connectTimeoutMs\":200,\"idleCloseMs\":60000"));
-            program = new RealProgram(LISTEN, fields);
-            agent = program.addressIn("checks: agent on");
-            http = program.addressIn("checks: http on");
+            program = new RealProgram(LISTENERS, fields);
+            agentAddress = program.addressIn("checks: agent on");
+            httpAddress = program.addressIn("checks: http on");
             InetSocketAddress clients = program.addressIn(" listening on");
             program.awaitLog("phase: SERVING");
-            String said = await("%");
-            int weight = Integer.parseInt(said.replaceAll("(?s).*?(\\d+)%.*", "$1"));
-            assertTrue(weight <= 30, said);
+            String agentLine = awaitAgentLine("%");
+            int weight = Integer.parseInt(agentLine.replaceAll("(?s).*?(\\d+)%.*", "$1"));
+            assertTrue(weight <= 30, agentLine);
             assertEquals(get("/readyz").headers.get("x-envoy-degraded"), "true");
             for (int i = 0; i < 5; i++) {
                 Exchange client = program.connect(clients, null).write(request("/ficha", "t" + i, TIME, ""));
                 assertNotEquals(client.readStatus(), 200);
             }
-            await(" 1% maxconn");
-            assertTrue(ask().contains("the saved list is wrong"));
-            // discovery is back, with one that is there
+            awaitAgentLine(" 1% maxconn");
+            assertTrue(askAgent().contains("the saved list is wrong"));
+            // Discovery reports again, with a worker that exists.
             program.acceptWatch(list(2, true, workerA));
-            await("up 100%");
+            awaitAgentLine("up 100%");
             assertEquals(get("/readyz").headers.get("x-envoy-degraded"), null);
         }
     }
 
     @Test
-    public void aSilenceOfDiscoveryDegradesUntilItSpeaksAgain() throws Exception {
+    public void silentDiscoveryDegradesUntilItReportsAgain() throws Exception {
         start("availability.silence = 1s\n");
         workerA.serve("done");
-        await("discovery is silent");
+        awaitAgentLine("discovery is silent");
         assertEquals(get("/readyz").headers.get("x-envoy-degraded"), "true");
-        served("t1");
-        // each watch that is opened meanwhile is one more that may speak
+        assertServed("t1");
+        // Each watch opened meanwhile may be the one that reports.
         program.awaitLog("discovery: watch ended: silent");
         program.acceptWatch("");
-        await("all is well");
+        awaitAgentLine("all is well");
     }
 
-    /** Nothing said, far too much said, and five hundred at once: clients and other checks go on. */
+    /** Silent checkers, flooding checkers and 500 connections at once: clients and other checks are still answered. */
     @Test
-    public void rudeChecksStarveNobody() throws Exception {
+    public void misbehavingCheckersDoNotDisturbOthers() throws Exception {
         start("checks.http.timeout = 1s\nchecks.agent.timeout = 1s\nchecks.http.connections = 16\n");
         workerA.serve("done");
-        Exchange silent = program.connect(http, null);
-        List<Exchange> many = new ArrayList<>();
+        Exchange silent = program.connect(httpAddress, null);
+        List<Exchange> connections = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            many.add(program.connect(i % 2 == 0 ? http : agent, null));
+            connections.add(program.connect(i % 2 == 0 ? httpAddress : agentAddress, null));
         }
-        served("t1");
+        assertServed("t1");
         assertEquals(get("/livez").lastStatus(), 200);
         assertTrue(silent.awaitClose());
-        for (InetSocketAddress to : List.of(http, agent)) {
-            Exchange loud = program.connect(to, null);
+        for (InetSocketAddress to : List.of(httpAddress, agentAddress)) {
+            Exchange flooding = program.connect(to, null);
             byte[] chunk = new byte[1 << 20];
-            boolean cut = false;
-            for (int i = 0; i < 60 && !cut; i++) {
+            boolean closed = false;
+            for (int i = 0; i < 60 && !closed; i++) {
                 try {
-                    loud.socket.getOutputStream().write(chunk);
-                } catch (SocketException e) {
-                    cut = true;
+                    flooding.socket.getOutputStream().write(chunk);
+                } catch (SocketException response) {
+                    closed = true;
                 }
             }
-            assertTrue(cut, "60 MB are not read to their end");
+            assertTrue(closed, "the listener read 60 MB without closing");
         }
-        for (Exchange e : many) {
-            e.readToEndOrReset();
+        for (Exchange response : connections) {
+            response.readToEndOrReset();
         }
-        Exchange bad = program.connect(http, null).write("POST /readyz HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n");
+        Exchange bad = program.connect(httpAddress, null).write("POST /readyz HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n");
         assertEquals(bad.readStatus(), 400);
         assertTrue(bad.awaitClose());
-        Exchange put = program.connect(http, null).write("PUT /readyz HTTP/1.1\r\nHost: c\r\n\r\n");
+        Exchange put = program.connect(httpAddress, null).write("PUT /readyz HTTP/1.1\r\nHost: c\r\n\r\n");
         assertEquals(put.readStatus(), 405);
         Exchange kept = get("/livez");
         kept.write("HEAD /nothing HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n");
         assertTrue(kept.readToEnd().startsWith("HTTP/1.1 404 "));
-        assertTrue(ask().contains("up "));
-        served("t2");
+        assertTrue(askAgent().contains("up "));
+        assertServed("t2");
     }
 
-    /** A balancer that polls every 10 ms from 40 hosts: two seconds of it, with clients beside. */
+    /** A balancer polls every 10 ms from 40 hosts for two seconds, with client requests at the same time. */
     @Test
-    public void fortyPollersStarveNobody() throws Exception {
+    public void fortyPollersDoNotDisturbClients() throws Exception {
         start("");
         workerA.serve("done");
         List<Thread> pollers = new ArrayList<>();
@@ -180,11 +180,11 @@
                     java.util.concurrent.locks.LockSupport.parkNanos(next - System.nanoTime());
                     try (java.net.Socket s = new java.net.Socket()) {
                         s.bind(new InetSocketAddress("127.0.1." + (host + 1), 0));
-                        s.connect(agent, 5000);
+                        s.connect(agentAddress, 5000);
                         s.setSoTimeout(5000);
                         answers[host] += s.getInputStream().readAllBytes().length > 0 ? 1 : 0;
-                    } catch (IOException e) {
-                        // one that waits too long, or is closed for want of room, counts as none
+                    } catch (IOException response) {
+                        // A poll that times out or is closed for lack of room counts as unanswered.
                     }
                 }
             });
@@ -193,55 +193,53 @@
         }
         int served = 0;
         while (System.nanoTime() - until < 0) {
-            served("t" + served++);
+            assertServed("t" + served++);
         }
         for (Thread t : pollers) {
             t.join();
         }
-        assertTrue(served > 10, "clients were served all the while: " + served);
+        assertTrue(served > 10, "too few client requests were served: " + served);
         for (int n : answers) {
-            assertTrue(n > 5, "each host has its answers: " + java.util.Arrays.toString(answers));
+            assertTrue(n > 5, "a host got too few answers: " + java.util.Arrays.toString(answers));
         }
     }
 
     @Test
-    public void aReloadMovesTheListenersAndOneInUseLeavesThemAsTheyAre() throws Exception {
-        start(control());
+    public void reloadMovesTheListenersUnlessTheNewAddressIsInUse() throws Exception {
+        start(controlSocketSettings());
         try (ServerSocket taken = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Files.writeString(program.operatorFile, (LISTEN + control()).replace("agent.listen = \"127.0.0.1:0",
+            Files.writeString(program.operatorFile, (LISTENERS + controlSocketSettings()).replace("agent.listen = \"127.0.0.1:0",
                     "agent.listen = \"127.0.0.1:" + taken.getLocalPort()));
             program.signal("HUP");
             program.awaitLog("checks: agent cannot listen on");
-            assertTrue(ask().contains("up "), "the old listener stays");
+            assertTrue(askAgent().contains("up "), "the old listener must stay");
         }
         Files.writeString(program.operatorFile, "checks.agent.lisen = 1\nlog.format = yaml\n");
         program.signal("HUP");
         String kept = program.awaitLog("operator: kept as it was");
         assertTrue(kept.contains("did you mean checks.agent.listen?") && kept.contains("log.format"), kept);
-        assertTrue(ask().contains("up "));
-        Files.writeString(program.operatorFile, (LISTEN + control()).replace("agent.listen = \"127.0.0.1:0",
+        assertTrue(askAgent().contains("up "));
+        Files.writeString(program.operatorFile, (LISTENERS + controlSocketSettings()).replace("agent.listen = \"127.0.0.1:0",
                 "agent.listen = \"127.0.0.2:0") + "log.format = json\n");
         program.signal("HUP");
         program.awaitLog("operator: log.format takes effect at the next start");
         String line = program.awaitLog("checks: agent on 127.0.0.2");
-        InetSocketAddress old = agent;
-        agent = new InetSocketAddress("127.0.0.2", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
-        assertTrue(ask().contains("up "));
-        // the new one serves before the old one goes
+        InetSocketAddress old = agentAddress;
+        agentAddress = new InetSocketAddress("127.0.0.2", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
+        assertTrue(askAgent().contains("up "));
+        // The new listener serves before the old one closes.
         long until = System.nanoTime() + RealProgram.TIMEOUT_S * 1_000_000_000L;
-        while (answers(old)) {
+        while (isAnswering(old)) {
             assertTrue(System.nanoTime() < until, "the old listener still answers");
         }
     }
 
-    private boolean answers(InetSocketAddress listener) throws Exception {
-        try (Exchange e = program.connect(listener, null)) {
-            // it may still take a connection, with nobody there to answer
-            return !e.readToEndOrReset().isEmpty();
-        } catch (java.net.ConnectException e) {
+    private boolean isAnswering(InetSocketAddress listener) throws Exception {
+        try (Exchange response = program.connect(listener, null)) {
+            // The kernel may still accept a connection that nothing answers.
+            return !response.readToEndOrReset().isEmpty();
+        } catch (java.net.ConnectException response) {
             return false;
         }
     }
-
-    // ---------------------------------------------------------------- PROXY protocol
 }
--- a/src/test/java/granitefold/real/OpsIT.java
+++ b/src/test/java/granitefold/real/OpsIT.java
@@ -25,21 +25,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The second address, as staff and the platform use it, and as nobody should. */
+/** The ops address in normal use and under misuse. */
 public final class OpsIT {
-    /** What an answer may take: the operators' figure. */
-    private static final long DUE_NS = TimeUnit.SECONDS.toNanos(1);
+    /** The longest time an answer may take. */
+    private static final long MAX_ANSWER_NS = TimeUnit.SECONDS.toNanos(1);
 
     private final List<Closeable> opened = new ArrayList<>();
     private Fleet fleet;
-    private Fleet.Dispatcher d;
+    private Fleet.Dispatcher dispatcher;
 
     @BeforeMethod
     public void start() throws Exception {
         fleet = new Fleet(3, 8);
-        d = fleet.dispatcher("", fleet.discovery.listJson(null));
-        d.startAlongside();
-        d.awaitReady();
+        dispatcher = fleet.dispatcher("", fleet.discovery.listJson(null));
+        dispatcher.startAlongside();
+        dispatcher.awaitReady();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -59,82 +59,82 @@
         return s;
     }
 
-    /** The answer, in the time it is due in. */
-    private List<String> ask(String call) throws IOException {
-        long at = System.nanoTime();
-        List<String> lines = d.callOps(call);
-        assertTrue(System.nanoTime() - at < DUE_NS, call + " took " + (System.nanoTime() - at) / 1_000_000 + " ms");
+    /** Returns the answer to a call, and checks that it came in time. */
+    private List<String> callInTime(String call) throws IOException {
+        long startNs = System.nanoTime();
+        List<String> lines = dispatcher.callOps(call);
+        assertTrue(System.nanoTime() - startNs < MAX_ANSWER_NS, call + " took " + (System.nanoTime() - startNs) / 1_000_000 + " ms");
         return lines;
     }
 
     private JsonNode vars() throws IOException {
-        List<String> lines = ask("vars");
+        List<String> lines = callInTime("vars");
         assertEquals(lines.size(), 2, lines.toString());
         assertEquals(lines.get(1), "--");
         return new ObjectMapper().readTree(lines.get(0));
     }
 
-    /** So many bytes of a connection are read. */
-    private static final int READ_MOST = 64 * 1024;
-    private static final long PIECE_APART_MS = 50;
+    /** The program reads at most this much of a call. */
+    private static final int READ_LIMIT_BYTES = 64 * 1024;
+    private static final long WRITE_INTERVAL_MS = 50;
 
     @Test
-    public void callsAreAnsweredAndOthersTurnedAway() throws Exception {
-        assertEquals(ask("check"), List.of("ACK"));
+    public void knownCallsAreAnsweredAndOthersRejected() throws Exception {
+        assertEquals(callInTime("check"), List.of("ACK"));
         assertEquals(vars().get("targets").asInt(), 3);
-        for (String call : List.of("", "chec", "check vars", "x".repeat(READ_MOST - 1), "\u0000\u0001")) {
-            assertTrue(ask(call).get(0).startsWith("NAK"), call.length() + " characters");
+        for (String call : List.of("", "chec", "check vars", "x".repeat(READ_LIMIT_BYTES - 1), "\u0000\u0001")) {
+            assertTrue(callInTime(call).get(0).startsWith("NAK"), call.length() + " characters");
         }
-        assertEquals(ask("check\r"), List.of("ACK"), "a terminal's line end is one too");
+        assertEquals(callInTime("check\r"), List.of("ACK"), "CR LF must end a call as well");
     }
 
-    /** Its rest is not read: the connection ends under a caller that goes on writing, who reads the answer all the same. */
+    /** The connection closes while the caller is still writing, and the caller can still read the answer. */
     @Test
-    public void aCallOfAMegabyteIsTurnedAwayAndItsRestNotRead() throws Exception {
-        Socket s = open(d.opsAddress(), "");
-        s.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(DUE_NS));
-        byte[] piece = "x".repeat(READ_MOST).getBytes();
+    public void oversizedCallIsRejectedWithoutReadingTheRest() throws Exception {
+        Socket s = open(dispatcher.opsAddress(), "");
+        s.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(MAX_ANSWER_NS));
+        byte[] chunk = "x".repeat(READ_LIMIT_BYTES).getBytes();
         assertThrows(SocketException.class, () -> {
-            for (int sent = 0; sent < 1_000_000; sent += piece.length) {
-                s.getOutputStream().write(piece);
-                // by then the program has read what it reads, and has closed
-                Thread.sleep(PIECE_APART_MS);
+            for (int sent = 0; sent < 1_000_000; sent += chunk.length) {
+                s.getOutputStream().write(chunk);
+                // By then the program has read up to its limit and closed.
+                Thread.sleep(WRITE_INTERVAL_MS);
             }
         });
         assertEquals(new String(s.getInputStream().readNBytes(3)), "NAK");
-        assertEquals(ask("check"), List.of("ACK"));
+        assertEquals(callInTime("check"), List.of("ACK"));
     }
 
-    /** Answered by the loop, a call waited behind all else that it had to do. */
+    /** Guards against answering calls in the event loop, where they wait behind all its other work. */
     @Test
-    public void aBusyLoopDelaysNoAnswer() throws Exception {
+    public void busyEventLoopDelaysNoAnswer() throws Exception {
         fleet.discovery.flood(20_000);
         try {
             long longest = 0;
-            // until the loop has been busy for two seconds at a time, as its clients see it; the flood goes on for as long
-            for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60); longest < 2 * DUE_NS;) {
-                assertTrue(System.nanoTime() < until, "the loop was busy for " + longest / 1_000_000 + " ms at most");
-                long at = System.nanoTime();
-                Socket s = open(d.address(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+            // Floods until the event loop has kept a client waiting for twice the limit.
+            for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60); longest < 2 * MAX_ANSWER_NS;) {
+                assertTrue(System.nanoTime() < until, "the event loop was busy for " + longest / 1_000_000 + " ms at most");
+                long startNs = System.nanoTime();
+                Socket s = open(dispatcher.address(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
                 s.setSoTimeout(20);
                 for (boolean answered = false; !answered;) {
-                    assertEquals(ask("check"), List.of("ACK"));
+                    assertEquals(callInTime("check"), List.of("ACK"));
                     try {
                         answered = s.getInputStream().read() != -2;
                     } catch (SocketTimeoutException e) {
-                        answered = System.nanoTime() - at > 3 * DUE_NS;
+                        answered = System.nanoTime() - startNs > 3 * MAX_ANSWER_NS;
                     }
                 }
-                longest = Math.max(longest, System.nanoTime() - at);
+                longest = Math.max(longest, System.nanoTime() - startNs);
             }
         } finally {
             fleet.discovery.flood(0);
         }
     }
 
-    /** The smallest limits with the crowd: the process is within its memory, and still answers and serves. */
+    /** With the smallest limits and 2,000 connections the process stays within its memory limit and still serves. */
     @Test
-    public void aCrowdFitsTheSmallestMemory() throws Exception {
+    public void manyClientsFitIntoTheSmallestMemoryLimit() throws Exception {
         try (RealProgram.Worker worker = new RealProgram.Worker("s-a");
                 RealProgram program = new RealProgram(Map.of("ops", "\"127.0.0.1:0\"",
                         "limits", "{\"cores\":0.5,\"memory_mb\":96,\"sockets\":192}"), worker)) {
@@ -151,51 +151,51 @@
                 client.close();
             }
             String figures = "";
-            // they may lag by half a second
+            // The figures may lag by half a second.
             for (int i = 0; i < 1_000 && !figures.contains("\"success\":50"); i++) {
                 figures = program.connect(ops, null).write("vars\n").readToEnd();
             }
             assertTrue(figures.contains("\"success\":50"), figures);
-            String high = Files.readAllLines(Path.of("/proc", String.valueOf(program.process.pid()), "status")).stream()
+            String peakMemoryLine = Files.readAllLines(Path.of("/proc", String.valueOf(program.process.pid()), "status")).stream()
                     .filter(l -> l.startsWith("VmHWM")).findFirst().orElseThrow();
-            System.out.println("2,000 clients at 96 MB: " + high);
-            assertTrue(Long.parseLong(high.replaceAll("\\D", "")) < 96 * 1024, high);
+            System.out.println("2,000 clients at 96 MB: " + peakMemoryLine);
+            assertTrue(Long.parseLong(peakMemoryLine.replaceAll("\\D", "")) < 96 * 1024, peakMemoryLine);
         }
     }
 
-    /** Silent callers, and a crowd at the clients' address, cost the answers nothing; the figures stay true meanwhile. */
+    /** Silent ops callers and 2,000 client connections delay no answer, and the figures stay correct. */
     @Test
-    public void figuresAreTrueUnderACrowd() throws Exception {
+    public void figuresAreExactWithManyIdleConnections() throws Exception {
         for (int i = 0; i < 100; i++) {
-            open(d.opsAddress(), i % 2 == 0 ? "" : "che");
+            open(dispatcher.opsAddress(), i % 2 == 0 ? "" : "che");
         }
-        try (ClosedLoopClients clients = new ClosedLoopClients("c", d.address(), 8, 20_000, true)) {
+        try (ClosedLoopClients clients = new ClosedLoopClients("c", dispatcher.address(), 8, 20_000, true)) {
             for (int i = 0; i < 2_000; i++) {
-                open(d.address(), i % 3 == 0 ? "POST /ficha HTTP/1.1\r\nHost:" : "");
+                open(dispatcher.address(), i % 3 == 0 ? "POST /ficha HTTP/1.1\r\nHost:" : "");
                 if (i % 100 == 0) {
-                    assertEquals(ask("check"), List.of("ACK"));
-                    open(d.opsAddress(), "va");
-                    JsonNode during = vars();
+                    assertEquals(callInTime("check"), List.of("ACK"));
+                    open(dispatcher.opsAddress(), "va");
+                    JsonNode figuresDuring = vars();
                     long served = clients.count(End.SERVED);
-                    long success = during.get("replies").get("ficha").get("success").asLong();
-                    assertTrue(success <= served + 3 + 8, success + " counted, " + served + " had");
+                    long success = figuresDuring.get("replies").get("ficha").get("success").asLong();
+                    assertTrue(success <= served + 3 + 8, success + " counted, " + served + " received");
                 }
             }
             clients.awaitServed(clients.count(End.SERVED) + 100);
             clients.stop();
-            JsonNode all = vars();
-            for (int i = 0; i < 100 && all.get("replies").get("ficha").get("success").asLong() < clients.count(End.SERVED); i++) {
-                // the figures may lag by half a second
-                all = vars();
+            JsonNode figuresAfter = vars();
+            for (int i = 0; i < 100 && figuresAfter.get("replies").get("ficha").get("success").asLong() < clients.count(End.SERVED); i++) {
+                // The figures may lag by half a second.
+                figuresAfter = vars();
                 Thread.sleep(5);
             }
-            JsonNode ficha = all.get("replies").get("ficha");
+            JsonNode ficha = figuresAfter.get("replies").get("ficha");
             assertEquals(ficha.get("success").asLong(), clients.count(End.SERVED), clients.toString());
             assertEquals(ficha.get("overload").asLong(), clients.count(End.REJECTED), clients.toString());
             assertEquals(ficha.get("error").asLong(), clients.count(End.FAILED), clients.toString());
-            assertEquals(all.get("concurrent").asLong(), 0);
-            // the operators' slack for attempts is 2%
-            assertEquals((double) all.get("dispatches").asLong(), fleet.jobsStarted(), 3 + 0.02 * fleet.jobsStarted());
+            assertEquals(figuresAfter.get("concurrent").asLong(), 0);
+            // Attempts may deviate by 2%.
+            assertEquals((double) figuresAfter.get("dispatches").asLong(), fleet.jobsStarted(), 3 + 0.02 * fleet.jobsStarted());
         }
     }
 }
--- a/src/test/java/granitefold/real/RealChecks.java
+++ b/src/test/java/granitefold/real/RealChecks.java
@@ -22,17 +22,17 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** What tests of the checks and controls share: the real program with its listeners, and ways to ask them. */
+/** Base of the tests of health checks and controls: the built program with its listeners, and calls to them. */
 class RealChecks {
     static final String TIME = "X-Remaining-Ms: 20000\r\nX-Estimate: 100000\r\n";
-    static final String LISTEN = "checks.agent.listen = \"127.0.0.1:0\"\nchecks.http.listen = \"127.0.0.1:0\"\n"
+    static final String LISTENERS = "checks.agent.listen = \"127.0.0.1:0\"\nchecks.http.listen = \"127.0.0.1:0\"\n"
             + "availability.slow-start = 0ms\navailability.slow-start-from = 100\n";
     final Map<String, String> fields = new HashMap<>();
     Path folder;
     Worker workerA;
     RealProgram program;
-    InetSocketAddress agent;
-    InetSocketAddress http;
+    InetSocketAddress agentAddress;
+    InetSocketAddress httpAddress;
 
     @BeforeMethod
     public void setUp() throws IOException {
@@ -53,53 +53,53 @@
         Files.delete(folder);
     }
 
-    Path socket() {
+    Path controlSocketFile() {
         return folder.resolve("n0.s");
     }
 
-    String control() {
-        return "control.socket = \"" + socket() + "\"\n";
+    String controlSocketSettings() {
+        return "control.socket = \"" + controlSocketFile() + "\"\n";
     }
 
-    /** Starts with both listeners, and more in the operator's file; discovery confirms the list. */
+    /** Starts with both listeners and further lines in the operator's file; discovery confirms the list. */
     Exchange start(String more) throws Exception {
-        program = new RealProgram(LISTEN + more, fields, workerA);
-        agent = program.addressIn("checks: agent on");
-        http = program.addressIn("checks: http on");
+        program = new RealProgram(LISTENERS + more, fields, workerA);
+        agentAddress = program.addressIn("checks: agent on");
+        httpAddress = program.addressIn("checks: http on");
         return program.awaitServing();
     }
 
-    String ask() throws IOException {
-        return program.connect(agent, null).readToEnd();
+    String askAgent() throws IOException {
+        return program.connect(agentAddress, null).readToEnd();
     }
 
     Exchange get(String target) throws IOException {
-        Exchange e = program.connect(http, null).write("GET " + target + " HTTP/1.1\r\nHost: c\r\n\r\n");
+        Exchange e = program.connect(httpAddress, null).write("GET " + target + " HTTP/1.1\r\nHost: c\r\n\r\n");
         e.read();
         return e;
     }
 
-    String command(String line) throws IOException {
+    String sendCommand(String line) throws IOException {
         try (SocketChannel c = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            c.connect(UnixDomainSocketAddress.of(socket()));
+            c.connect(UnixDomainSocketAddress.of(controlSocketFile()));
             c.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.US_ASCII)));
             return new String(Channels.newInputStream(c).readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** Asks until the answer holds a text: what is measured takes its counts and dwell. */
-    String await(String part) throws IOException, InterruptedException {
+    /** Asks until the answer contains a text, since measured values change only after their counts and dwell times. */
+    String awaitAgentLine(String part) throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(RealProgram.TIMEOUT_S);
-        String said = ask();
-        while (!said.contains(part)) {
-            assertTrue(System.nanoTime() - until < 0, "no '" + part + "', but " + said);
+        String agentLine = askAgent();
+        while (!agentLine.contains(part)) {
+            assertTrue(System.nanoTime() - until < 0, "agent line without '" + part + "': " + agentLine);
             Thread.onSpinWait();
-            said = ask();
+            agentLine = askAgent();
         }
-        return said;
+        return agentLine;
     }
 
-    void served(String txn) throws IOException {
+    void assertServed(String txn) throws IOException {
         Exchange client = program.client().write(request("/ficha", txn, TIME + "Connection: close\r\n", "soup"));
         assertEquals(client.readStatus() + client.body, "200made soup");
     }
--- a/src/test/java/granitefold/real/RealProgram.java
+++ b/src/test/java/granitefold/real/RealProgram.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The real program, started by the deploy file's {@code run}, with discovery, workers and clients played by the test
- * over loopback. Nothing sleeps: whoever waits, waits for the other side's word, at most {@link #PATIENCE_S}.
+ * The built program as a process, started by the deploy file's {@code run}; the test acts as discovery, workers and clients
+ * over loopback. There are no fixed sleeps: each wait is for an event and times out after {@link #TIMEOUT_S}.
  */
 final class RealProgram implements Closeable {
     static final int TIMEOUT_S = 30;
