--- a/src/test/java/granitefold/real/FaultTest.java
+++ b/src/test/java/granitefold/real/FaultTest.java
@@ -8,19 +8,19 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 
-/** What tests with faults below the program share: it starts with the fault library preloaded. */
+/** Base of the tests with failing system calls: the program runs with the fault library preloaded. */
 class FaultTest extends RealTest {
     SystemCallFaults faults;
     private Path folder;
 
     @BeforeClass
-    public void library() throws Exception {
+    public void buildLibrary() throws Exception {
         folder = Files.createTempDirectory("faults");
         SystemCallFaults.build(folder);
     }
 
     @AfterClass(alwaysRun = true)
-    public void clear() throws IOException {
+    public void deleteFolder() throws IOException {
         for (Path file : Files.list(folder).toList()) {
             Files.delete(file);
         }
@@ -33,7 +33,7 @@
         program.awaitServing();
     }
 
-    /** Faults may be switched on from now on, before there is a process. */
+    /** Creates the fault controls, so that faults can be enabled before the process starts. */
     void prepare() throws Exception {
         faults = SystemCallFaults.create(SystemCallFaults.build(folder), Files.createTempFile(folder, "control", ""));
     }
@@ -42,6 +42,7 @@
         program = new RealProgram(null, faults.environment(), fields, workerA);
     }
 
+    /** Sleeps until a time given as a start in nanoseconds and milliseconds after it. */
     static void sleepUntil(long fromNs, long ms) throws InterruptedException {
         TimeUnit.NANOSECONDS.sleep(fromNs + TimeUnit.MILLISECONDS.toNanos(ms) - System.nanoTime());
     }
--- a/src/test/java/granitefold/real/KeptWorkerIT.java
+++ b/src/test/java/granitefold/real/KeptWorkerIT.java
@@ -10,80 +10,80 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Kept connections to workers, and what may come on them between two requests. */
+/** Idle connections to workers, and unexpected events on them between two requests. */
 public class KeptWorkerIT extends RealTest {
     private static final String TURNED_AWAY = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** What a selector finds at once it hands out in any order: each order comes up in so many rounds. */
+    /** A selector returns simultaneous events in any order; this many rounds cover each order. */
     private static final int ROUNDS = 10;
 
-    /** Sends one job after the other, each time with something having happened on all kept connections as the process stood still. */
-    private void betweenTwoRequests(Happening what) throws Exception {
+    /** Sends pairs of jobs; between the two, while the process is paused, an event happens on all worker connections. */
+    private void eventBetweenTwoRequests(ConnectionEvent event) throws Exception {
         start(workerA);
-        List<Exchange> kept = new ArrayList<>();
+        List<Exchange> workerConnections = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
             Exchange client = program.client().write(request("/once", "k" + i, TIME, "soup"));
-            Exchange first = nextAttempt(kept.toArray(Exchange[]::new));
+            Exchange first = nextAttempt(workerConnections.toArray(Exchange[]::new));
             first.answerAndEnd("done");
             assertEquals(client.readStatus(), 200);
-            if (!kept.contains(first)) {
-                kept.add(first);
+            if (!workerConnections.contains(first)) {
+                workerConnections.add(first);
             }
             pauseProcess();
             client.write(request("/once", "t" + i, TIME, "salt"));
-            for (Exchange e : kept) {
-                what.to(e);
+            for (Exchange e : workerConnections) {
+                event.apply(e);
             }
             resumeProcess();
             Exchange second = workerA.accept();
-            assertEquals(second.headers.get("x-txn"), "t" + i, "on a new connection");
+            assertEquals(second.headers.get("x-txn"), "t" + i, "the second job must use a new connection");
             second.answerAndEnd("done");
             assertEquals(client.readStatus() + client.body, "200made salt");
-            for (Exchange e : kept) {
-                assertTrue(e.socket.isClosed() || e.awaitClose(), "and nothing was sent on the others");
+            for (Exchange e : workerConnections) {
+                assertTrue(e.socket.isClosed() || e.awaitClose(), "data was sent on another connection");
             }
-            kept = new ArrayList<>(List.of(second));
+            workerConnections = new ArrayList<>(List.of(second));
         }
     }
 
-    private interface Happening {
-        void to(Exchange kept) throws IOException;
+    private interface ConnectionEvent {
+        void apply(Exchange workerConnections) throws IOException;
     }
 
     /**
-     * A second answer to the first request stood in the socket when the second one was written. Its status says that nothing ran,
-     * so that a job that must not run twice was sent to another worker while it ran at this one.
+     * Guards against taking a second answer to the first request, already in the socket, for the answer to the second request:
+     * it says that nothing ran, so a job that must not run twice was sent to another worker while it ran at this one.
      */
     @Test
-    public void wordsOutOfTurnAreNotTheNextRequestsAnswer() throws Exception {
-        betweenTwoRequests(e -> e.write(TURNED_AWAY));
+    public void unexpectedDataIsNotTheNextRequestsAnswer() throws Exception {
+        eventBetweenTwoRequests(e -> e.write(TURNED_AWAY));
     }
 
-    /** The worker's end is found before anything is written: the job surely never ran there, and goes to a new connection. */
+    /** The worker's close is detected before anything is written, so the job cannot have run there and uses a new connection. */
     @Test
-    public void aKeptConnectionThatHasEndedIsNotWrittenTo() throws Exception {
-        betweenTwoRequests(Exchange::close);
+    public void closedIdleConnectionIsNotWrittenTo() throws Exception {
+        eventBetweenTwoRequests(Exchange::close);
     }
 
-    /** Half a line, or a line about another request, at the moment of the close is no result, and an unsafe job is not sent again. */
+    /** A partial line or a line about another request before the close is no result, and an unsafe job is not sent again. */
     @Test
-    public void halfALineAtTheCloseIsNoResult() throws Exception {
+    public void partialLineAtTheCloseIsNoResult() throws Exception {
         start(workerA);
         String whole = "{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}";
         String other = whole.replace("t1", "t0");
-        for (String said : new String[] {whole, whole.substring(0, 20), other + "\n"}) {
+        for (String answer : new String[] {whole, whole.substring(0, 20), other + "\n"}) {
             Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
             Exchange e = workerA.accept();
-            e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(said.length()) + "\r\n" + said + "\r\n");
+            e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(answer.length()) + "\r\n" + answer + "\r\n");
             e.close();
-            assertEquals(client.readStatus(), 500, said);
+            assertEquals(client.readStatus(), 500, answer);
         }
-        assertFalse(hasPendingConnection(workerA), "nothing was sent again");
+        assertFalse(hasPendingConnection(workerA), "the job was sent again");
     }
 
-    /** An answer that never ends holds its client no longer than its time, and its connection is not used again. */
+    /** An answer that never ends delays the client at most until its deadline, and its connection is not reused. */
     @Test
-    public void anAnswerThatNeverEndsIsGivenUp() throws Exception {
+    public void answerThatNeverEndsIsAbandonedAtTheDeadline() throws Exception {
         start(workerA);
         Exchange client = program.client().write(request("/once", "t1", "X-Remaining-Ms: 400\r\n", "soup"));
         Exchange e = workerA.accept();
@@ -93,17 +93,17 @@
         assertFalse(hasPendingConnection(workerA));
     }
 
-    /** One of many requests on workers ends with its client: the others' attempts go on. */
+    /** When a client closes only its own attempt is cancelled; the attempts of others continue. */
     @Test
-    public void aClientThatLeavesTakesNoOtherAttemptAlong() throws Exception {
+    public void closedClientDoesNotCancelOtherAttempts() throws Exception {
         start(workerA);
-        Exchange leaves = send("/ficha", "t1", "");
-        Exchange one = workerA.accept().startAnswer("started");
-        Exchange stays = send("/ficha", "t2", "");
-        Exchange two = workerA.accept().startAnswer("started");
-        leaves.close();
-        assertTrue(one.awaitClose());
-        two.writeLines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
-        assertEquals(stays.readStatus() + stays.body, "200made");
+        Exchange closingClient = send("/ficha", "t1", "");
+        Exchange firstAttempt = workerA.accept().startAnswer("started");
+        Exchange stayingClient = send("/ficha", "t2", "");
+        Exchange secondAttempt = workerA.accept().startAnswer("started");
+        closingClient.close();
+        assertTrue(firstAttempt.awaitClose());
+        secondAttempt.writeLines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(stayingClient.readStatus() + stayingClient.body, "200made");
     }
 }
--- a/src/test/java/granitefold/real/QuietListIT.java
+++ b/src/test/java/granitefold/real/QuietListIT.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Discovery that goes quiet, breaks off, speaks oddly, or cannot be had while clients take all the room. */
+/** Discovery that is silent, breaks off, sends unusual text, or is unavailable while clients use all descriptors. */
 public class QuietListIT extends RealTest {
-    /** A line was taken for a whole list, and an indented one ended the watch. */
+    /** Guards against parsing each line as a whole list, so that an indented list ended the watch. */
     @Test
-    public void anIndentedListIsTakenIn() throws Exception {
+    public void indentedListIsAccepted() throws Exception {
         Exchange watch = start(workerA);
         workerA.status = "draining";
         workerB.status = "up";
@@ -28,17 +28,17 @@
         assertTrue(program.log.stream().noneMatch(l -> l.contains("watch ended")), program.log.toString());
     }
 
-    /** A reset, a refusal, a broken line, half a list, an end at once: each is followed by a next call that tells what was missed. */
+    /** After a reset, a refusal, an invalid line, a partial list or an immediate end, the next watch delivers the missed list. */
     @Test
-    public void whateverEndsAWatchItIsAskedForAnew() throws Exception {
+    public void watchIsReopenedAfterAnyKindOfEnd() throws Exception {
         Exchange watch = start(workerA);
         watch.socket.setSoLinger(true, 0);
         watch.close();
         Exchange refused = program.acceptWatch();
         refused.close();
         program.acceptWatch("{]}");
-        Exchange half = program.acceptWatch();
-        half.write("5\r\n{\"ind\r\n").endAnswer();
+        Exchange partial = program.acceptWatch();
+        partial.write("5\r\n{\"ind\r\n").endAnswer();
         workerA.status = "draining";
         workerB.status = "up";
         program.acceptWatch(list(2, true, workerA, workerB));
@@ -48,9 +48,9 @@
         assertEquals(client.readStatus(), 200);
     }
 
-    /** What is older than ours is not believed of who is up, but of who drains, until there is a list that counts. */
+    /** An older list does not add workers, but its drains apply until a newer list arrives. */
     @Test
-    public void anOlderListsDrainsAreHeeded() throws Exception {
+    public void drainsOfAnOlderListAreApplied() throws Exception {
         workerB.status = "up";
         Exchange watch = start(workerA, workerB);
         watch.writeLines(list(9, true, workerA, workerB));
@@ -74,9 +74,9 @@
         assertEquals(client.readStatus(), 200);
     }
 
-    /** The descriptors for discovery and for workers are set aside before clients are let in. */
+    /** Descriptors for discovery and workers are reserved before clients are accepted. */
     @Test
-    public void idleClientsThatTakeAllTheRoomLeaveDiscoveryItsOwn() throws Exception {
+    public void idleClientsDoNotTakeTheDescriptorsOfDiscovery() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -91,7 +91,7 @@
         for (int i = 0; i < 150; i++) {
             idle.add(program.connect(address, null));
         }
-        // most of them have brought a request once, so that they are not the first to go
+        // Some have sent a request, so that they are not the first to be closed.
         for (Exchange e : idle.subList(120, 150)) {
             e.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         }
--- a/src/test/java/granitefold/real/RequestTraceIT.java
+++ b/src/test/java/granitefold/real/RequestTraceIT.java
@@ -4,10 +4,10 @@
 
 import org.testng.annotations.Test;
 
-/** Where the operator asks for it, the log follows one request by the id that its client gave. */
+/** With log.requests, the log lists the steps of each request under the id that its client gave. */
 public class RequestTraceIT extends RealTest {
     @Test
-    public void aRequestCanBeFollowedFromItsArrivalToTheCloseOfItsConnection() throws Exception {
+    public void requestIsLoggedFromItsArrivalToTheCloseOfItsConnection() throws Exception {
         program = new RealProgram("log.requests = true", fields, workerA);
         program.awaitServing();
         Exchange client = send("/ficha?sid=1", "t1", "");
@@ -24,18 +24,18 @@
     }
 
     @Test
-    public void aRefusalTellsItsReason() throws Exception {
+    public void rejectionIsLogged() throws Exception {
         useDeadlines(500);
         workerA.status = "draining";
         program = new RealProgram("log.requests = true", fields, workerA);
         program.acceptWatch(RealProgram.list(1, false));
-        Exchange client = connected();
+        Exchange client = connectClient();
         client.write(RealProgram.request("/ficha", "t1", "X-Remaining-Ms: 300\r\nX-Estimate: 2000\r\n", "soup"));
         assertEquals(client.readStatus(), 503);
         program.awaitLog("request t1: answered: Rejected");
     }
 
-    private Exchange connected() throws Exception {
+    private Exchange connectClient() throws Exception {
         return program.connect(program.addressIn(" listening on "), null);
     }
 }
--- a/src/test/java/granitefold/real/ServeIT.java
+++ b/src/test/java/granitefold/real/ServeIT.java
@@ -15,14 +15,14 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The real program as its clients, workers and discovery meet it. */
+/** The built program from the side of its clients, workers and discovery. */
 public class ServeIT extends RealTest {
     private Exchange send(String txn, String more) throws IOException {
         return send("/ficha?sid=1", txn, more);
     }
 
     @Test
-    public void passesARequestOnUnchangedAndKeepsBothConnections() throws Exception {
+    public void forwardsARequestUnchangedAndReusesBothConnections() throws Exception {
         start(workerA);
         Exchange client = program.client();
         String target = "/guardar/x%20y?sid=7f3a&q=%2F";
@@ -35,7 +35,7 @@
         assertTrue(Integer.parseInt(worker.headers.get("x-remaining-ms")) <= 20_000);
         worker.answerAndEnd("started", "done");
         assertEquals(client.readStatus() + client.body, "200made soup");
-        // the client's is used at once, a worker's once it has rested; until then others are opened
+        // A client connection is reused at once, a worker connection only after it was idle; until then new ones are opened.
         List<Exchange> kept = new ArrayList<>(List.of(worker));
         for (Exchange next = null; next == null || !kept.contains(next); ) {
             if (next != null) {
@@ -45,12 +45,12 @@
             next = nextAttempt(kept.toArray(Exchange[]::new));
             next.answerAndEnd("done");
             assertEquals(client.readStatus() + client.body, "200made salt");
-            assertTrue(kept.size() < 1_000, "none is ever used again");
+            assertTrue(kept.size() < 1_000, "no worker connection was reused");
         }
     }
 
     @Test
-    public void connectionCloseIsKept() throws Exception {
+    public void connectionCloseIsHonoured() throws Exception {
         start(workerA);
         Exchange client = send("t1", "Connection: close\r\n");
         workerA.accept().startAnswer("done").endAnswer();
@@ -59,7 +59,7 @@
         assertTrue(client.awaitClose());
     }
 
-    private static Object[][] bad() {
+    private static Object[][] invalidRequests() {
         return new Object[][] {
             {"nonsense\r\n\r\n", 400},
             {request("/nothing", "t", TIME, ""), 404},
@@ -89,7 +89,7 @@
             {chunked("10001\r\n" + "x".repeat(65537)), 413},
             {chunked("0".repeat(100_000)), 400},
             {"\r\n".repeat(50_000), 431},
-            // what looks like a body may be another request, and must not be sent on
+            // Data that looks like a body may be another request and must not be forwarded.
             {request("/ficha", "t", TIME + "Transfer-Encoding: chunked\r\n", "0\r\n\r\n" + request("/ficha", "h", TIME, "")), 400},
         };
     }
@@ -99,14 +99,14 @@
     }
 
     @Test
-    public void badInputIsAnsweredAndSurvived() throws Exception {
+    public void invalidInputIsAnsweredAndNotForwarded() throws Exception {
         start(workerA);
-        for (Object[] row : bad()) {
+        for (Object[] row : invalidRequests()) {
             Exchange client = program.client().write((String) row[0]);
             assertEquals(client.readStatus(), row[1], (String) row[0]);
             assertTrue(client.awaitClose(), (String) row[0]);
         }
-        // none of it has come to a worker
+        // No invalid request has reached a worker.
         Exchange client = send("good", "");
         Exchange worker = workerA.accept();
         assertEquals(worker.headers.get("x-txn"), "good");
@@ -114,9 +114,9 @@
         assertEquals(client.readStatus(), 200);
     }
 
-    /** Each is owed an error or a close, and none of them may keep its place for good. */
+    /** Each incomplete request gets an error or a close; none holds a connection slot forever. */
     @Test
-    public void clientsThatNeverComeToAnEndAreTimedOut() throws Exception {
+    public void incompleteRequestsAreTimedOut() throws Exception {
         start(workerA);
         Exchange silent = program.client();
         Exchange head = program.client().write("POST /ficha HTTP/1.1\r\nHost: x\r\n");
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void aCrowdOfSilentClientsKeepsNobodyOut() throws Exception {
+    public void silentClientsDoNotKeepOthersOut() throws Exception {
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
         start(workerA);
         for (int i = 0; i < 150; i++) {
@@ -142,9 +142,9 @@
         assertEquals(client.readStatus(), 200);
     }
 
-    /** An answer or a cancel for one would be taken for the other's. */
+    /** With two open requests of one id, an answer to or a cancel of one would be taken for the other's. */
     @Test
-    public void theIdOfAnOpenRequestIsRefusedAndThatOneIsNotTouched() throws Exception {
+    public void idOfAnOpenRequestIsRefused() throws Exception {
         start(workerA);
         Exchange client = send("t1", "");
         Exchange worker = workerA.accept().startAnswer("started");
@@ -154,9 +154,9 @@
         assertEquals(client.readStatus() + client.body, "200made");
     }
 
-    /** Each answer used to be written from within the one before, until the stack was used up. */
+    /** Guards against a stack overflow from writing each answer recursively from within the previous one. */
     @Test
-    public void aThousandPipelinedRequestsAreAnswered() throws Exception {
+    public void thousandPipelinedRequestsAreAnswered() throws Exception {
         start(workerA);
         Exchange client = program.client().write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".repeat(1000));
         for (int i = 0; i < 1000; i++) {
@@ -164,9 +164,9 @@
         }
     }
 
-    /** A truncated line never becomes a 200, and the next attempt comes only once the last one's connection is gone. */
+    /** A truncated line never becomes a 200, and the next attempt starts only after the last one's connection is closed. */
     @Test
-    public void aTruncatedAnswerIsTriedAgain() throws Exception {
+    public void truncatedAnswerIsRetried() throws Exception {
         start(workerA);
         Exchange client = send("t1", "");
         Exchange first = workerA.accept().startAnswer("started");
@@ -178,9 +178,9 @@
         assertEquals(client.readStatus() + client.body, "200made soup");
     }
 
-    /** A worker that never ends its answer must not keep a connection for good. */
+    /** A worker that never ends its answer must not hold a connection forever. */
     @Test
-    public void anAnswerWithoutItsEndIsServedAndItsConnectionClosed() throws Exception {
+    public void answerWithoutItsEndIsServedAndItsConnectionClosed() throws Exception {
         start(workerA);
         Exchange client = send("t1", "");
         Exchange worker = workerA.accept().startAnswer("done");
@@ -188,9 +188,9 @@
         assertTrue(worker.awaitClose());
     }
 
-    /** What may have run and must not run twice ends as failed, never as a reject. */
+    /** A job that may have run and must not run twice ends as failed, never as rejected. */
     @Test
-    public void afterALossAnUnsafeJobFails() throws Exception {
+    public void lostUnsafeJobFails() throws Exception {
         start(workerA);
         Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
         workerA.accept().startAnswer("started", "lost").endAnswer();
@@ -198,7 +198,7 @@
     }
 
     @Test
-    public void whatIsReturnedGoesElsewhere() throws Exception {
+    public void returnedJobIsSentElsewhere() throws Exception {
         start(workerA);
         Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
         Exchange first = workerA.accept();
@@ -209,13 +209,13 @@
     }
 
     @Test
-    public void aClientThatLeavesEndsItsTry() throws Exception {
+    public void closedClientCancelsItsAttempt() throws Exception {
         start(workerA);
         Exchange client = send("t1", "");
         Exchange worker = workerA.accept().startAnswer("started");
         client.close();
         assertTrue(worker.awaitClose());
-        // more behind the request than one buffer holds must not hide that
+        // More data behind the request than one buffer holds must not hide the close.
         client = send("t2", "");
         worker = workerA.accept().startAnswer("started");
         client.write("x".repeat(20_000)).close();
@@ -223,7 +223,7 @@
     }
 
     @Test
-    public void aSilentWorkerIsAnsweredForByTheDeadline() throws Exception {
+    public void requestAtASilentWorkerIsAnsweredByTheDeadline() throws Exception {
         start(workerA);
         Exchange client = program.client().write(request("/once", "t1", "X-Remaining-Ms: 300\r\n", "soup"));
         Exchange worker = workerA.accept();
@@ -231,9 +231,9 @@
         assertTrue(worker.awaitClose());
     }
 
-    /** A reject tells when to come back, and comes at once: with no worker at all there is nothing to wait for. */
+    /** The reject carries Retry-After and comes at once, since without any worker there is nothing to wait for. */
     @Test
-    public void withoutWorkersARequestIsRejectedAtOnce() throws Exception {
+    public void requestWithoutWorkersIsRejectedAtOnce() throws Exception {
         start();
         Exchange client = send("t1", "");
         assertEquals(client.readStatus(), 503);
@@ -241,7 +241,7 @@
     }
 
     @Test
-    public void drainingWorkersGetNothingNewAndBadLinesReopenTheWatch() throws Exception {
+    public void drainingWorkersGetNoNewJobsAndInvalidLinesReopenTheWatch() throws Exception {
         Exchange watch = start(workerA);
         watch.writeLines("not a list");
         program.awaitLog("discovery: watch ended");
@@ -254,18 +254,18 @@
         assertEquals(client.readStatus(), 200);
     }
 
-    /** A cut link says nothing: only the missing heartbeats show it. */
+    /** A cut link shows only by missing heartbeats. */
     @Test
-    public void aSilentWatchIsOpenedAgain() throws Exception {
+    public void silentWatchIsReopened() throws Exception {
         Exchange watch = start(workerA);
         assertTrue(watch.awaitClose());
         program.acceptWatch(list(2, false));
         program.awaitLog("discovery: list 2");
     }
 
-    /** The signal would end the JVM. The old discovery is left at once, and a broken file changes nothing. */
+    /** SIGHUP does not end the JVM: it moves the watch to the new discovery at once, and an invalid file changes nothing. */
     @Test
-    public void aHangUpMovesTheWatchAndABrokenFileDoesNot() throws Exception {
+    public void sighupMovesTheWatchAndAnInvalidFileDoesNot() throws Exception {
         Exchange watch = start(workerA);
         program.breakConfiguration();
         program.signal("HUP");
@@ -280,9 +280,9 @@
         assertEquals(client.readStatus(), 200);
     }
 
-    /** The worker would close this connection: a request must not meet that. */
+    /** Guards against a request on a connection that the worker is about to close. */
     @Test
-    public void anIdleConnectionIsClosedBeforeTheWorkerCloses() throws Exception {
+    public void idleWorkerConnectionIsClosedBeforeTheWorkerClosesIt() throws Exception {
         fields.put("settings", RealProgram.settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"idleCloseMs\":1000"));
         start(workerA);
         Exchange client = send("t1", "");
@@ -295,9 +295,9 @@
         assertEquals(client.readStatus() + client.body, "200made salt");
     }
 
-    /** Siblings speak in datagrams; whatever else comes there does no harm. */
+    /** Siblings exchange datagrams; invalid ones are ignored. */
     @Test
-    public void siblingsAreToldAndRubbishIsIgnored() throws Exception {
+    public void siblingsGetMessagesAndInvalidDatagramsAreIgnored() throws Exception {
         try (DatagramSocket sibling = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             sibling.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
@@ -309,11 +309,11 @@
             fields.put("peers", "[" + own + ",\"127.0.0.1:" + sibling.getLocalPort() + "\"]");
             start(workerA);
             Exchange client = send("t1", "");
-            DatagramPacket word = new DatagramPacket(new byte[1000], 1000);
-            sibling.receive(word);
-            assertTrue(word.getLength() <= 256);
+            DatagramPacket message = new DatagramPacket(new byte[1000], 1000);
+            sibling.receive(message);
+            assertTrue(message.getLength() <= 256);
             for (int length : new int[] {0, 1, 100, 257, 1000}) {
-                sibling.send(new DatagramPacket(new byte[length], length, word.getSocketAddress()));
+                sibling.send(new DatagramPacket(new byte[length], length, message.getSocketAddress()));
             }
             workerA.accept().startAnswer("done").endAnswer();
             assertEquals(client.readStatus(), 200);
@@ -321,13 +321,13 @@
     }
 
     @Test
-    public void brokenConfigurationIsOneLineAndAStatus() throws Exception {
+    public void invalidConfigurationPrintsOneLineAndExitsWithTwo() throws Exception {
         for (String config : List.of("{", "[]", "{}", "{\"settings\":{\"classes\":[{\"effect\":\"odd\"}]}}")) {
             Process p = RealProgram.launchWithConfiguration(config);
-            String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            String output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(p.waitFor(), 2, config);
-            assertEquals(said.lines().count(), 1, said);
-            assertFalse(said.contains("Exception"), said);
+            assertEquals(output.lines().count(), 1, output);
+            assertFalse(output.contains("Exception"), output);
         }
     }
 }
--- a/src/test/java/granitefold/real/SettingsIT.java
+++ b/src/test/java/granitefold/real/SettingsIT.java
@@ -17,43 +17,43 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** What one customer's settings leave behind is not used under another's. */
+/** State and messages that belong to other settings are not used. */
 public class SettingsIT extends RealTest {
-    /** The classes in another order, and the one that must not run twice is another one. */
-    private static String turned(String settings) {
+    /** Returns the settings with two classes exchanged, so that another class must not run twice. */
+    private static String withClassesReordered(String settings) {
         return settings.replace("\"name\":\"ficha\"", "\"name\":\"X\"").replace("\"name\":\"once\"", "\"name\":\"ficha\"")
                 .replace("\"name\":\"X\"", "\"name\":\"once\"");
     }
 
-    private Path configuration() throws Exception {
+    private Path configurationFile() throws Exception {
         String all = Files.readString(Path.of("/proc/" + program.process.pid() + "/environ"), StandardCharsets.ISO_8859_1);
         return Path.of(Stream.of(all.split("\0")).filter(v -> v.startsWith("LB_CONFIG=")).findFirst().orElseThrow().substring("LB_CONFIG=".length()));
     }
 
-    /** A file with the classes in another order is read in the middle of a request: its class is still what it was. */
+    /** A configuration with reordered classes, read while a request is open, does not change the class of that request. */
     @Test
-    public void aHangUpThatTurnsTheClassesRoundTouchesNoRequest() throws Exception {
+    public void sighupWithReorderedClassesDoesNotAffectRequests() throws Exception {
         Exchange watch = start(workerA);
         Exchange once = send("/once", "t1", "");
         Exchange attempt = workerA.accept().startAnswer("started");
         program.moveDiscovery();
-        Files.writeString(configuration(), turned(Files.readString(configuration())));
+        Files.writeString(configurationFile(), withClassesReordered(Files.readString(configurationFile())));
         program.signal("HUP");
         assertTrue(watch.awaitClose());
         program.acceptWatch(list(2, false));
         program.awaitLog("discovery: list 2");
         attempt.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"lost\"}").endAnswer();
-        assertEquals(once.readStatus(), 500, "it may have run, and must not be sent again");
-        // nor is what comes later taken for another class: this one may be sent again as often as it likes
+        assertEquals(once.readStatus(), 500, "the job may have run and must not be sent again");
+        // Later requests keep their class as well: this one may be sent again any number of times.
         Exchange ficha = send("/ficha", "t2", "");
         nextAttempt(attempt).startAnswer("started", "lost").endAnswer();
         nextAttempt(attempt).startAnswer("started", "done").endAnswer();
         assertEquals(ficha.readStatus(), 200);
     }
 
-    /** The folder is the last customer's, and so are the names of the dispatchers. */
+    /** The state folder and the dispatchers' names are those of a deployment with other settings. */
     @Test
-    public void whatWasLearnedUnderOtherSettingsIsNotUsed() throws Exception {
+    public void stateLearnedUnderOtherSettingsIsNotUsed() throws Exception {
         Path folder = Files.createTempDirectory("state");
         String operator = "state.dir = \"" + folder + "\"\nstate.every = 100ms\n";
         try {
@@ -66,13 +66,13 @@
             program.signal("TERM");
             awaitExit();
             program.close();
-            fields.put("settings", turned(RealProgram.settings(LIMITS)));
+            fields.put("settings", withClassesReordered(RealProgram.settings(LIMITS)));
             program = new RealProgram(operator, fields, workerA);
             program.awaitServing();
             program.hasLogged("state: the file is of other settings than ours, and not used");
             program.drainLog();
             assertTrue(program.log.stream().noneMatch(l -> l.contains("state: recovered")), program.log.toString());
-            // the key is another customer's, and says nothing of this one's request
+            // The key was used under the other settings and does not affect this request.
             client = program.client().write(request("/guardar", "t2", TIME + "Idempotency-Key: k1\r\n", "salt"));
             workerA.accept().startAnswer("done").endAnswer();
             assertEquals(client.readStatus() + client.body, "200made salt");
@@ -84,9 +84,9 @@
         }
     }
 
-    /** At a sibling's address another deployment's dispatcher still speaks; a word of ours is heard all the same. */
+    /** A dispatcher with other settings sends messages from a sibling's address; they do not count as a live sibling's. */
     @Test
-    public void wordsOfOtherSettingsAreNotHeard() throws Exception {
+    public void messagesOfOtherSettingsAreIgnored() throws Exception {
         try (DatagramSocket sibling = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             sibling.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
@@ -98,19 +98,19 @@
             fields.put("peers", "[\"127.0.0.1:" + own.getPort() + "\",\"127.0.0.1:" + sibling.getLocalPort() + "\"]");
             start(workerA);
             Exchange client = send("/ficha", "t1", "");
-            DatagramPacket word = new DatagramPacket(new byte[1000], 1000);
-            sibling.receive(word);
+            DatagramPacket message = new DatagramPacket(new byte[1000], 1000);
+            sibling.receive(message);
             workerA.accept().startAnswer("done").endAnswer();
             assertEquals(client.readStatus(), 200);
-            byte[] foreign = java.util.Arrays.copyOf(word.getData(), word.getLength());
+            byte[] foreign = java.util.Arrays.copyOf(message.getData(), message.getLength());
             foreign[foreign.length - 1] ^= 1;
             sibling.send(new DatagramPacket(foreign, foreign.length, own));
             program.awaitLog("siblings: words of other settings than ours come from");
-            // a sibling that is heard is one to hand clients over to: then the end comes after 0.7 s, else after 3.3
+            // With a live sibling to take over the clients, draining ends after 0.7 s, otherwise after 3.3 s.
             sibling.send(new DatagramPacket(foreign, foreign.length, own));
             program.signal("TERM");
             program.awaitLog("phase: FINISHING");
-            assertTrue(between("phase: DRAINING", "phase: FINISHING").toMillis() > 3_000, "nobody was heard");
+            assertTrue(between("phase: DRAINING", "phase: FINISHING").toMillis() > 3_000, "a message of other settings was taken for a sibling's");
         }
         assertFalse(hasPendingConnection(workerA));
     }
--- a/src/test/java/granitefold/real/SoakIT.java
+++ b/src/test/java/granitefold/real/SoakIT.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A few plays of the soak; by hand many more are played, see docs/operate/proving-ground.md. */
+/** A few runs of the soak test; longer series are run by hand, see docs/operate/proving-ground.md. */
 public final class SoakIT {
-    private static final long LENGTH_S = 8;
+    private static final long DURATION_S = 8;
 
     @DataProvider
     public Object[][] seeds() {
@@ -22,16 +22,16 @@
 
     @Test(dataProvider = "seeds")
     public void randomOverlappingFaultsBreakNoRule(long seed) throws Exception {
-        TestRun p = TestRun.run(SoakCommand.scenario(seed, LENGTH_S), seed, Path.of("target/granitefold.jar"), r -> { });
-        assertEquals(p.scriptError(), null);
-        assertTrue(p.violations().isEmpty(), p.violations().toString());
-        assertTrue(p.injectedFaults().values().stream().mapToLong(n -> n).sum() > 0, "no system call has failed");
+        TestRun run = TestRun.run(SoakCommand.scenario(seed, DURATION_S), seed, Path.of("target/granitefold.jar"), r -> { });
+        assertEquals(run.scriptError(), null);
+        assertTrue(run.violations().isEmpty(), run.violations().toString());
+        assertTrue(run.injectedFaults().values().stream().mapToLong(n -> n).sum() > 0, "no system call has failed");
     }
 
     @Test
-    public void aSeedStandsForOnePlay() throws Exception {
-        Scenario one = SoakCommand.scenario(7, LENGTH_S);
-        assertEquals(SoakCommand.scenario(7, LENGTH_S), one);
-        assertTrue(!SoakCommand.scenario(8, LENGTH_S).steps().equals(one.steps()), "another seed, another play");
+    public void seedDeterminesTheScenario() throws Exception {
+        Scenario scenario = SoakCommand.scenario(7, DURATION_S);
+        assertEquals(SoakCommand.scenario(7, DURATION_S), scenario);
+        assertTrue(!SoakCommand.scenario(8, DURATION_S).steps().equals(scenario.steps()), "two seeds gave the same scenario");
     }
 }
