--- a/src/test/java/granitefold/ArrowsTest.java
+++ b/src/test/java/granitefold/ArrowsTest.java
@@ -9,16 +9,16 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Arrows run one way: cli, net, wire, core, the module; and what decides touches nothing outside. */
+/** Dependencies between packages run one way: cli, net, wire, core, policy; packages that make decisions do no I/O. */
 class ArrowsTest {
     private static final JavaClasses CLASSES = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("granitefold");
-    private static final String[] PURE = {"granitefold.policy..", "granitefold.figures..", "granitefold.core..", "granitefold.availability..", "granitefold.health..",
+    private static final String[] PURE_PACKAGES = {"granitefold.policy..", "granitefold.figures..", "granitefold.core..", "granitefold.availability..", "granitefold.health..",
         "granitefold.recovery..", "granitefold.rollout.."};
 
     @Test
-    void arrowsRunOneWay() {
-        noClasses().that().resideInAnyPackage(PURE).should().dependOnClassesThat().resideInAnyPackage("granitefold.wire..",
+    void dependenciesRunOneWay() {
+        noClasses().that().resideInAnyPackage(PURE_PACKAGES).should().dependOnClassesThat().resideInAnyPackage("granitefold.wire..",
                 "granitefold.net..", "granitefold.operator..", "granitefold.cli..", "granitefold.benchlink..").check(CLASSES);
         noClasses().that().resideInAnyPackage("granitefold.availability..", "granitefold.health..").should()
                 .dependOnClassesThat().resideInAnyPackage("granitefold.core..").check(CLASSES);
@@ -28,21 +28,21 @@
                 .resideInAnyPackage("granitefold.cli..", "granitefold.benchlink..").check(CLASSES);
         noClasses().that().resideOutsideOfPackage("granitefold.standin..").should().dependOnClassesThat()
                 .resideInAPackage("granitefold.standin..").check(CLASSES);
-        assertTrue(CLASSES.size() > 100, "the rules have something to look at");
+        assertTrue(CLASSES.size() > 100, "no classes were imported, the rules would pass without checking any");
     }
 
     @Test
-    void whatDecidesTouchesNeitherSocketNorFileNorClockNorThread() {
-        noClasses().that().resideInAnyPackage(PURE)
+    void purePackagesUseNoSocketsFilesClocksOrThreads() {
+        noClasses().that().resideInAnyPackage(PURE_PACKAGES)
                 .should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..",
                         "java.util.concurrent..", "org.eclipse.jetty..", "org.slf4j..")
                 .orShould().dependOnClassesThat().areAssignableTo(Thread.class).orShould().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
     }
 
-    /** The platform's start loads no library for operators' files and commands. */
+    /** A start by the platform loads no library for operators' files and commands. */
     @Test
-    void librariesStayOffThePlatformsPath() {
+    void servingCodeDoesNotUseCommandLineAndConfigurationLibraries() {
         classes().that().resideOutsideOfPackages("granitefold.cli..", "granitefold.standin..").should()
                 .onlyDependOnClassesThat().resideOutsideOfPackages("picocli..", "ch.qos.logback..", "net.logstash..")
                 .check(CLASSES);
--- a/src/test/java/granitefold/KnownRedTest.java
+++ b/src/test/java/granitefold/KnownRedTest.java
@@ -9,47 +9,47 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** CI passes over exactly the tests that KNOWN-RED.txt lists. */
+/** .ci/KnownRed.java accepts failures of exactly the tests that KNOWN-RED.txt lists. */
 class KnownRedTest {
     private static final String ENTRY = "SomeIT.fails | SomeIT seed 1 | no answer | 99\n";
-    private static final String PASSES = "<testcase classname='a.SomeIT' name='passes'/>";
-    private static final String FAILS = "<testcase classname='a.SomeIT' name='fails[1](1)'><failure>no answer</failure></testcase>";
+    private static final String PASSING_CASE = "<testcase classname='a.SomeIT' name='passes'/>";
+    private static final String FAILING_CASE = "<testcase classname='a.SomeIT' name='fails[1](1)'><failure>no answer</failure></testcase>";
 
     @TempDir
     private Path folder;
 
     @Test
-    void aListedTestMayFail() throws Exception {
-        assertEquals(0, status(ENTRY, PASSES + FAILS));
+    void listedTestMayFail() throws Exception {
+        assertEquals(0, checkStatus(ENTRY, PASSING_CASE + FAILING_CASE));
     }
 
     @Test
-    void aFailingTestOutsideTheListFails() throws Exception {
-        assertEquals(1, status(ENTRY, FAILS + "<testcase classname='a.SomeIT' name='planted'><error>planted</error></testcase>"));
+    void unlistedFailureFailsTheCheck() throws Exception {
+        assertEquals(1, checkStatus(ENTRY, FAILING_CASE + "<testcase classname='a.SomeIT' name='planted'><error>planted</error></testcase>"));
     }
 
     @Test
-    void aListedTestThatPassesFails() throws Exception {
-        assertEquals(1, status(ENTRY, "<testcase classname='a.SomeIT' name='fails[1](1)'/>"));
+    void listedTestThatPassesFailsTheCheck() throws Exception {
+        assertEquals(1, checkStatus(ENTRY, "<testcase classname='a.SomeIT' name='fails[1](1)'/>"));
     }
 
     @Test
-    void anEntryThatNamesNoTestFails() throws Exception {
-        assertEquals(1, status(ENTRY, PASSES));
+    void entryThatNamesNoTestFailsTheCheck() throws Exception {
+        assertEquals(1, checkStatus(ENTRY, PASSING_CASE));
     }
 
     @Test
-    void aLineThatIsNoEntryFails() throws Exception {
-        assertEquals(1, status("SomeIT.fails\n", FAILS));
+    void malformedEntryFailsTheCheck() throws Exception {
+        assertEquals(1, checkStatus("SomeIT.fails\n", FAILING_CASE));
     }
 
     @Test
-    void noReportsAtAllFail() throws Exception {
+    void missingReportsFailTheCheck() throws Exception {
         Files.writeString(folder.resolve("list.txt"), "# none\n");
         assertEquals(1, run());
     }
 
-    private int status(String list, String cases) throws Exception {
+    private int checkStatus(String list, String cases) throws Exception {
         Files.writeString(folder.resolve("list.txt"), list);
         Files.writeString(folder.resolve("TEST-suite.xml"), "<testsuite>" + cases + "</testsuite>");
         return run();
--- a/src/test/java/granitefold/ShapeTest.java
+++ b/src/test/java/granitefold/ShapeTest.java
@@ -10,32 +10,32 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Sources stay short enough to be read, and all that decides is named in the deploy file. */
+/** Source files stay short, and the deploy file lists every policy file that makes decisions. */
 class ShapeTest {
-    private static final int LINES_MOST = 400, COLUMNS_MOST = 110;
-    private static final Set<String> DATA = Set.of("Attempt.java", "LearnedStateMapper.java", "Job.java", "PolicyState.java",
+    private static final int MAX_LINES = 400, MAX_POLICY_COLUMNS = 110;
+    private static final Set<String> DATA_CLASSES = Set.of("Attempt.java", "LearnedStateMapper.java", "Job.java", "PolicyState.java",
             "SlotSchedule.java", "TrackedWorker.java", "StatusSummary.java", "SiblingMessage.java", "LoadReportQueue.java", "package-info.java");
 
     @Test
-    void allThatDecidesIsNamedInTheDeployFileAndNarrow() throws IOException {
+    void policyFilesAreListedInTheDeployFileAndNarrow() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("policy")).findFirst().orElseThrow();
         try (Stream<Path> files = Files.list(Path.of("src/main/java/granitefold/policy"))) {
-            files.map(f -> f.getFileName().toString()).filter(f -> !DATA.contains(f))
-                    .forEach(f -> assertTrue(policy.contains("/" + f), f + " decides, and is not listed"));
+            files.map(f -> f.getFileName().toString()).filter(f -> !DATA_CLASSES.contains(f))
+                    .forEach(f -> assertTrue(policy.contains("/" + f), f + " makes decisions and is not listed in the deploy file"));
         }
-        for (String part : policy.substring(policy.indexOf('[') + 1, policy.indexOf(']')).split(",")) {
-            List<String> lines = Files.readAllLines(Path.of(part.trim().replace("\"", "")));
-            assertTrue(lines.stream().allMatch(l -> l.length() <= COLUMNS_MOST), part + ": " + COLUMNS_MOST + " columns at most");
+        for (String listedFile : policy.substring(policy.indexOf('[') + 1, policy.indexOf(']')).split(",")) {
+            List<String> lines = Files.readAllLines(Path.of(listedFile.trim().replace("\"", "")));
+            assertTrue(lines.stream().allMatch(l -> l.length() <= MAX_POLICY_COLUMNS), listedFile + ": " + MAX_POLICY_COLUMNS + " columns allowed");
         }
     }
 
     @Test
-    void noSourceIsOverFourHundredLines() throws IOException {
+    void noSourceFileExceedsFourHundredLines() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
                 int lines = Files.readAllLines(file).size();
-                assertTrue(lines <= LINES_MOST, file + " has " + lines + " lines, " + LINES_MOST + " at most");
+                assertTrue(lines <= MAX_LINES, file + " has " + lines + " lines, " + MAX_LINES + " allowed");
             }
         }
     }
--- a/src/test/java/granitefold/real/ChecksAccessIT.java
+++ b/src/test/java/granitefold/real/ChecksAccessIT.java
@@ -19,13 +19,13 @@
 /** PROXY headers, access to the control socket, errors in the operator's file, and worker health from probes and attempts. */
 public class ChecksAccessIT extends RealChecks {
     private static byte[] proxyV2Header(int length, int... rest) {
-        ByteBuffer b = ByteBuffer.allocate(16 + rest.length);
-        b.put(new byte[] {0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A, 0x21, 0x11});
-        b.putShort((short) length);
+        ByteBuffer header = ByteBuffer.allocate(16 + rest.length);
+        header.put(new byte[] {0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A, 0x21, 0x11});
+        header.putShort((short) length);
         for (int r : rest) {
-            b.put((byte) r);
+            header.put((byte) r);
         }
-        return b.array();
+        return header.array();
     }
 
     @Test
@@ -68,7 +68,6 @@
         assertEquals(named.readStatus(), 200);
     }
 
-    // ---------------------------------------------------------------- control
     @Test
     public void controlSocketIsPrivateAndOneInUseIsNeverTakenOver() throws Exception {
         start(controlSocketSettings());
@@ -114,7 +113,6 @@
         assertEquals(new ObjectMapper().readTree(line).get("level").asText(), "INFO");
     }
 
-    // ---------------------------------------------------------------- workers
     private static final String PROBES = "probe.allowed = true\nprobe.interval = 50ms\nprobe.timeout = 200ms\nprobe.panic = 0.6\n";
 
     /** Accepts the next connection at a worker, which must be a probe, and answers it with this status. */
@@ -127,18 +125,18 @@
     @Test
     public void workerIsDownWhileItsProbesFail() throws Exception {
         fields.put("settings", RealProgram.settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"probing\":true"));
-        try (Worker b = new Worker("s-b")) {
-            program = new RealProgram(LISTENERS + PROBES, fields, workerA, b);
+        try (Worker workerB = new Worker("s-b")) {
+            program = new RealProgram(LISTENERS + PROBES, fields, workerA, workerB);
             program.addressIn("checks: agent on");
             program.addressIn("checks: http on");
             program.acceptWatch(list(1, false));
             workerA.serve("done");
             for (int i = 0; i < 3; i++) {
-                answerProbe(b, 503);
+                answerProbe(workerB, 503);
             }
             assertTrue(program.awaitLog("worker: s-b is DOWN").contains("503"));
             for (int i = 0; i < 2; i++) {
-                answerProbe(b, 200);
+                answerProbe(workerB, 200);
             }
             program.awaitLog("worker: s-b is UP");
         }
@@ -160,10 +158,10 @@
 
     @Test
     public void workerWithConsecutiveBrokenAttemptsIsEjected() throws Exception {
-        try (Worker b = new Worker("s-b")) {
-            program = new RealProgram("eject.failures = 2\neject.time = 30s\n", fields, workerA, b);
+        try (Worker workerB = new Worker("s-b")) {
+            program = new RealProgram("eject.failures = 2\neject.time = 30s\n", fields, workerA, workerB);
             program.awaitServing();
-            b.serve();
+            workerB.serve();
             workerA.serve("done");
             int sent = 0;
             while (program.log.stream().noneMatch(l -> l.contains("s-b is EJECTED")) && sent < 200) {
--- a/src/test/java/granitefold/real/EndingsIT.java
+++ b/src/test/java/granitefold/real/EndingsIT.java
@@ -18,9 +18,9 @@
     public void gracefulShutdownFinishesOpenRequests() throws Exception {
         start(workerA);
         Exchange early = send("/ficha?sid=1", "t1", "");
-        Exchange served = workerA.accept().startAnswer("started");
+        Exchange openAttempt = workerA.accept().startAnswer("started");
         Exchange idle = idleConnection();
-        Exchange stuck = send("/once", "t2", "");
+        Exchange unanswered = send("/once", "t2", "");
         workerA.accept().startAnswer("started");
         // Started before the signal and completed after it, which works on slow machines too.
         String raw = request("/ficha?sid=1", "t3", TIME, "soup");
@@ -35,11 +35,11 @@
         late.write(request("/ficha?sid=1", "t4", TIME, "salt"));
         nextAttempt(worker).startAnswer("done").endAnswer();
         assertEquals(late.readStatus() + late.body, "200made salt");
-        served.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        openAttempt.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
         assertEquals(early.readStatus(), 200);
         program.awaitLog("phase: FINISHING");
         assertTrue(idle.awaitClose());
-        assertEquals(stuck.readStatus(), 500);
+        assertEquals(unanswered.readStatus(), 500);
         awaitExit();
     }
 
--- a/src/test/java/granitefold/real/Exchange.java
+++ b/src/test/java/granitefold/real/Exchange.java
@@ -97,12 +97,12 @@
     }
 
     private String answerText(String... states) {
-        StringBuilder b = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (String s : states) {
-            b.append(chunk("{\"id\":\"" + headers.get("x-txn") + "\",\"from\":\"p\",\"state\":\"" + s + "\""
-                    + (s.equals("done") ? ",\"result\":\"made " + body + "\"}" : "}")));
+        StringBuilder text = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for (String state : states) {
+            text.append(chunk("{\"id\":\"" + headers.get("x-txn") + "\",\"from\":\"p\",\"state\":\"" + state + "\""
+                    + (state.equals("done") ? ",\"result\":\"made " + body + "\"}" : "}")));
         }
-        return b.toString();
+        return text.toString();
     }
 
     private static String chunk(String line) {
--- a/src/test/java/granitefold/real/OpsIT.java
+++ b/src/test/java/granitefold/real/OpsIT.java
@@ -52,11 +52,11 @@
     }
 
     private Socket open(InetSocketAddress to, String text) throws IOException {
-        Socket s = new Socket();
-        opened.add(s);
-        s.connect(to, 10_000);
-        s.getOutputStream().write(text.getBytes());
-        return s;
+        Socket socket = new Socket();
+        opened.add(socket);
+        socket.connect(to, 10_000);
+        socket.getOutputStream().write(text.getBytes());
+        return socket;
     }
 
     /** Returns the answer to a call, and checks that it came in time. */
@@ -91,17 +91,17 @@
     /** The connection closes while the caller is still writing, and the caller can still read the answer. */
     @Test
     public void oversizedCallIsRejectedWithoutReadingTheRest() throws Exception {
-        Socket s = open(dispatcher.opsAddress(), "");
-        s.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(MAX_ANSWER_NS));
+        Socket socket = open(dispatcher.opsAddress(), "");
+        socket.setSoTimeout((int) TimeUnit.NANOSECONDS.toMillis(MAX_ANSWER_NS));
         byte[] chunk = "x".repeat(READ_LIMIT_BYTES).getBytes();
         assertThrows(SocketException.class, () -> {
             for (int sent = 0; sent < 1_000_000; sent += chunk.length) {
-                s.getOutputStream().write(chunk);
+                socket.getOutputStream().write(chunk);
                 // By then the program has read up to its limit and closed.
                 Thread.sleep(WRITE_INTERVAL_MS);
             }
         });
-        assertEquals(new String(s.getInputStream().readNBytes(3)), "NAK");
+        assertEquals(new String(socket.getInputStream().readNBytes(3)), "NAK");
         assertEquals(callInTime("check"), List.of("ACK"));
     }
 
@@ -115,12 +115,12 @@
             for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60); longest < 2 * MAX_ANSWER_NS;) {
                 assertTrue(System.nanoTime() < until, "the event loop was busy for " + longest / 1_000_000 + " ms at most");
                 long startNs = System.nanoTime();
-                Socket s = open(dispatcher.address(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-                s.setSoTimeout(20);
+                Socket socket = open(dispatcher.address(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+                socket.setSoTimeout(20);
                 for (boolean answered = false; !answered;) {
                     assertEquals(callInTime("check"), List.of("ACK"));
                     try {
-                        answered = s.getInputStream().read() != -2;
+                        answered = socket.getInputStream().read() != -2;
                     } catch (SocketTimeoutException e) {
                         answered = System.nanoTime() - startNs > 3 * MAX_ANSWER_NS;
                     }
--- a/src/test/java/granitefold/real/RealProgram.java
+++ b/src/test/java/granitefold/real/RealProgram.java
@@ -102,11 +102,11 @@
     private static Process launch(Path configurationFile, Path operatorFile, Map<String, String> environment) throws IOException {
         configurationFile.toFile().deleteOnExit();
         String command = environment.containsKey(JAR_VARIABLE) ? "exec java -jar " + environment.get(JAR_VARIABLE) + " serve" : runCommand();
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", command + (operatorFile == null ? "" : " --operator " + operatorFile))
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command + (operatorFile == null ? "" : " --operator " + operatorFile))
                 .redirectErrorStream(true);
-        b.environment().put("LB_CONFIG", configurationFile.toString());
-        b.environment().putAll(environment);
-        return b.start();
+        builder.environment().put("LB_CONFIG", configurationFile.toString());
+        builder.environment().putAll(environment);
+        return builder.start();
     }
 
     /** Returns the deploy file's {@code run} command. */
@@ -121,13 +121,13 @@
     }
 
     static String list(long index, boolean whole, Worker... workers) {
-        StringBuilder b = new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
-        for (Worker p : workers) {
-            b.append(b.charAt(b.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(p.name)
-                    .append("\",\"address\":\"").append(hostAndPort(HOST, p.server.getLocalPort())).append("\",\"status\":\"")
-                    .append(p.status).append("\",\"weight\":1.0,\"since_ms\":0,\"zone\":\"a\",\"type\":\"m\"}");
+        StringBuilder json = new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
+        for (Worker worker : workers) {
+            json.append(json.charAt(json.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(worker.name)
+                    .append("\",\"address\":\"").append(hostAndPort(HOST, worker.server.getLocalPort())).append("\",\"status\":\"")
+                    .append(worker.status).append("\",\"weight\":1.0,\"since_ms\":0,\"zone\":\"a\",\"type\":\"m\"}");
         }
-        return b + "]}";
+        return json + "]}";
     }
 
     private static String hostAndPort(InetAddress host, int port) {
--- a/src/test/java/granitefold/real/RealTest.java
+++ b/src/test/java/granitefold/real/RealTest.java
@@ -107,14 +107,14 @@
     }
 
     /** Waits for the next attempt, on one of these connections or a new one to either worker, and reads it. */
-    Exchange nextAttempt(Exchange... kept) throws Exception {
+    Exchange nextAttempt(Exchange... knownConnections) throws Exception {
         try {
             // Polls each worker in turn.
             workerA.server.setSoTimeout(5);
             workerB.server.setSoTimeout(5);
             long until = System.nanoTime() + RealProgram.TIMEOUT_S * 1_000_000_000L;
             while (System.nanoTime() - until < 0) {
-                for (Exchange e : kept) {
+                for (Exchange e : knownConnections) {
                     if (e.input.available() > 0) {
                         e.read();
                         return e;
--- a/src/test/java/granitefold/real/RunScriptIT.java
+++ b/src/test/java/granitefold/real/RunScriptIT.java
@@ -33,14 +33,14 @@
         if (config != null) {
             Files.writeString(file, config);
         }
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", RealProgram.runCommand()).redirectErrorStream(true);
-        b.environment().put("PATH", folder.toString());
-        b.environment().put("LB_CONFIG", file.toString());
-        Process p = b.start();
-        List<String> output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8).lines().toList();
-        assertEquals(p.waitFor(), 0, output.toString());
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", RealProgram.runCommand()).redirectErrorStream(true);
+        builder.environment().put("PATH", folder.toString());
+        builder.environment().put("LB_CONFIG", file.toString());
+        Process process = builder.start();
+        List<String> output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).lines().toList();
+        assertEquals(process.waitFor(), 0, output.toString());
         assertEquals(output.size(), 2, output.toString());
-        assertEquals(output.get(1), p.pid() + " 0", "expected the process id and no page faults of children: " + output);
+        assertEquals(output.get(1), process.pid() + " 0", "expected the process id and no page faults of children: " + output);
         return Stream.of(output.get(0).split(" ")).filter(w -> w.startsWith("-Xmx")).findFirst().orElse("none");
     }
 
@@ -86,11 +86,11 @@
 
     /** Returns the program's output when it exits because the configuration is missing. */
     private static String outputWithoutConfiguration(String shell) throws IOException, InterruptedException {
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", shell + RealProgram.runCommand()).redirectErrorStream(true);
-        b.environment().put("LB_CONFIG", "/missing");
-        Process p = b.start();
-        String output = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(p.waitFor(), 2, output);
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", shell + RealProgram.runCommand()).redirectErrorStream(true);
+        builder.environment().put("LB_CONFIG", "/missing");
+        Process process = builder.start();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(process.waitFor(), 2, output);
         return output;
     }
 
--- a/src/test/java/granitefold/real/StateIT.java
+++ b/src/test/java/granitefold/real/StateIT.java
@@ -81,7 +81,7 @@
         start();
         sendKeyed("t1", "k1");
         Exchange running = workerA.accept().startAnswer("started");
-        awaitStateFile(c -> !c.learned().keys().isEmpty());
+        awaitStateFile(content -> !content.learned().keys().isEmpty());
         program.process.destroyForcibly().waitFor();
         running.close();
         program.close();
@@ -103,29 +103,29 @@
             assertEquals(program.client().write(request("/ficha", "t" + i, TIME + "Connection: close\r\n", "")).readStatus(), 200);
         }
         // The use of all requests is in the file by now, however slow the disk is.
-        awaitStateFile(x -> x.learned().buckets().stream().anyMatch(b -> b.used().get(0) == 20));
+        awaitStateFile(written -> written.learned().buckets().stream().anyMatch(b -> b.used().get(0) == 20));
         long termAt = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
         program.signal("TERM");
         assertTrue(program.process.waitFor(RealProgram.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(program.process.exitValue(), 0);
         // On a disk slower than the shutdown the file may just have been renamed, so the store looks for both.
-        StateFile.Content c = new StateStore(DirectoryStorage.readOnly(stateFolder), 2).load().content();
-        assertEquals(c.learned().buckets().get(0).used().get(0), Long.valueOf(20), "the use of each request must be in the state file");
-        assertTrue(c.learned().workers().get(0).weight() > 5, c.learned().workers().toString());
-        if (c.learned().at() < termAt + SHUTDOWN_MIN_US) {
+        StateFile.Content content = new StateStore(DirectoryStorage.readOnly(stateFolder), 2).load().content();
+        assertEquals(content.learned().buckets().get(0).used().get(0), Long.valueOf(20), "the use of each request must be in the state file");
+        assertTrue(content.learned().workers().get(0).weight() > 5, content.learned().workers().toString());
+        if (content.learned().at() < termAt + SHUTDOWN_MIN_US) {
             program.hasLogged("the last value was not written before the end");
         }
         program.close();
         start();
         assertTrue(program.hasLogged("state: recovered").contains("1 workers, 1 buckets"));
-        awaitStateFile(x -> x.learned().at() > c.learned().at() && x.learned().buckets().get(0).used().get(0) >= 20
-                && x.learned().workers().get(0).weight() > 1);
+        awaitStateFile(written -> written.learned().at() > content.learned().at() && written.learned().buckets().get(0).used().get(0) >= 20
+                && written.learned().workers().get(0).weight() > 1);
     }
 
     @Test
     public void secondProcessServesWithoutTheStateFolder() throws Exception {
         start();
-        awaitStateFile(c -> true);
+        awaitStateFile(content -> true);
         try (RealProgram second = new RealProgram("state.dir = \"" + stateFolder + "\"\n", Map.of(), workerA)) {
             second.awaitServing();
             assertTrue(second.hasLogged("state: nothing is kept").contains("held by another process"));
@@ -135,7 +135,7 @@
     @Test
     public void missingFolderIsLoggedAndServiceContinues() throws Exception {
         start();
-        awaitStateFile(c -> true);
+        awaitStateFile(content -> true);
         // Atomically: when deleting file by file, the program could write another one before the folder is deleted.
         Path aside = Files.createTempDirectory("aside");
         Files.move(stateFolder, aside, StandardCopyOption.ATOMIC_MOVE);
@@ -143,7 +143,7 @@
         workerA.serve("done");
         assertEquals(program.client().write(request("/ficha", "t1", TIME, "")).readStatus(), 200);
         Files.createDirectory(stateFolder);
-        awaitStateFile(c -> true);
+        awaitStateFile(content -> true);
         deleteRecursively(aside);
     }
 
@@ -156,7 +156,7 @@
         assertTrue(program.awaitLog("state: learned.state:").contains("not a state file"));
         assertTrue(program.awaitLog("state: learned.state.1:").contains("not a file"));
         program.awaitLog("state: nothing to recover");
-        awaitStateFile(c -> c.name().equals("n0"));
+        awaitStateFile(content -> content.name().equals("n0"));
         assertEquals(Files.readString(stateFolder.resolve("learned.aside")).substring(0, 7), "rubbish");
         assertEquals(Files.size(elsewhere), 0);
         Files.delete(elsewhere);
--- a/src/test/java/granitefold/real/SystemCallsIT.java
+++ b/src/test/java/granitefold/real/SystemCallsIT.java
@@ -83,7 +83,7 @@
         faults.disable(SystemCallFault.ACCEPT);
         Exchange worker = workerA.accept();
         long remainingMs = Long.parseLong(worker.headers.get("x-remaining-ms"));
-        assertTrue(remainingMs <= 3000 - 2 * ACCEPT_FAILURE_MS + TOLERANCE_MS, "remaining time sent: " + remainingMs + " ms");
+        assertTrue(remainingMs <= 3000 - 2 * ACCEPT_FAILURE_MS + TOLERANCE_MS, "remaining time sent, in ms: " + remainingMs);
         worker.startAnswer("done").endAnswer();
         assertEquals(client.readStatus(), 200);
     }
