--- a/src/test/java/granitefold/real/Exchange.java
+++ b/src/test/java/granitefold/real/Exchange.java
@@ -10,19 +10,19 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One end of a connection, and the message read last on it. */
+/** One end of an HTTP connection, with the message read last from it. */
 final class Exchange implements Closeable {
     final Socket socket;
-    final InputStream in;
-    String first;
-    Map<String, String> head;
+    final InputStream input;
+    String firstLine;
+    Map<String, String> headers;
     String body;
 
     Exchange(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(RealProgram.PATIENCE_S * 1000);
+        socket.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
         socket.setTcpNoDelay(true);
-        in = socket.getInputStream();
+        input = socket.getInputStream();
     }
 
     Exchange write(String text) throws IOException {
@@ -30,44 +30,45 @@
         return this;
     }
 
-    /** All that comes until the end. */
-    String rest() throws IOException {
-        return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    /** Reads everything until the end of the connection. */
+    String readToEnd() throws IOException {
+        return new String(input.readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    /** The same where the other side may have reset the connection. */
-    String restOrReset() throws IOException {
+    /** Reads everything until the end; returns an empty text if the other side reset the connection. */
+    String readToEndOrReset() throws IOException {
         try {
-            return rest();
+            return readToEnd();
         } catch (java.net.SocketException e) {
             return "";
         }
     }
 
-    /** The status of the message read last. */
+    /** Returns the status of the message read last. */
     int lastStatus() {
-        return Integer.parseInt(first.split(" ")[1]);
+        return Integer.parseInt(firstLine.split(" ")[1]);
     }
 
-    /** Reads a message with its body by Content-Length; returns its first line, null at the end. */
+    /** Reads a message with its body by Content-Length; returns its first line, or null at the end of the connection. */
     String read() throws IOException {
-        first = line();
-        head = new HashMap<>();
-        for (String l = first == null ? "" : line(); !l.isEmpty(); l = line()) {
-            head.put(l.substring(0, l.indexOf(':')).toLowerCase(Locale.ROOT), l.substring(l.indexOf(':') + 1).trim());
+        firstLine = readLine();
+        headers = new HashMap<>();
+        for (String l = firstLine == null ? "" : readLine(); !l.isEmpty(); l = readLine()) {
+            headers.put(l.substring(0, l.indexOf(':')).toLowerCase(Locale.ROOT), l.substring(l.indexOf(':') + 1).trim());
         }
-        body = new String(in.readNBytes(Integer.parseInt(head.getOrDefault("content-length", "0"))),
+        body = new String(input.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))),
                 StandardCharsets.UTF_8);
-        return first;
+        return firstLine;
     }
 
-    int status() throws IOException {
+    /** Reads a message and returns its status. */
+    int readStatus() throws IOException {
         return Integer.parseInt(read().split(" ")[1]);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int b = in.read(); b != '\n'; b = in.read()) {
+        for (int b = input.read(); b != '\n'; b = input.read()) {
             if (b < 0) {
                 return null;
             }
@@ -76,47 +77,48 @@
         return line.toString(StandardCharsets.UTF_8).stripTrailing();
     }
 
-    /** Whether the other side has closed, once nothing more comes. */
-    boolean closed() throws IOException {
+    /** Waits for a byte or the end of the connection, and returns whether it has ended. */
+    boolean awaitClose() throws IOException {
         try {
-            return in.read() < 0;
+            return input.read() < 0;
         } catch (java.net.SocketException e) {
             return true;
         }
     }
 
-    /** Begins a worker's answer and tells these states of the job. */
-    Exchange answer(String... states) throws IOException {
-        return write(answering(states));
+    /** Starts a worker's chunked answer with these job states. */
+    Exchange startAnswer(String... states) throws IOException {
+        return write(answerText(states));
     }
 
-    /** An answer and its end in one write: who reads the one has read the other. */
-    void answerWhole(String... states) throws IOException {
-        write(answering(states) + "0\r\n\r\n");
+    /** Writes an answer and its end at once, so that both arrive together. */
+    void answerAndEnd(String... states) throws IOException {
+        write(answerText(states) + "0\r\n\r\n");
     }
 
-    private String answering(String... states) {
-        StringBuilder b = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (String s : states) {
-            b.append(chunk("{\"id\":\"" + head.get("x-txn") + "\",\"from\":\"p\",\"state\":\"" + s + "\""
-                    + (s.equals("done") ? ",\"result\":\"made " + body + "\"}" : "}")));
+    private String answerText(String... states) {
+        StringBuilder text = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for (String state : states) {
+            text.append(chunk("{\"id\":\"" + headers.get("x-txn") + "\",\"from\":\"p\",\"state\":\"" + state + "\""
+                    + (state.equals("done") ? ",\"result\":\"made " + body + "\"}" : "}")));
         }
-        return b.toString();
+        return text.toString();
     }
 
     private static String chunk(String line) {
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    Exchange lines(String... lines) throws IOException {
+    /** Writes each line as a chunk of a started answer. */
+    Exchange writeLines(String... lines) throws IOException {
         for (String l : lines) {
             write(chunk(l));
         }
         return this;
     }
 
-    /** Ends a chunked answer. */
-    void end() throws IOException {
+    /** Writes the last chunk of an answer. */
+    void endAnswer() throws IOException {
         write("0\r\n\r\n");
     }
 
--- a/src/test/java/granitefold/real/RequestTraceIT.java
+++ b/src/test/java/granitefold/real/RequestTraceIT.java
@@ -4,15 +4,15 @@
 
 import org.testng.annotations.Test;
 
-/** Where the operator asks for it, the log follows one request by the id that its client gave. */
+/** With log.requests, the log lists the steps of each request under the id that its client gave. */
 public class RequestTraceIT extends RealTest {
     @Test
-    public void aRequestCanBeFollowedFromItsArrivalToTheCloseOfItsConnection() throws Exception {
-        program = new RealProgram("log.requests = true", fields, a);
-        program.serving();
+    public void requestIsLoggedFromItsArrivalToTheCloseOfItsConnection() throws Exception {
+        program = new RealProgram("log.requests = true", fields, workerA);
+        program.awaitServing();
         Exchange client = send("/ficha?sid=1", "t1", "");
-        a.accept().answer("done").end();
-        assertEquals(client.status(), 200);
+        workerA.accept().startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
         program.awaitLog("client 1: connected");
         program.awaitLog("request t1: taken as 1 of client 1, class 0");
@@ -24,18 +24,18 @@
     }
 
     @Test
-    public void aRefusalTellsItsReason() throws Exception {
-        deadlines(500);
-        a.status = "draining";
-        program = new RealProgram("log.requests = true", fields, a);
-        program.watch(RealProgram.list(1, false));
-        Exchange client = connected();
+    public void rejectionIsLogged() throws Exception {
+        useDeadlines(500);
+        workerA.status = "draining";
+        program = new RealProgram("log.requests = true", fields, workerA);
+        program.acceptWatch(RealProgram.list(1, false));
+        Exchange client = connectClient();
         client.write(RealProgram.request("/ficha", "t1", "X-Remaining-Ms: 300\r\nX-Estimate: 2000\r\n", "soup"));
-        assertEquals(client.status(), 503);
+        assertEquals(client.readStatus(), 503);
         program.awaitLog("request t1: answered: Rejected");
     }
 
-    private Exchange connected() throws Exception {
+    private Exchange connectClient() throws Exception {
         return program.connect(program.addressIn(" listening on "), null);
     }
 }
