--- a/src/main/java/granitefold/standin/edge/Edge.java
+++ b/src/main/java/granitefold/standin/edge/Edge.java
@@ -1,30 +1,30 @@
 package granitefold.standin.edge;
 
 /**
- * One way that two parties talk: who opens it, and who is meant.
+ * A directed communication path between two parties.
  *
- * @param from who opens connections, or sends datagrams
- * @param to who is reached
+ * @param from the party that opens connections or sends datagrams
+ * @param to the party that is connected to
  */
 public record Edge(Kind kind, String from, String to) {
 
-    /** What travels on an edge. */
+    /** The traffic that an edge carries. */
     public enum Kind {
-        /** Clients to a dispatcher, by the front. */
+        /** Clients to a dispatcher, through the load balancer. */
         CLIENT,
-        /** A dispatcher to a cocinero. */
+        /** A dispatcher to a worker. */
         PEER,
         /** A dispatcher to its discovery agent. */
         DISCOVERY,
-        /** A dispatcher to another, by datagram. */
+        /** A dispatcher to a sibling, by datagram. */
         SIBLING,
-        /** A rollout's controller to a dispatcher's keeper. */
+        /** A rollout's controller to the keeper of a dispatcher. */
         CONTROL
     }
 
-    /** Whether the edge joins a party of one group with one of the other. */
-    public boolean connects(java.util.Collection<String> a, java.util.Collection<String> b) {
-        return a.contains(from) && b.contains(to) || b.contains(from) && a.contains(to);
+    /** Returns whether the edge connects a party of one group with a party of the other, in either direction. */
+    public boolean connects(java.util.Collection<String> firstGroup, java.util.Collection<String> secondGroup) {
+        return firstGroup.contains(from) && secondGroup.contains(to) || secondGroup.contains(from) && firstGroup.contains(to);
     }
 
     @Override
--- a/src/main/java/granitefold/standin/edge/Fault.java
+++ b/src/main/java/granitefold/standin/edge/Fault.java
@@ -1,29 +1,29 @@
 package granitefold.standin.edge;
 
 /**
- * What is wrong with an edge. Of a connection nothing is ever lost or reordered, as TCP has it: bytes come late or not
- * until the fault is over. Datagrams may be lost, doubled and overtaken.
+ * The faults that are injected on an edge. Bytes of a connection are never lost or reordered, as TCP guarantees: they arrive
+ * late, or only after the fault has ended. Datagrams may be lost, duplicated and reordered.
  *
- * @param thereCut nothing passes from the opener on
- * @param backCut nothing passes back to the opener
- * @param delayMs added to each way
- * @param jitterMs at the most so much more, drawn anew for each piece
- * @param loss share of datagrams that never arrive
- * @param doubled share of datagrams that arrive twice
- * @param overtaken share of datagrams that are held for twice the delay and 20 ms more, so that later ones pass them
- * @param dripBytesPerS each way carries no more than so many bytes a second; 0: any number
- * @param refuses new connections are reset
+ * @param thereCut nothing passes from the opener to the other side
+ * @param backCut nothing passes from the other side to the opener
+ * @param delayMs delay added in each direction
+ * @param jitterMs maximum random delay added to {@code delayMs}, drawn for each chunk of bytes or datagram
+ * @param loss share of datagrams that are dropped
+ * @param doubled share of datagrams that are delivered twice
+ * @param overtaken share of datagrams that are held for twice the delay plus 20 ms, so that later ones overtake them
+ * @param dripBytesPerS maximum bytes per second in each direction; 0: no limit
+ * @param refuses whether new connections are reset
  */
 public record Fault(boolean thereCut, boolean backCut, long delayMs, long jitterMs, double loss, double doubled,
         double overtaken, long dripBytesPerS, boolean refuses) {
 
-    /** Nothing is wrong. */
+    /** No fault. */
     public static final Fault NONE = new Fault(false, false, 0, 0, 0, 0, 0, 0, false);
-    /** Silence, both ways: connections stay open. */
+    /** Nothing passes in either direction; connections stay open. */
     public static final Fault CUT = new Fault(true, true, 0, 0, 0, 0, 0, 0, false);
-    /** Silence towards who is reached. */
+    /** Nothing passes from the opener to the other side. */
     public static final Fault CUT_FORWARD = new Fault(true, false, 0, 0, 0, 0, 0, 0, false);
-    /** Silence towards the opener. */
+    /** Nothing passes from the other side to the opener. */
     public static final Fault CUT_BACKWARD = new Fault(false, true, 0, 0, 0, 0, 0, 0, false);
     /** New connections are reset at once. */
     public static final Fault REFUSING = new Fault(false, false, 0, 0, 0, 0, 0, 0, true);
@@ -40,7 +40,7 @@
         return new Fault(false, false, 0, 0, 0, 0, 0, bytesPerS, false);
     }
 
-    boolean cut(boolean there) {
-        return there ? thereCut : backCut;
+    boolean cut(boolean forward) {
+        return forward ? thereCut : backCut;
     }
 }
--- a/src/main/java/granitefold/standin/edge/Relays.java
+++ b/src/main/java/granitefold/standin/edge/Relays.java
@@ -25,35 +25,36 @@
 import java.util.random.RandomGenerator;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** All relays of a proving ground, on one thread. */
+/** All relays of a test bed, on one thread. */
 public final class Relays implements Closeable {
     private static final int BACKLOG = 512;
-    private static final long LONGEST_WAIT_MS = 1000;
+    private static final long MAX_WAIT_MS = 1000;
 
-    /** Whoever is told when its channel is ready. */
-    interface Ready {
+    /** Is called when its channel is ready. */
+    interface ChannelHandler {
         void ready(SelectionKey key) throws IOException;
 
-        /** It broke. */
-        void broken();
+        /** Handling the channel has failed. */
+        void failed();
     }
 
-    /** Something due at a time. */
-    private record Due(long atNs, long number, Runnable what) { }
+    /** An action that is due at a time. */
+    private record Timer(long atNs, long number, Runnable action) { }
 
     private final Selector selector = Selector.open();
-    private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::atNs).thenComparingLong(Due::number));
+    private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingLong(Timer::atNs).thenComparingLong(Timer::number));
     private final Map<Edge, Fault> faults = new ConcurrentHashMap<>();
-    /** Open connections. Only the relays' thread touches it. */
-    private final Set<TcpRelay> open = new HashSet<>();
+    /** Open connections; confined to the relays' thread. */
+    private final Set<TcpRelay> connections = new HashSet<>();
     private final RandomGenerator random;
     final EdgeListener listener;
     private final Thread thread;
-    private long number;
+    private long timersCreated;
     private volatile boolean closed;
-    /** When the last select returned, and how long the thread was busy between the one before and that. */
+    /** When the last select returned. */
     private long selectedNs = System.nanoTime();
+    /** How long the thread handled events between the last two selects. */
     private long busyNs;
 
     public Relays(long seed, EdgeListener listener) throws IOException {
@@ -65,109 +66,112 @@
         thread.start();
     }
 
-    /** What is wrong with an edge now. */
+    /** Returns the current fault of an edge. */
     public Fault fault(Edge edge) {
         return faults.getOrDefault(edge, Fault.NONE);
     }
 
-    /** From now on this is wrong with an edge. What was held back passes on as soon as the fault allows. */
+    /** Sets the fault of an edge. Bytes held back by the previous fault are forwarded as soon as the new one allows. */
     public void setFault(Edge edge, Fault fault) {
         faults.put(edge, fault);
-        asked.add(() -> open.stream().filter(c -> c.edge.equals(edge)).toList().forEach(TcpRelay::flush));
+        tasks.add(() -> connections.stream().filter(c -> c.edge.equals(edge)).toList().forEach(TcpRelay::flush));
         selector.wakeup();
     }
 
-    /** Resets all connections that are open on an edge; returns how many. */
+    /** Resets all open connections of an edge and returns their number. */
     public int reset(Edge edge) {
         return call(() -> {
-            List<TcpRelay> hit = open.stream().filter(c -> c.edge.equals(edge)).toList();
-            hit.forEach(TcpRelay::broken);
-            return hit.size();
+            List<TcpRelay> ofEdge = connections.stream().filter(c -> c.edge.equals(edge)).toList();
+            ofEdge.forEach(TcpRelay::failed);
+            return ofEdge.size();
         });
     }
 
     /**
-     * Opens a relay for connections. {@code to} is asked for each one; {@code as}: the address that the other side sees
-     * them come from, so that it can tell who opened them.
+     * Opens a listener that relays TCP connections and returns its address.
+     *
+     * @param target called once per connection for the address to connect to
+     * @param sourceAddress the local address of the connections to the target, by which the target identifies the opener
      */
-    public InetSocketAddress openTcp(Edge edge, Supplier<InetSocketAddress> to, InetAddress as) {
+    public InetSocketAddress openTcp(Edge edge, Supplier<InetSocketAddress> target, InetAddress sourceAddress) {
         return call(() -> {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
             server.configureBlocking(false);
-            server.register(selector, SelectionKey.OP_ACCEPT, new Ready() {
+            server.register(selector, SelectionKey.OP_ACCEPT, new ChannelHandler() {
                 @Override
                 public void ready(SelectionKey key) throws IOException {
                     for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
                         if (fault(edge).refuses()) {
                             TcpRelay.reset(c);
                         } else {
-                            open.add(new TcpRelay(Relays.this, edge, c, to.get(), as));
+                            connections.add(new TcpRelay(Relays.this, edge, c, target.get(), sourceAddress));
                         }
                     }
                 }
 
                 @Override
-                public void broken() { }
+                public void failed() { }
             });
             return (InetSocketAddress) server.getLocalAddress();
         });
     }
 
     /**
-     * Opens the two ends of a way for datagrams between two parties: what {@code a} sends to the first address reaches
-     * {@code b} from the second one, and the other way round.
+     * Opens a relay for datagrams between two parties: what {@code a} sends to the first address of the result reaches
+     * {@code b} from the second one, and vice versa.
      */
-    public List<InetSocketAddress> openUdp(Edge there, InetSocketAddress a, Edge back, InetSocketAddress b) {
+    public List<InetSocketAddress> openUdp(Edge forward, InetSocketAddress a, Edge backward, InetSocketAddress b) {
         return call(() -> {
-            DatagramChannel first = datagrams();
-            DatagramChannel second = datagrams();
-            first.register(selector, SelectionKey.OP_READ, new UdpRelay(this, there, first, second, b));
-            second.register(selector, SelectionKey.OP_READ, new UdpRelay(this, back, second, first, a));
+            DatagramChannel first = openDatagramChannel();
+            DatagramChannel second = openDatagramChannel();
+            first.register(selector, SelectionKey.OP_READ, new UdpRelay(this, forward, first, second, b));
+            second.register(selector, SelectionKey.OP_READ, new UdpRelay(this, backward, second, first, a));
             return List.of((InetSocketAddress) first.getLocalAddress(), (InetSocketAddress) second.getLocalAddress());
         });
     }
 
-    private static DatagramChannel datagrams() throws IOException {
-        DatagramChannel c = DatagramChannel.open(java.net.StandardProtocolFamily.INET);
-        c.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        c.configureBlocking(false);
-        return c;
+    private static DatagramChannel openDatagramChannel() throws IOException {
+        DatagramChannel channel = DatagramChannel.open(java.net.StandardProtocolFamily.INET);
+        channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        channel.configureBlocking(false);
+        return channel;
     }
 
-    // ---------------------------------------------------------------- for the relays, on their thread
+    // ---------------------------------------------------------------- used by the relays, on their thread
     Selector selector() {
         return selector;
     }
 
-    void at(long atNs, Runnable what) {
-        due.add(new Due(atNs, number++, what));
+    void schedule(long atNs, Runnable action) {
+        timers.add(new Timer(atNs, timersCreated++, action));
     }
 
-    boolean chance(double share) {
-        return share > 0 && random.nextDouble() < share;
+    /** Returns true with the given probability. */
+    boolean chance(double probability) {
+        return probability > 0 && random.nextDouble() < probability;
     }
 
-    /** How long a piece is on its way, beside what holds it. */
-    long wayNs(Fault f) {
-        return (f.delayMs() + (f.jitterMs() > 0 ? random.nextLong(f.jitterMs() + 1) : 0)) * 1_000_000;
+    /** Draws the latency of a chunk or datagram: the delay plus jitter. */
+    long latencyNs(Fault fault) {
+        return (fault.delayMs() + (fault.jitterMs() > 0 ? random.nextLong(fault.jitterMs() + 1) : 0)) * 1_000_000;
     }
 
-    /** What is read now has come since then. */
-    long readSinceNs() {
+    /** Returns the earliest time at which bytes that are read now can have arrived. */
+    long earliestArrivalNs() {
         return selectedNs - busyNs;
     }
 
-    void gone(TcpRelay connection) {
-        open.remove(connection);
+    void remove(TcpRelay connection) {
+        connections.remove(connection);
     }
 
-    // ---------------------------------------------------------------- the thread
-    private <T> T call(Callable<T> what) {
+    // ---------------------------------------------------------------- event loop
+    private <T> T call(Callable<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        asked.add(() -> {
+        tasks.add(() -> {
             try {
-                result.complete(what.call());
+                result.complete(task.call());
             } catch (Exception e) {
                 result.completeExceptionally(e);
             }
@@ -179,11 +183,11 @@
     private void run() {
         try {
             while (!closed) {
-                long wait = due.isEmpty() ? LONGEST_WAIT_MS
-                        : Math.min(LONGEST_WAIT_MS, (due.peek().atNs() - System.nanoTime() + 999_999) / 1_000_000);
+                long waitMs = timers.isEmpty() ? MAX_WAIT_MS
+                        : Math.min(MAX_WAIT_MS, (timers.peek().atNs() - System.nanoTime() + 999_999) / 1_000_000);
                 busyNs = System.nanoTime() - selectedNs;
-                if (wait > 0) {
-                    selector.select(wait);
+                if (waitMs > 0) {
+                    selector.select(waitMs);
                 } else {
                     selector.selectNow();
                 }
@@ -192,11 +196,11 @@
                     ready(key);
                 }
                 selector.selectedKeys().clear();
-                for (Runnable r = asked.poll(); r != null; r = asked.poll()) {
-                    r.run();
+                for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+                    task.run();
                 }
-                while (!due.isEmpty() && due.peek().atNs() <= System.nanoTime()) {
-                    due.remove().what().run();
+                while (!timers.isEmpty() && timers.peek().atNs() <= System.nanoTime()) {
+                    timers.remove().action().run();
                 }
             }
         } catch (IOException e) {
@@ -206,20 +210,20 @@
                 try {
                     key.channel().close();
                 } catch (IOException e) {
-                    // it is over anyway
+                    // the thread ends; nothing more can be done about this channel
                 }
             }
         }
     }
 
     private static void ready(SelectionKey key) {
-        Ready ready = (Ready) key.attachment();
+        ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
             if (key.isValid()) {
-                ready.ready(key);
+                handler.ready(key);
             }
         } catch (IOException e) {
-            ready.broken();
+            handler.failed();
         }
     }
 
--- a/src/main/java/granitefold/standin/edge/TcpRelay.java
+++ b/src/main/java/granitefold/standin/edge/TcpRelay.java
@@ -10,69 +10,70 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection and its other half. Each side is read as soon as it sends, so that its close is seen when it happens,
- * and what it sent is held back for as long as the fault of the edge wants.
+ * Relays one TCP connection. Each side is read as soon as it sends, so that its close is seen when it happens; the bytes are
+ * held back for as long as the fault of the edge requires.
  */
 final class TcpRelay {
-    /** A side that has so much on its way is read again only when that has passed on. */
-    private static final int HELD_MOST = 1 << 20;
-    private static final int PIECE = 16 * 1024;
+    /** A side is not read while this many of its bytes are buffered. */
+    private static final int MAX_BUFFERED_BYTES = 1 << 20;
+    private static final int CHUNK_BYTES = 16 * 1024;
 
-    private record Piece(long dueNs, ByteBuffer bytes) { }
+    private record Chunk(long dueNs, ByteBuffer bytes) { }
 
-    /** What one side sends to the other. */
-    private final class Way implements Relays.Ready {
-        final boolean there;
+    /** One direction of the connection: reads one side and writes the other. */
+    private final class Direction implements Relays.ChannelHandler {
+        /** From the opener to the other side. */
+        final boolean forward;
         final SocketChannel in;
         final SocketChannel out;
-        final ArrayDeque<Piece> pieces = new ArrayDeque<>();
-        int held;
-        boolean ended;
-        boolean shut;
-        /** Under a drip: when the next bytes may go. */
-        long dripsAt;
-        long lastDue;
-        private Way back;
+        final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
+        int bufferedBytes;
+        boolean inputEnded;
+        boolean outputShut;
+        /** When the next bytes may be written under a throughput limit. */
+        long nextThrottledNs;
+        long lastDueNs;
+        private Direction opposite;
         private SelectionKey key;
 
-        Way(boolean there, SocketChannel in, SocketChannel out) {
-            this.there = there;
+        Direction(boolean forward, SocketChannel in, SocketChannel out) {
+            this.forward = forward;
             this.in = in;
             this.out = out;
         }
 
-        private void listen() throws IOException {
+        private void register() throws IOException {
             key = in.register(relays.selector(), 0, this);
-            interest();
+            updateInterest();
         }
 
-        /** What the selector is to watch this channel for: more to read, the connect, or room to write what goes back. */
-        private void interest() {
+        /** Selects this channel for reading, for the end of the connect, or for writing the bytes of the opposite direction. */
+        private void updateInterest() {
             if (key == null || !key.isValid()) {
                 return;
             }
-            int ops = !ended && held < HELD_MOST && up ? SelectionKey.OP_READ : 0;
-            if (!there && !up) {
+            int ops = !inputEnded && bufferedBytes < MAX_BUFFERED_BYTES && connected ? SelectionKey.OP_READ : 0;
+            if (!forward && !connected) {
                 ops = SelectionKey.OP_CONNECT;
             }
-            if (back.blocked) {
+            if (opposite.blocked) {
                 ops |= SelectionKey.OP_WRITE;
             }
             key.interestOps(ops);
         }
 
-        /** The other side takes no more for now. */
+        /** The send buffer of the other side is full. */
         private boolean blocked;
 
         @Override
         public void ready(SelectionKey k) throws IOException {
             if (k.isConnectable()) {
                 in.finishConnect();
-                connected();
+                onConnected();
             }
             if (k.isValid() && k.isWritable()) {
-                back.blocked = false;
-                back.flush();
+                opposite.blocked = false;
+                opposite.flush();
             }
             if (k.isValid() && k.isReadable()) {
                 read();
@@ -80,100 +81,100 @@
         }
 
         private void read() throws IOException {
-            ByteBuffer b = ByteBuffer.allocate(PIECE);
-            int n = in.read(b);
+            ByteBuffer bytes = ByteBuffer.allocate(CHUNK_BYTES);
+            int count = in.read(bytes);
             long now = System.nanoTime();
-            if (n < 0) {
-                ended = true;
-                if (there) {
-                    relays.listener.closed(edge, conn, now);
+            if (count < 0) {
+                inputEnded = true;
+                if (forward) {
+                    relays.listener.closed(edge, connection, now);
                 }
-            } else if (n > 0) {
-                b.flip();
-                held += n;
-                // of one way nothing overtakes anything
-                lastDue = Math.max(lastDue, now + relays.wayNs(relays.fault(edge)));
-                pieces.add(new Piece(lastDue, b));
-                if (there) {
-                    relays.listener.sent(edge, conn, relays.readSinceNs(), now);
+            } else if (count > 0) {
+                bytes.flip();
+                bufferedBytes += count;
+                // jitter must not reorder the bytes of one direction
+                lastDueNs = Math.max(lastDueNs, now + relays.latencyNs(relays.fault(edge)));
+                chunks.add(new Chunk(lastDueNs, bytes));
+                if (forward) {
+                    relays.listener.sent(edge, connection, relays.earliestArrivalNs(), now);
                 }
             }
             flush();
         }
 
         void flush() {
-            if (gone) {
+            if (closed) {
                 return;
             }
             try {
-                Fault f = relays.fault(edge);
-                while (up && !pieces.isEmpty() && !blocked && !f.cut(there)) {
+                Fault fault = relays.fault(edge);
+                while (connected && !chunks.isEmpty() && !blocked && !fault.cut(forward)) {
                     long now = System.nanoTime();
-                    Piece p = pieces.peek();
-                    long due = Math.max(p.dueNs, f.dripBytesPerS() > 0 ? dripsAt : 0);
-                    if (due > now) {
-                        relays.at(due, this::flush);
+                    Chunk chunk = chunks.peek();
+                    long dueNs = Math.max(chunk.dueNs, fault.dripBytesPerS() > 0 ? nextThrottledNs : 0);
+                    if (dueNs > now) {
+                        relays.schedule(dueNs, this::flush);
                         break;
                     }
-                    int n = write(p.bytes, f.dripBytesPerS(), now);
-                    held -= n;
-                    if (there && n > 0) {
+                    int written = write(chunk.bytes, fault.dripBytesPerS(), now);
+                    bufferedBytes -= written;
+                    if (forward && written > 0) {
                         relays.listener.forwarded(edge, opener, now);
                     }
-                    if (!p.bytes.hasRemaining()) {
-                        pieces.remove();
-                    } else if (f.dripBytesPerS() == 0) {
+                    if (!chunk.bytes.hasRemaining()) {
+                        chunks.remove();
+                    } else if (fault.dripBytesPerS() == 0) {
                         blocked = true;
                     }
                 }
-                if (up && ended && pieces.isEmpty() && !shut && !f.cut(there)) {
-                    shut = true;
+                if (connected && inputEnded && chunks.isEmpty() && !outputShut && !fault.cut(forward)) {
+                    outputShut = true;
                     out.shutdownOutput();
-                    if (there) {
+                    if (forward) {
                         relays.listener.closeForwarded(edge, opener, System.nanoTime());
                     }
-                    if (back.shut) {
-                        end();
+                    if (opposite.outputShut) {
+                        close();
                     }
                 }
-                interest();
-                back.interest();
+                updateInterest();
+                opposite.updateInterest();
             } catch (IOException e) {
-                broken();
+                failed();
             }
         }
 
-        private int write(ByteBuffer bytes, long dripBytesPerS, long now) throws IOException {
-            if (dripBytesPerS == 0) {
+        private int write(ByteBuffer bytes, long limitBytesPerS, long now) throws IOException {
+            if (limitBytesPerS == 0) {
                 return out.write(bytes);
             }
-            // a tenth of a second's worth at a time, one byte at the least
-            int most = (int) Math.max(1, dripBytesPerS / 10);
-            ByteBuffer some = bytes.slice(bytes.position(), Math.min(most, bytes.remaining()));
-            int n = out.write(some);
-            bytes.position(bytes.position() + n);
-            dripsAt = now + Math.max(1, n) * 1_000_000_000L / dripBytesPerS;
-            return n;
+            // the bytes of 100 ms at a time, at least one
+            int maxBytes = (int) Math.max(1, limitBytesPerS / 10);
+            ByteBuffer part = bytes.slice(bytes.position(), Math.min(maxBytes, bytes.remaining()));
+            int written = out.write(part);
+            bytes.position(bytes.position() + written);
+            nextThrottledNs = now + Math.max(1, written) * 1_000_000_000L / limitBytesPerS;
+            return written;
         }
 
         @Override
-        public void broken() {
-            TcpRelay.this.broken();
+        public void failed() {
+            TcpRelay.this.failed();
         }
     }
 
     final Edge edge;
     private final Relays relays;
-    private final Way there;
-    private final Way back;
-    /** The opener's own end. */
+    private final Direction forward;
+    private final Direction backward;
+    /** Address of the opener's own end. */
     private final InetSocketAddress opener;
-    /** As the other side sees it; told once it is known. */
-    private InetSocketAddress conn;
-    private boolean up;
-    private boolean gone;
+    /** Address of the connection as the other side sees it; null until it is known. */
+    private InetSocketAddress connection;
+    private boolean connected;
+    private boolean closed;
 
-    TcpRelay(Relays relays, Edge edge, SocketChannel client, InetSocketAddress to, InetAddress as) throws IOException {
+    TcpRelay(Relays relays, Edge edge, SocketChannel client, InetSocketAddress target, InetAddress sourceAddress) throws IOException {
         this.relays = relays;
         this.edge = edge;
         opener = (InetSocketAddress) client.getRemoteAddress();
@@ -182,60 +183,60 @@
         SocketChannel server = SocketChannel.open();
         server.configureBlocking(false);
         server.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        there = new Way(true, client, server);
-        back = new Way(false, server, client);
-        there.back = back;
-        back.back = there;
+        forward = new Direction(true, client, server);
+        backward = new Direction(false, server, client);
+        forward.opposite = backward;
+        backward.opposite = forward;
         try {
-            server.bind(new InetSocketAddress(as, 0));
-            conn = (InetSocketAddress) server.getLocalAddress();
-            there.listen();
-            boolean now = to != null && server.connect(to);
-            back.listen();
-            if (to == null) {
-                broken();
-            } else if (now) {
-                connected();
+            server.bind(new InetSocketAddress(sourceAddress, 0));
+            connection = (InetSocketAddress) server.getLocalAddress();
+            forward.register();
+            boolean atOnce = target != null && server.connect(target);
+            backward.register();
+            if (target == null) {
+                failed();
+            } else if (atOnce) {
+                onConnected();
             }
         } catch (IOException e) {
-            broken();
+            failed();
         }
     }
 
-    private void connected() {
-        up = true;
-        there.interest();
-        back.interest();
-        there.flush();
+    private void onConnected() {
+        connected = true;
+        forward.updateInterest();
+        backward.updateInterest();
+        forward.flush();
     }
 
     void flush() {
-        there.flush();
-        back.flush();
+        forward.flush();
+        backward.flush();
     }
 
-    private void end() {
-        if (!gone) {
-            gone = true;
-            relays.gone(this);
-            for (SocketChannel c : new SocketChannel[] {there.in, back.in}) {
+    private void close() {
+        if (!closed) {
+            closed = true;
+            relays.remove(this);
+            for (SocketChannel c : new SocketChannel[] {forward.in, backward.in}) {
                 try {
                     c.close();
                 } catch (IOException e) {
-                    // closed is closed
+                    // the connection is closed either way
                 }
             }
         }
     }
 
-    /** One side broke, or is to: both are reset. */
-    void broken() {
-        if (!gone) {
-            relays.listener.closed(edge, conn, System.nanoTime());
-            reset(there.in);
-            reset(back.in);
+    /** Resets both sides after one has failed, or to inject a reset. */
+    void failed() {
+        if (!closed) {
+            relays.listener.closed(edge, connection, System.nanoTime());
+            reset(forward.in);
+            reset(backward.in);
             relays.listener.closeForwarded(edge, opener, System.nanoTime());
-            end();
+            close();
         }
     }
 
@@ -244,7 +245,7 @@
             c.setOption(StandardSocketOptions.SO_LINGER, 0);
             c.close();
         } catch (IOException e) {
-            // closed is closed
+            // the connection is closed either way
         }
     }
 }
--- a/src/main/java/granitefold/standin/edge/UdpRelay.java
+++ b/src/main/java/granitefold/standin/edge/UdpRelay.java
@@ -6,10 +6,10 @@
 import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 
-/** One way of datagrams: what comes in on one channel goes out on another. */
-final class UdpRelay implements Relays.Ready {
-    private static final int LONGEST = 2048;
-    private static final long HELD_NS = 20_000_000;
+/** Relays datagrams in one direction: what is received on one channel is sent on another. */
+final class UdpRelay implements Relays.ChannelHandler {
+    private static final int MAX_DATAGRAM_BYTES = 2048;
+    private static final long REORDER_HOLD_NS = 20_000_000;
 
     private final Relays relays;
     private final Edge edge;
@@ -27,40 +27,40 @@
 
     @Override
     public void ready(SelectionKey key) throws IOException {
-        ByteBuffer b = ByteBuffer.allocate(LONGEST);
-        while (in.receive(b) != null) {
-            b.flip();
-            Fault f = relays.fault(edge);
-            if (!f.thereCut() && !relays.chance(f.loss())) {
-                send(b.duplicate(), f);
-                if (relays.chance(f.doubled())) {
-                    send(b, f);
+        ByteBuffer datagram = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+        while (in.receive(datagram) != null) {
+            datagram.flip();
+            Fault fault = relays.fault(edge);
+            if (!fault.thereCut() && !relays.chance(fault.loss())) {
+                send(datagram.duplicate(), fault);
+                if (relays.chance(fault.doubled())) {
+                    send(datagram, fault);
                 }
             }
-            b = ByteBuffer.allocate(LONGEST);
+            datagram = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         }
     }
 
-    private void send(ByteBuffer b, Fault f) {
-        long way = relays.wayNs(f);
-        if (relays.chance(f.overtaken())) {
-            way = 2 * way + HELD_NS;
+    private void send(ByteBuffer datagram, Fault fault) {
+        long latencyNs = relays.latencyNs(fault);
+        if (relays.chance(fault.overtaken())) {
+            latencyNs = 2 * latencyNs + REORDER_HOLD_NS;
         }
-        if (way == 0) {
-            pass(b);
+        if (latencyNs == 0) {
+            forward(datagram);
         } else {
-            relays.at(System.nanoTime() + way, () -> pass(b));
+            relays.schedule(System.nanoTime() + latencyNs, () -> forward(datagram));
         }
     }
 
-    private void pass(ByteBuffer b) {
+    private void forward(ByteBuffer datagram) {
         try {
-            out.send(b, to);
+            out.send(datagram, to);
         } catch (IOException e) {
             // a datagram may be lost at any time
         }
     }
 
     @Override
-    public void broken() { }
+    public void failed() { }
 }
--- a/src/main/java/granitefold/standin/edge/package-info.java
+++ b/src/main/java/granitefold/standin/edge/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Relays on the edges between processes, with faults: delay, loss, doubling, reordering, cuts in one way or both, slow
- * drips, resets. One thread moves all bytes. It knows nothing of what the bytes say.
+ * Relays on the edges between processes that inject network faults: delay, loss, duplication, reordering, cuts in one or both
+ * directions, limited throughput, resets. One thread moves all bytes. The relays do not interpret the bytes.
  */
 package granitefold.standin.edge;
--- a/src/main/java/granitefold/standin/world/DeduplicationWindow.java
+++ b/src/main/java/granitefold/standin/world/DeduplicationWindow.java
@@ -4,49 +4,49 @@
 import java.util.Map;
 
 /**
- * The keys of jobs that ran lately, for a group of cocineros that drop each other's repeats. A job that was lost leaves
- * no mark: whoever sends it again starts it over.
+ * The idempotency keys of recent jobs, shared by a group of workers that drop each other's duplicates. A lost job leaves no
+ * entry, so that sending it again runs it.
  */
 public final class DeduplicationWindow {
-    /** What a job with a key finds. */
-    public enum Found { NEW, RUNNING, DONE }
+    /** The state of a key. */
+    public enum KeyState { NEW, RUNNING, DONE }
 
-    private record Mark(long atUs, boolean done, String result) { }
+    private record KeyEntry(long atUs, boolean done, String result) { }
 
     private final long windowUs;
-    private final Map<String, Mark> marks = new HashMap<>();
+    private final Map<String, KeyEntry> entries = new HashMap<>();
 
     public DeduplicationWindow(long windowUs) {
         this.windowUs = windowUs;
     }
 
-    /** A job of this key is to start. */
-    public synchronized Found begin(String key, long nowUs) {
-        marks.values().removeIf(m -> m.done && nowUs - m.atUs >= windowUs);
-        Mark m = marks.get(key);
-        if (m == null) {
-            marks.put(key, new Mark(nowUs, false, null));
-            return Found.NEW;
+    /** Registers the start of a job and returns the state of its key before. */
+    public synchronized KeyState begin(String key, long nowUs) {
+        entries.values().removeIf(e -> e.done && nowUs - e.atUs >= windowUs);
+        KeyEntry entry = entries.get(key);
+        if (entry == null) {
+            entries.put(key, new KeyEntry(nowUs, false, null));
+            return KeyState.NEW;
         }
-        return m.done ? Found.DONE : Found.RUNNING;
+        return entry.done ? KeyState.DONE : KeyState.RUNNING;
     }
 
-    /** It is done. */
+    /** Records the result of a completed job. */
     public synchronized void done(String key, String result, long nowUs) {
-        marks.put(key, new Mark(nowUs, true, result));
+        entries.put(key, new KeyEntry(nowUs, true, result));
     }
 
-    /** It was lost, or stopped. */
-    public synchronized void lost(String key) {
-        Mark m = marks.get(key);
-        if (m != null && !m.done) {
-            marks.remove(key);
+    /** Frees the key of a job that was lost or cancelled. */
+    public synchronized void release(String key) {
+        KeyEntry entry = entries.get(key);
+        if (entry != null && !entry.done) {
+            entries.remove(key);
         }
     }
 
-    /** What it came to, or null where that is not known. */
+    /** Returns the result of a completed job, or null where none is recorded. */
     public synchronized String result(String key) {
-        Mark m = marks.get(key);
-        return m == null ? null : m.result;
+        KeyEntry entry = entries.get(key);
+        return entry == null ? null : entry.result;
     }
 }
--- a/src/main/java/granitefold/standin/world/Registry.java
+++ b/src/main/java/granitefold/standin/world/Registry.java
@@ -14,12 +14,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Discovery: one list for all, told by an agent on each dispatcher's machine. While it is down the agents say nothing and
- * learn nothing.
+ * An emulated discovery service: one list of workers, published by one agent per dispatcher. While the service is down the
+ * agents receive no updates and send nothing.
  */
 public final class Registry {
-    private static final int PATIENCE_MS = 120_000, HEARTBEAT_MS = 2000;
-    /** Who notes what becomes of it. */
+    private static final int TIMEOUT_MS = 120_000, HEARTBEAT_MS = 2000;
+    /** The name under which the history records events of the registry. */
     private static final String DISCOVERY = "discovery";
 
     private final History history;
@@ -27,47 +27,47 @@
     private final Map<String, String> removed = new LinkedHashMap<>();
     private int version = 1;
     private boolean down;
-    /** Watches that were opened before the last of these stay silent for good. */
-    private int hushes;
+    /** Number of calls of {@link #silenceOpenWatches}; a watch that was opened before the last of them stays silent. */
+    private int silencings;
 
     public Registry(History history) {
         this.history = history;
     }
 
-    /** A cocinero joins the list. */
-    public synchronized void add(Worker w) {
-        workers.add(w);
-        changed(w, w.status());
+    /** Adds a worker to the list. */
+    public synchronized void add(Worker worker) {
+        workers.add(worker);
+        changed(worker, worker.status());
     }
 
-    /** A cocinero leaves the list. */
-    public synchronized void remove(Worker w) {
-        workers.remove(w);
-        removed.put(w.name, "removed");
-        changed(w, "removed");
+    /** Removes a worker from the list. */
+    public synchronized void remove(Worker worker) {
+        workers.remove(worker);
+        removed.put(worker.name, "removed");
+        changed(worker, "removed");
     }
 
-    /** Its state is another one now. */
-    public synchronized void updateStatus(Worker w, String status) {
-        w.status(status);
-        changed(w, status);
+    /** Changes the published status of a worker. */
+    public synchronized void updateStatus(Worker worker, String status) {
+        worker.status(status);
+        changed(worker, status);
     }
 
-    /** Discovery cannot be reached by its agents, or can again. */
-    public synchronized void setDown(boolean now) {
-        down = now;
-        history.add(What.FAULT, DISCOVERY, now ? "down" : "none");
+    /** Makes the service unreachable for its agents, or reachable again. */
+    public synchronized void setDown(boolean isDown) {
+        down = isDown;
+        history.add(What.FAULT, DISCOVERY, isDown ? "down" : "none");
         notifyAll();
     }
 
-    /** All watches that are open now fall silent, and stay so. */
+    /** Silences all watches that are open now, for good; they stay open. */
     public synchronized void silenceOpenWatches() {
-        hushes++;
+        silencings++;
     }
 
-    private void changed(Worker w, String state) {
+    private void changed(Worker worker, String status) {
         version++;
-        history.add(new Entry(history.now(), What.CHANGED, DISCOVERY, w.name, null, null, null, null, null, 0, state));
+        history.add(new Entry(history.now(), What.CHANGED, DISCOVERY, worker.name, null, null, null, null, null, 0, status));
         notifyAll();
     }
 
@@ -75,18 +75,18 @@
         return List.copyOf(workers);
     }
 
-    /** The list as one dispatcher sees it; {@code addresses}: where it finds each cocinero. */
+    /** Returns the list as JSON for one dispatcher; {@code addresses} maps the name of a worker to its address for that dispatcher. */
     public synchronized String listJson(UnaryOperator<String> addresses) {
-        StringBuilder b = new StringBuilder("{\"index\":" + version + ",\"snapshot\":true,\"endpoints\":[");
+        StringBuilder json = new StringBuilder("{\"index\":" + version + ",\"snapshot\":true,\"endpoints\":[");
         for (Worker w : workers) {
-            b.append(b.charAt(b.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(w.name).append("\",\"address\":\"")
-                    .append(addresses.apply(w.name)).append("\",\"status\":\"").append(w.status())
+            json.append(json.charAt(json.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(w.name)
+                    .append("\",\"address\":\"").append(addresses.apply(w.name)).append("\",\"status\":\"").append(w.status())
                     .append("\",\"weight\":1.0,\"since_ms\":").append(w.startedMs).append(",\"zone\":\"sala\",\"type\":\"m\"}");
         }
-        return b + "]}";
+        return json + "]}";
     }
 
-    /** The agent of one dispatcher. */
+    /** The discovery agent of one dispatcher, which publishes the list to watches of that dispatcher. */
     public final class Agent extends LoopbackServer {
         private final String dispatcher;
         private final UnaryOperator<String> addresses;
@@ -98,60 +98,61 @@
 
         @Override
         protected void serve(Socket socket) throws IOException, InterruptedException {
-            HttpConnection e = new HttpConnection(socket, PATIENCE_MS);
-            if (!e.read()) {
+            HttpConnection connection = new HttpConnection(socket, TIMEOUT_MS);
+            if (!connection.read()) {
                 return;
             }
-            boolean stream = e.startLine.contains("stream=1");
-            boolean head = false;
-            int told = 0;
-            int opened;
+            boolean stream = connection.startLine.contains("stream=1");
+            boolean headersSent = false;
+            int sentVersion = 0;
+            int silencingsAtOpen;
             synchronized (Registry.this) {
-                opened = hushes;
+                silencingsAtOpen = silencings;
             }
             while (!socket.isClosed()) {
                 String text = "\n";
-                List<Entry> news = List.of();
+                List<Entry> entries = List.of();
                 synchronized (Registry.this) {
-                    long until = System.nanoTime() + HEARTBEAT_MS * 1_000_000L;
-                    while (down || told == version && System.nanoTime() < until) {
-                        Registry.this.wait(down ? HEARTBEAT_MS : Math.max(1, (until - System.nanoTime()) / 1_000_000));
+                    long heartbeatNs = System.nanoTime() + HEARTBEAT_MS * 1_000_000L;
+                    while (down || sentVersion == version && System.nanoTime() < heartbeatNs) {
+                        Registry.this.wait(down ? HEARTBEAT_MS : Math.max(1, (heartbeatNs - System.nanoTime()) / 1_000_000));
                     }
-                    if (opened != hushes) {
+                    if (silencingsAtOpen != silencings) {
                         text = null;
-                    } else if (told != version) {
-                        told = version;
+                    } else if (sentVersion != version) {
+                        sentVersion = version;
                         text = listJson(addresses) + "\n";
-                        news = told();
+                        entries = toldEntries();
                     }
                 }
                 if (text == null) {
-                    e.closedWithin(PATIENCE_MS);
+                    connection.closedWithin(TIMEOUT_MS);
                     return;
                 }
                 if (!stream) {
-                    e.write("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
-                    news.forEach(history::add);
+                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text);
+                    entries.forEach(history::add);
                     return;
                 }
-                if (!head) {
-                    e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    head = true;
+                if (!headersSent) {
+                    connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    headersSent = true;
                 }
-                e.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
-                news.forEach(history::add);
+                connection.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+                entries.forEach(history::add);
             }
         }
 
-        private List<Entry> told() {
-            List<Entry> all = new ArrayList<>();
-            workers.forEach(w -> all.add(entry(w.name, w.status())));
-            removed.forEach((w, state) -> all.add(entry(w, state)));
-            return all;
+        /** Returns history entries that record which status of each worker the dispatcher has been sent. */
+        private List<Entry> toldEntries() {
+            List<Entry> entries = new ArrayList<>();
+            workers.forEach(w -> entries.add(entry(w.name, w.status())));
+            removed.forEach((name, status) -> entries.add(entry(name, status)));
+            return entries;
         }
 
-        private Entry entry(String worker, String state) {
-            return new Entry(history.now(), What.TOLD, dispatcher, worker, null, null, null, null, null, 0, state);
+        private Entry entry(String worker, String status) {
+            return new Entry(history.now(), What.TOLD, dispatcher, worker, null, null, null, null, null, 0, status);
         }
     }
 }
--- a/src/main/java/granitefold/standin/world/Worker.java
+++ b/src/main/java/granitefold/standin/world/Worker.java
@@ -14,81 +14,81 @@
 import java.util.function.Function;
 
 /**
- * A cocinero on a socket. It takes its time by a {@link WorkerModel}, and writes down what it sees. Its result for a job is
- * the body in capitals.
+ * An emulated worker on a socket. A {@link WorkerModel} determines how long its jobs take, and a {@link History} records what
+ * it observes. The result of a job is the request body in upper case.
  */
 public final class Worker extends LoopbackServer {
-    /** What is wrong with it. */
+    /** How the worker handles requests; all but {@code NORMAL} are faults. */
     public enum Behavior {
         NORMAL,
-        /** It takes requests and says nothing. */
+        /** Reads requests and does not answer. */
         HANGING,
-        /** It says that jobs start, and nothing more. */
+        /** Reports that jobs have started, and nothing more. */
         STALLED,
-        /** It answers 500. */
+        /** Answers 500. */
         FAILING,
-        /** It resets connections when a job has begun. */
+        /** Resets the connection after a job has started. */
         RESETTING,
-        /** It writes half of the last line and closes. */
+        /** Writes half of the last line and closes the connection. */
         TRUNCATING
     }
 
-    private static final int PATIENCE_MS = 120_000, LOOK_MS = 5;
-    private static final int FAILED = 500;
+    private static final int TIMEOUT_MS = 120_000, POLL_MS = 5;
+    private static final int FAILED_STATUS = 500;
 
     public final String name;
     private final History history;
     private final Function<InetSocketAddress, String> dispatchers;
     private final WorkerSpec spec;
     private final Map<String, DeduplicationWindow> windows;
-    /** Guarded by itself. */
+    /** Guarded by its own lock. */
     private final WorkerModel model;
     private volatile Behavior behavior = Behavior.NORMAL;
-    /** The state that discovery is to tell. */
+    /** The status that discovery publishes. */
     private volatile String status = "up";
     final long startedMs;
 
     /**
-     * One that starts now where {@code cold}, else long ago.
+     * Creates a worker that starts now where {@code slowStart} is set, otherwise one whose slow start is over.
      *
-     * @param windows by class, where repeats of one are dropped
-     * @param dispatchers who connects from an address
+     * @param windows the deduplication windows of the job classes that have one
+     * @param dispatchers maps the address of a connection to the name of its dispatcher
      */
-    public Worker(String name, WorkerSpec spec, boolean cold, Map<String, DeduplicationWindow> windows, History history,
+    public Worker(String name, WorkerSpec spec, boolean slowStart, Map<String, DeduplicationWindow> windows, History history,
             Function<InetSocketAddress, String> dispatchers) throws IOException {
         this.name = name;
         this.spec = spec;
         this.windows = windows;
         this.history = history;
         this.dispatchers = dispatchers;
-        model = new WorkerModel(spec, cold ? history.now() : Long.MIN_VALUE);
-        startedMs = cold ? System.currentTimeMillis() : 0;
+        model = new WorkerModel(spec, slowStart ? history.now() : Long.MIN_VALUE);
+        startedMs = slowStart ? System.currentTimeMillis() : 0;
     }
 
-    public void behavior(Behavior now) {
-        behavior = now;
+    public void behavior(Behavior newBehavior) {
+        behavior = newBehavior;
     }
 
     public String status() {
         return status;
     }
 
-    public void status(String now) {
-        status = now;
+    public void status(String newStatus) {
+        status = newStatus;
     }
 
     public WorkerSpec spec() {
         return spec;
     }
 
-    /** Jobs that start from now on take so many times as long. */
+    /** Multiplies the duration of the jobs that start from now on. */
     public void slowdown(double factor) {
         synchronized (model) {
             model.slowdown(factor);
         }
     }
 
-    /** The process dies: connections are reset, new ones refused. */
+    /** Emulates the death of the process: open connections are reset, new ones refused. */
     public void kill() throws IOException {
         resetAll();
         close();
@@ -97,140 +97,142 @@
     @Override
     protected void serve(Socket socket) throws IOException, InterruptedException {
         InetSocketAddress from = (InetSocketAddress) socket.getRemoteSocketAddress();
-        HttpConnection e = new HttpConnection(socket, PATIENCE_MS);
-        while (e.read()) {
-            if (!e.startLine.startsWith("POST ")) {
-                e.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            } else if (!job(e, new Seen(e, dispatchers.apply(from), from))) {
+        HttpConnection connection = new HttpConnection(socket, TIMEOUT_MS);
+        while (connection.read()) {
+            if (!connection.startLine.startsWith("POST ")) {
+                connection.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            } else if (!serveJob(connection, new JobRecord(connection, dispatchers.apply(from), from))) {
                 return;
             }
         }
     }
 
-    /** One job as it is written down. */
-    private final class Seen {
+    /** The attributes of a job for the history. */
+    private final class JobRecord {
         final String dispatcher;
         final String conn;
         final String txn;
         final String key;
         final String jobClass;
         final String tenant;
-        /** How long the dispatcher says that it waits. */
-        final long toldMs;
+        /** The remaining time that the dispatcher announced. */
+        final long remainingMs;
 
-        Seen(HttpConnection e, String dispatcher, InetSocketAddress from) {
+        JobRecord(HttpConnection connection, String dispatcher, InetSocketAddress from) {
             this.dispatcher = dispatcher;
             conn = addressText(from);
-            txn = e.headers.get("x-txn");
-            key = e.headers.get("idempotency-key");
-            String path = e.startLine.split(" ")[1];
+            txn = connection.headers.get("x-txn");
+            key = connection.headers.get("idempotency-key");
+            String path = connection.startLine.split(" ")[1];
             jobClass = path.substring(1, path.indexOf('?') < 0 ? path.length() : path.indexOf('?'));
-            tenant = e.headers.get("x-org");
-            toldMs = Long.parseLong(e.headers.getOrDefault("x-remaining-ms", "0"));
+            tenant = connection.headers.get("x-org");
+            remainingMs = Long.parseLong(connection.headers.getOrDefault("x-remaining-ms", "0"));
         }
 
         void add(What what, String text) {
-            history.add(new Entry(history.now(), what, name, dispatcher, txn, key, jobClass, tenant, conn, what == What.BEGUN ? toldMs : 0, text));
+            history.add(new Entry(history.now(), what, name, dispatcher, txn, key, jobClass, tenant, conn,
+                    what == What.BEGUN ? remainingMs : 0, text));
         }
     }
 
-    /** A connection as both sides of a relay write it down. */
-    public static String addressText(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    /** Formats the address of a connection as both sides of a relay record it. */
+    public static String addressText(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Serves one; false where the connection is not to be used again. */
-    private boolean job(HttpConnection e, Seen seen) throws IOException, InterruptedException {
-        if (seen.txn == null) {
-            e.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+    /** Serves a job; returns false where the connection must not be used again. */
+    private boolean serveJob(HttpConnection connection, JobRecord job) throws IOException, InterruptedException {
+        if (job.txn == null) {
+            connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        seen.add(What.BEGUN, null);
+        job.add(What.BEGUN, null);
         if (behavior == Behavior.HANGING) {
-            return !e.closedWithin(PATIENCE_MS);
+            return !connection.closedWithin(TIMEOUT_MS);
         }
         if (behavior == Behavior.FAILING) {
-            seen.add(What.ENDED, "failed");
-            e.write("HTTP/1.1 " + FAILED + " Failed\r\nContent-Length: 0\r\n\r\n");
+            job.add(What.ENDED, "failed");
+            connection.write("HTTP/1.1 " + FAILED_STATUS + " Failed\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        WorkerModel.Ticket ticket;
+        WorkerModel.Job scheduled;
         synchronized (model) {
-            boolean stood = !model.fallen();
-            String target = e.startLine.split(" ")[1];
-            ticket = model.offer(slots(e), Long.parseLong(e.headers.getOrDefault("x-work", e.headers.getOrDefault("x-estimate", "100000"))),
+            boolean wasUp = !model.crashed();
+            String target = connection.startLine.split(" ")[1];
+            scheduled = model.offer(slots(connection),
+                    Long.parseLong(connection.headers.getOrDefault("x-work", connection.headers.getOrDefault("x-estimate", "100000"))),
                     target.contains("sid=") ? target.substring(target.indexOf("sid=")) : null, history.now());
-            if (stood && model.fallen()) {
+            if (wasUp && model.crashed()) {
                 history.add(What.FELL, name, "sent too much while cold");
             }
         }
-        if (fallen()) {
+        if (crashed()) {
             kill();
             return false;
         }
-        if (ticket == null) {
-            seen.add(What.ENDED, "turned away");
-            e.write("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        if (scheduled == null) {
+            job.add(What.ENDED, "turned away");
+            connection.write("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        DeduplicationWindow window = seen.key == null ? null : windows.get(seen.jobClass);
-        boolean ours = false;
+        DeduplicationWindow window = job.key == null ? null : windows.get(job.jobClass);
+        boolean holdsKey = false;
         try {
-            if (!await(e, ticket, WorkerModel.State.RUNNING)) {
+            if (!await(connection, scheduled, WorkerModel.State.RUNNING)) {
                 return false;
             }
-            DeduplicationWindow.Found found = window == null ? DeduplicationWindow.Found.NEW : window.begin(seen.key, history.now());
-            ours = window != null && found == DeduplicationWindow.Found.NEW;
-            seen.add(What.STARTED, found == DeduplicationWindow.Found.NEW ? null : "repeat");
-            e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + line(seen, "\"started\"}"));
+            DeduplicationWindow.KeyState keyState = window == null ? DeduplicationWindow.KeyState.NEW : window.begin(job.key, history.now());
+            holdsKey = window != null && keyState == DeduplicationWindow.KeyState.NEW;
+            job.add(What.STARTED, keyState == DeduplicationWindow.KeyState.NEW ? null : "repeat");
+            connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + line(job, "\"started\"}"));
             if (behavior == Behavior.STALLED) {
-                return !e.closedWithin(PATIENCE_MS);
+                return !connection.closedWithin(TIMEOUT_MS);
             }
             if (behavior == Behavior.RESETTING) {
-                e.socket.setSoLinger(true, 0);
+                connection.socket.setSoLinger(true, 0);
                 return false;
             }
-            if (found == DeduplicationWindow.Found.DONE) {
+            if (keyState == DeduplicationWindow.KeyState.DONE) {
                 synchronized (model) {
-                    model.cancel(ticket, history.now());
+                    model.cancel(scheduled, history.now());
                 }
-            } else if (!await(e, ticket, WorkerModel.State.DONE)) {
+            } else if (!await(connection, scheduled, WorkerModel.State.DONE)) {
                 return false;
             }
-            String result = result(e);
-            if (found == DeduplicationWindow.Found.DONE && window.result(seen.key) != null) {
-                result = window.result(seen.key);
+            String result = result(connection);
+            if (keyState == DeduplicationWindow.KeyState.DONE && window.result(job.key) != null) {
+                result = window.result(job.key);
             }
-            if (ours) {
-                window.done(seen.key, result, history.now());
-                ours = false;
+            if (holdsKey) {
+                window.done(job.key, result, history.now());
+                holdsKey = false;
             }
-            String last = line(seen, "\"done\",\"result\":\"" + result + "\"}");
-            seen.add(What.ENDED, "done");
+            String lastLine = line(job, "\"done\",\"result\":\"" + result + "\"}");
+            job.add(What.ENDED, "done");
             if (behavior == Behavior.TRUNCATING) {
-                e.write(last.substring(0, last.length() / 2));
+                connection.write(lastLine.substring(0, lastLine.length() / 2));
                 return false;
             }
-            e.write(last + "0\r\n\r\n");
+            connection.write(lastLine + "0\r\n\r\n");
             return true;
         } finally {
-            if (ours) {
-                window.lost(seen.key);
+            if (holdsKey) {
+                window.release(job.key);
             }
             synchronized (model) {
-                model.cancel(ticket, history.now());
+                model.cancel(scheduled, history.now());
             }
         }
     }
 
-    private boolean fallen() {
+    private boolean crashed() {
         synchronized (model) {
-            return model.fallen();
+            return model.crashed();
         }
     }
 
-    private static int slots(HttpConnection e) {
-        for (String label : e.headers.getOrDefault("x-labels", "").split(",")) {
+    private static int slots(HttpConnection connection) {
+        for (String label : connection.headers.getOrDefault("x-labels", "").split(",")) {
             if (label.startsWith("slots=")) {
                 return (int) Double.parseDouble(label.substring("slots=".length()));
             }
@@ -238,32 +240,32 @@
         return 1;
     }
 
-    private static String result(HttpConnection e) {
-        return new String(e.body, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
+    private static String result(HttpConnection connection) {
+        return new String(connection.body, StandardCharsets.ISO_8859_1).toUpperCase(Locale.ROOT);
     }
 
-    private String line(Seen seen, String state) {
-        String text = "{\"id\":\"" + seen.txn + "\",\"from\":\"" + name + "\",\"state\":" + state + "\n";
+    private String line(JobRecord job, String state) {
+        String text = "{\"id\":\"" + job.txn + "\",\"from\":\"" + name + "\",\"state\":" + state + "\n";
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Waits until a job has come to a state; false if the other side closed before, or the cocinero fell over. */
-    private boolean await(HttpConnection e, WorkerModel.Ticket t, WorkerModel.State wanted) throws IOException {
+    /** Waits until a job has reached a state; returns false where the dispatcher closed the connection first, or the job was dropped. */
+    private boolean await(HttpConnection connection, WorkerModel.Job job, WorkerModel.State wanted) throws IOException {
         while (true) {
-            long wait = LOOK_MS;
+            long waitMs = POLL_MS;
             synchronized (model) {
                 model.advance(history.now());
-                if (t.state() == WorkerModel.State.GONE) {
+                if (job.state() == WorkerModel.State.DROPPED) {
                     return false;
                 }
-                if (t.state().compareTo(wanted) >= 0) {
+                if (job.state().compareTo(wanted) >= 0) {
                     return true;
                 }
-                if (t.state() == WorkerModel.State.RUNNING) {
-                    wait = (t.endsAtUs() - history.now() + 999) / 1000;
+                if (job.state() == WorkerModel.State.RUNNING) {
+                    waitMs = (job.endsAtUs() - history.now() + 999) / 1000;
                 }
             }
-            if (wait > 0 && e.closedWithin((int) wait)) {
+            if (waitMs > 0 && connection.closedWithin((int) waitMs)) {
                 return false;
             }
         }
--- a/src/main/java/granitefold/standin/world/WorkerModel.java
+++ b/src/main/java/granitefold/standin/world/WorkerModel.java
@@ -9,25 +9,28 @@
 import java.util.Map;
 
 /**
- * What a cocinero does with jobs: pure, on a clock in microseconds that is handed in. Jobs are started in the order of
- * their coming; the first one waits until it fits. What one takes is settled when it starts.
+ * How a worker schedules jobs: a pure model on a clock in microseconds that is passed in. Jobs start in the order of their
+ * arrival; the first one waits until enough slots are free. The duration of a job is fixed when it starts.
  */
 public final class WorkerModel {
-    /** Chance beside what the rule allows of all dispatchers together: of N requests, twice their spread and two more. */
-    private static final double SPREADS = 2, MORE = 2;
+    /**
+     * Allowance for random variation above the limit for all dispatchers together: for N jobs, two standard deviations
+     * (of sqrt(N) each) and two jobs more.
+     */
+    private static final double ALLOWED_DEVIATIONS = 2, ALLOWED_EXTRA_JOBS = 2;
 
-    /** Where a job stands. */
-    public enum State { QUEUED, RUNNING, DONE, GONE }
+    /** The state of a job. */
+    public enum State { QUEUED, RUNNING, DONE, DROPPED }
 
-    /** A job here. */
-    public static final class Ticket {
+    /** A job that the worker has accepted. */
+    public static final class Job {
         private final int slots;
         private final long workUs;
         private final String key;
         private State state = State.QUEUED;
         private long endsAtUs;
 
-        private Ticket(int slots, long workUs, String key) {
+        private Job(int slots, long workUs, String key) {
             this.slots = slots;
             this.workUs = workUs;
             this.key = key;
@@ -37,127 +40,130 @@
             return state;
         }
 
-        /** When it is done, once it runs; in microseconds. */
+        /** Returns when a running job will be done. */
         public long endsAtUs() {
             return endsAtUs;
         }
     }
 
-    private record Sent(long atUs, double jobs) { }
+    private record Arrival(long atUs, double jobs) { }
 
     private final WorkerSpec spec;
     private final long startedAtUs;
-    private final Deque<Ticket> queue = new ArrayDeque<>();
-    private final List<Ticket> running = new ArrayList<>();
-    private final Map<String, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private final Deque<Sent> lately = new ArrayDeque<>();
+    private final Deque<Job> queue = new ArrayDeque<>();
+    private final List<Job> running = new ArrayList<>();
+    /** Cached keys, the least recently used first. */
+    private final Map<String, Boolean> cache = new LinkedHashMap<>(16, 0.75f, true);
+    private final Deque<Arrival> recentArrivals = new ArrayDeque<>();
     private double slowdown = 1;
-    private boolean fallen;
+    private boolean crashed;
 
-    /** One that started then; {@link Long#MIN_VALUE}: long ago. */
+    /** Creates the model of a worker that started at the given time; {@link Long#MIN_VALUE}: its slow start is over. */
     public WorkerModel(WorkerSpec spec, long startedAtUs) {
         this.spec = spec;
         this.startedAtUs = startedAtUs;
     }
 
-    /** From now on jobs that start take so many times as long. */
+    /** Multiplies the duration of the jobs that start from now on. */
     public void slowdown(double factor) {
         slowdown = factor;
     }
 
-    /** It was sent too much while it was cold, and does nothing any more. */
-    public boolean fallen() {
-        return fallen;
+    /** Whether the worker was overloaded in its slow start and has crashed. */
+    public boolean crashed() {
+        return crashed;
     }
 
-    /** Share of its speed that it has by its age. */
-    public double warmth(long nowUs) {
+    /** Returns the share of its full speed that the worker has reached; below 1 in its slow start. */
+    public double speedShare(long nowUs) {
         if (startedAtUs == Long.MIN_VALUE || nowUs - startedAtUs >= spec.slowStartUs()) {
             return 1;
         }
         return spec.slowStartFrom() + (1 - spec.slowStartFrom()) * Math.max(0, nowUs - startedAtUs) / spec.slowStartUs();
     }
 
-    /** Takes a job in, or null where there is no room, or it falls over. */
-    public Ticket offer(int slots, long workUs, String key, long nowUs) {
+    /** Accepts a job; returns null where the queue is full or the worker crashes. */
+    public Job offer(int slots, long workUs, String key, long nowUs) {
         advance(nowUs);
-        if (fallen) {
+        if (crashed) {
             return null;
         }
-        weigh(workUs, nowUs);
-        if (fallen || slots > spec.slots() || queue.size() >= spec.queueLimit()) {
+        checkOverload(workUs, nowUs);
+        if (crashed || slots > spec.slots() || queue.size() >= spec.queueLimit()) {
             return null;
         }
-        Ticket t = new Ticket(slots, workUs, key);
-        queue.add(t);
+        Job job = new Job(slots, workUs, key);
+        queue.add(job);
         advance(nowUs);
-        return t;
+        return job;
     }
 
-    private void weigh(long workUs, long nowUs) {
-        lately.add(new Sent(nowUs, workUs / spec.meanWorkUs()));
-        while (lately.peek().atUs() <= nowUs - spec.overloadWindowUs()) {
-            lately.remove();
+    private void checkOverload(long workUs, long nowUs) {
+        recentArrivals.add(new Arrival(nowUs, workUs / spec.meanWorkUs()));
+        while (recentArrivals.peek().atUs() <= nowUs - spec.overloadWindowUs()) {
+            recentArrivals.remove();
         }
-        if (warmth(nowUs) < 1) {
-            double allowed = spec.overloadMultiple() * spec.slots() * spec.speed() * warmth(nowUs) * spec.overloadWindowUs() / spec.meanWorkUs();
-            double sent = lately.stream().mapToDouble(Sent::jobs).sum();
-            if (sent > allowed + SPREADS * Math.sqrt(allowed) + MORE) {
-                fallen = true;
-                running.forEach(t -> t.state = State.GONE);
-                queue.forEach(t -> t.state = State.GONE);
+        if (speedShare(nowUs) < 1) {
+            double allowed = spec.overloadMultiple() * spec.slots() * spec.speed() * speedShare(nowUs) * spec.overloadWindowUs()
+                    / spec.meanWorkUs();
+            double arrived = recentArrivals.stream().mapToDouble(Arrival::jobs).sum();
+            if (arrived > allowed + ALLOWED_DEVIATIONS * Math.sqrt(allowed) + ALLOWED_EXTRA_JOBS) {
+                crashed = true;
+                running.forEach(job -> job.state = State.DROPPED);
+                queue.forEach(job -> job.state = State.DROPPED);
                 running.clear();
                 queue.clear();
             }
         }
     }
 
-    /** The dispatcher no longer waits: a job that has not started is dropped, one that runs is stopped. */
-    public void cancel(Ticket t, long nowUs) {
-        if (t.state == State.QUEUED || t.state == State.RUNNING) {
-            t.state = State.GONE;
-            queue.remove(t);
-            running.remove(t);
+    /** Drops a job that is queued or running, since its dispatcher no longer waits for it. */
+    public void cancel(Job job, long nowUs) {
+        if (job.state == State.QUEUED || job.state == State.RUNNING) {
+            job.state = State.DROPPED;
+            queue.remove(job);
+            running.remove(job);
         }
         advance(nowUs);
     }
 
-    /** Takes note of what has ended, and starts what fits. */
+    /** Completes the jobs that are due, and starts queued jobs while slots are free. */
     public void advance(long nowUs) {
-        for (Iterator<Ticket> i = running.iterator(); i.hasNext();) {
-            Ticket t = i.next();
-            if (t.endsAtUs <= nowUs) {
-                t.state = State.DONE;
+        for (Iterator<Job> i = running.iterator(); i.hasNext();) {
+            Job job = i.next();
+            if (job.endsAtUs <= nowUs) {
+                job.state = State.DONE;
                 i.remove();
             }
         }
-        int free = spec.slots() - running.stream().mapToInt(t -> t.slots).sum();
-        while (!queue.isEmpty() && queue.peek().slots <= free) {
-            Ticket t = queue.remove();
-            free -= t.slots;
-            t.state = State.RUNNING;
-            t.endsAtUs = nowUs + (long) (t.workUs * slowdown / (spec.speed() * warmth(nowUs))) + fetch(t.key);
-            running.add(t);
+        int freeSlots = spec.slots() - running.stream().mapToInt(job -> job.slots).sum();
+        while (!queue.isEmpty() && queue.peek().slots <= freeSlots) {
+            Job job = queue.remove();
+            freeSlots -= job.slots;
+            job.state = State.RUNNING;
+            job.endsAtUs = nowUs + (long) (job.workUs * slowdown / (spec.speed() * speedShare(nowUs))) + fetchUs(job.key);
+            running.add(job);
         }
     }
 
-    private long fetch(String key) {
+    /** Returns the time that a job needs to fetch the data of its key: 0 where it is cached. */
+    private long fetchUs(String key) {
         if (spec.cachedKeys() == 0 || key == null) {
             return 0;
         }
-        boolean here = kept.put(key, true) != null;
-        if (kept.size() > spec.cachedKeys()) {
-            kept.remove(kept.keySet().iterator().next());
+        boolean cached = cache.put(key, true) != null;
+        if (cache.size() > spec.cachedKeys()) {
+            cache.remove(cache.keySet().iterator().next());
         }
-        return here ? 0 : spec.fetchUs();
+        return cached ? 0 : spec.fetchUs();
     }
 
-    /** When the next job here is done, or {@link Long#MAX_VALUE}. */
+    /** Returns when the next running job will be done, or {@link Long#MAX_VALUE}. */
     public long nextEndUs() {
-        return running.stream().mapToLong(t -> t.endsAtUs).min().orElse(Long.MAX_VALUE);
+        return running.stream().mapToLong(job -> job.endsAtUs).min().orElse(Long.MAX_VALUE);
     }
 
-    public int waiting() {
+    public int queued() {
         return queue.size();
     }
 }
--- a/src/main/java/granitefold/standin/world/WorkerSpec.java
+++ b/src/main/java/granitefold/standin/world/WorkerSpec.java
@@ -1,19 +1,19 @@
 package granitefold.standin.world;
 
 /**
- * What a cocinero is.
+ * The properties of an emulated worker.
  *
- * @param slots jobs' slots that run at a time
- * @param speed work that a slot does in a second, in seconds; warm
- * @param queueLimit jobs that wait at the most; more are turned away
- * @param slowStartFrom share of its speed at its start, at the least
- * @param slowStartUs from its start until it is warm
- * @param overloadMultiple it falls over when cold and sent more than so many times what it can do at that moment
- * @param overloadWindowUs counted over so long
- * @param meanWorkUs work of a mean job, in which that is counted
- * @param cachedKeys keys whose things it keeps; 0: jobs need nothing
- * @param fetchUs what fetching another one takes while the job holds its slots
+ * @param slots number of slots
+ * @param speed seconds of work that a slot does per second, after the slow start
+ * @param queueLimit maximum number of queued jobs; further jobs are rejected
+ * @param slowStartFrom share of its speed at the beginning of the slow start
+ * @param slowStartUs duration of the slow start
+ * @param overloadMultiple a worker in slow start crashes when it is sent more than this multiple of its present capacity
+ * @param overloadWindowUs the window over which that load is counted
+ * @param meanWorkUs work of a mean job, the unit of that load
+ * @param cachedKeys capacity of its cache, in keys; 0: jobs need no cached data
+ * @param fetchUs duration of a cache miss, during which the job holds its slots
  */
-public record WorkerSpec(int slots, double speed, int queueLimit, double slowStartFrom, long slowStartUs, double overloadMultiple, long overloadWindowUs,
-        double meanWorkUs, int cachedKeys, long fetchUs) {
+public record WorkerSpec(int slots, double speed, int queueLimit, double slowStartFrom, long slowStartUs, double overloadMultiple,
+        long overloadWindowUs, double meanWorkUs, int cachedKeys, long fetchUs) {
 }
--- a/src/main/java/granitefold/standin/world/package-info.java
+++ b/src/main/java/granitefold/standin/world/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The world round the dispatchers: cocineros that are slow, cold, full, fall over or hang, and a discovery with an agent
- * for each dispatcher. What a cocinero does with jobs is a pure model; the server round it moves bytes.
+ * The emulated environment of the dispatchers: workers that are slow, in slow start, full, crash or hang, and a discovery
+ * service with one agent per dispatcher. How a worker schedules jobs is a pure model; the server around it does the I/O.
  */
 package granitefold.standin.world;
--- a/src/test/java/granitefold/standin/edge/RelaysTest.java
+++ b/src/test/java/granitefold/standin/edge/RelaysTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Faults on an edge, seen from both ends. Waits are for bytes; what must not come is waited for a moment. */
+/** Checks faults on an edge from both ends. For bytes that must not arrive the tests wait {@code SILENCE_MS}. */
 class RelaysTest {
-    private static final int PATIENCE_MS = 10_000, MOMENT_MS = 100;
+    private static final int TIMEOUT_MS = 10_000, SILENCE_MS = 100;
     private static final InetAddress HOST = InetAddress.getLoopbackAddress();
     private static final Edge EDGE = new Edge(Kind.PEER, "a", "b");
 
@@ -42,7 +42,7 @@
 
     /** Both ends of a connection through the relay. */
     private record Pair(Socket a, Socket b) {
-        void there(int value) throws IOException {
+        void send(int value) throws IOException {
             a.getOutputStream().write(value);
         }
 
@@ -52,70 +52,70 @@
         }
     }
 
-    private Pair pair() throws IOException {
+    private Pair connect() throws IOException {
         Socket a = new Socket(address.getAddress(), address.getPort());
         return new Pair(a, server.accept());
     }
 
     @Test
     void passesBytesAndCloses() throws IOException {
-        Pair p = pair();
-        p.there(7);
-        assertEquals(7, p.read(p.b, PATIENCE_MS));
-        p.b.getOutputStream().write(8);
-        assertEquals(8, p.read(p.a, PATIENCE_MS));
-        p.a.close();
-        assertEquals(-1, p.read(p.b, PATIENCE_MS));
+        Pair connection = connect();
+        connection.send(7);
+        assertEquals(7, connection.read(connection.b, TIMEOUT_MS));
+        connection.b.getOutputStream().write(8);
+        assertEquals(8, connection.read(connection.a, TIMEOUT_MS));
+        connection.a.close();
+        assertEquals(-1, connection.read(connection.b, TIMEOUT_MS));
     }
 
     @Test
-    void aCutIsSilentAndWhatWasSentComesWhenItHeals() throws IOException {
-        Pair p = pair();
+    void bytesSentDuringACutArriveWhenItEnds() throws IOException {
+        Pair connection = connect();
         relays.setFault(EDGE, Fault.CUT_FORWARD);
-        p.there(1);
-        assertThrows(SocketTimeoutException.class, () -> p.read(p.b, MOMENT_MS));
-        p.b.getOutputStream().write(2);
-        assertEquals(2, p.read(p.a, PATIENCE_MS), "the other way is open");
+        connection.send(1);
+        assertThrows(SocketTimeoutException.class, () -> connection.read(connection.b, SILENCE_MS));
+        connection.b.getOutputStream().write(2);
+        assertEquals(2, connection.read(connection.a, TIMEOUT_MS), "the other direction stays open");
         relays.setFault(EDGE, Fault.NONE);
-        assertEquals(1, p.read(p.b, PATIENCE_MS));
+        assertEquals(1, connection.read(connection.b, TIMEOUT_MS));
     }
 
     @Test
-    void delaysAreKeptAndNothingOvertakes() throws IOException {
-        Pair p = pair();
+    void delaysBytesAndKeepsTheirOrder() throws IOException {
+        Pair connection = connect();
         relays.setFault(EDGE, Fault.delayed(150, 100));
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         for (int i = 0; i < 20; i++) {
-            p.there(i);
+            connection.send(i);
         }
         for (int i = 0; i < 20; i++) {
-            assertEquals(i, p.read(p.b, PATIENCE_MS));
+            assertEquals(i, connection.read(connection.b, TIMEOUT_MS));
         }
-        assertTrue(System.nanoTime() - began >= 150_000_000L);
+        assertTrue(System.nanoTime() - startedNs >= 150_000_000L);
     }
 
     @Test
-    void aDripIsSlow() throws IOException {
-        Pair p = pair();
+    void limitsThroughput() throws IOException {
+        Pair connection = connect();
         relays.setFault(EDGE, Fault.throttled(200));
-        long began = System.nanoTime();
-        p.a.getOutputStream().write(new byte[100]);
+        long startedNs = System.nanoTime();
+        connection.a.getOutputStream().write(new byte[100]);
         for (int i = 0; i < 100; i++) {
-            p.read(p.b, PATIENCE_MS);
+            connection.read(connection.b, TIMEOUT_MS);
         }
-        assertTrue(System.nanoTime() - began >= 300_000_000L, "half a second's worth, less the first piece");
+        assertTrue(System.nanoTime() - startedNs >= 300_000_000L, "100 bytes at 200 bytes/s take 500 ms, less the first chunk");
     }
 
     @Test
-    void resetsAndRefuses() throws IOException {
-        Pair p = pair();
-        p.there(1);
-        p.read(p.b, PATIENCE_MS);
+    void resetsOpenConnectionsAndRefusesNewOnes() throws IOException {
+        Pair connection = connect();
+        connection.send(1);
+        connection.read(connection.b, TIMEOUT_MS);
         assertEquals(1, relays.reset(EDGE));
-        assertThrows(IOException.class, () -> p.read(p.a, PATIENCE_MS));
+        assertThrows(IOException.class, () -> connection.read(connection.a, TIMEOUT_MS));
         relays.setFault(EDGE, Fault.REFUSING);
         try (Socket refused = new Socket(address.getAddress(), address.getPort())) {
-            refused.setSoTimeout(PATIENCE_MS);
+            refused.setSoTimeout(TIMEOUT_MS);
             assertThrows(IOException.class, () -> {
                 if (refused.getInputStream().read() < 0) {
                     throw new IOException("closed");
@@ -125,23 +125,23 @@
     }
 
     @Test
-    void datagramsAreLostDoubledAndComeFromWhereTheyShould() throws IOException {
+    void datagramsAreDroppedAndDuplicatedAndKeepTheirSourceAddress() throws IOException {
         try (DatagramSocket a = new DatagramSocket(0, HOST); DatagramSocket b = new DatagramSocket(0, HOST)) {
-            Edge there = new Edge(Kind.SIBLING, "a", "b");
-            Edge back = new Edge(Kind.SIBLING, "b", "a");
-            var ends = relays.openUdp(there, (InetSocketAddress) a.getLocalSocketAddress(), back, (InetSocketAddress) b.getLocalSocketAddress());
-            b.setSoTimeout(PATIENCE_MS);
+            Edge forward = new Edge(Kind.SIBLING, "a", "b");
+            Edge backward = new Edge(Kind.SIBLING, "b", "a");
+            var ends = relays.openUdp(forward, (InetSocketAddress) a.getLocalSocketAddress(), backward, (InetSocketAddress) b.getLocalSocketAddress());
+            b.setSoTimeout(TIMEOUT_MS);
             send(a, ends.get(0), 1);
-            assertEquals(ends.get(1), receive(b).getSocketAddress(), "from the address that b knows a by");
-            relays.setFault(there, Fault.lossy(0, 1, 0));
+            assertEquals(ends.get(1), receive(b).getSocketAddress(), "b receives from the address that stands for a");
+            relays.setFault(forward, Fault.lossy(0, 1, 0));
             send(a, ends.get(0), 2);
             assertEquals(2, receive(b).getData()[0]);
             assertEquals(2, receive(b).getData()[0]);
-            relays.setFault(there, Fault.lossy(1, 0, 0));
+            relays.setFault(forward, Fault.lossy(1, 0, 0));
             send(a, ends.get(0), 3);
-            b.setSoTimeout(MOMENT_MS);
+            b.setSoTimeout(SILENCE_MS);
             assertThrows(SocketTimeoutException.class, () -> receive(b));
-            a.setSoTimeout(PATIENCE_MS);
+            a.setSoTimeout(TIMEOUT_MS);
             send(b, ends.get(1), 4);
             assertEquals(ends.get(0), receive(a).getSocketAddress());
         }
@@ -152,8 +152,8 @@
     }
 
     private static DatagramPacket receive(DatagramSocket at) throws IOException {
-        DatagramPacket p = new DatagramPacket(new byte[16], 16);
-        at.receive(p);
-        return p;
+        DatagramPacket packet = new DatagramPacket(new byte[16], 16);
+        at.receive(packet);
+        return packet;
     }
 }
