--- a/src/main/java/granitefold/standin/StubWorker.java
+++ b/src/main/java/granitefold/standin/StubWorker.java
@@ -95,7 +95,8 @@
         try {
             starts.merge(connection.headers.get("x-txn"), 1, Integer::sum);
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(jsonStart + "\"started\"}\n"));
-            long durationUs = (long) (Long.parseLong(connection.headers.getOrDefault("x-estimate", DEFAULT_ESTIMATE_US)) * slowdown) + fetchTimeUs(connection.startLine.split(" ")[1]);
+            long durationUs = (long) (Long.parseLong(connection.headers.getOrDefault("x-estimate", DEFAULT_ESTIMATE_US)) * slowdown)
+                    + fetchTimeUs(connection.startLine.split(" ")[1]);
             Thread.sleep(durationUs / 1000, (int) (durationUs % 1000) * 1000);
         } finally {
             slots.release();
--- a/src/main/java/granitefold/standin/faults/Errno.java
+++ b/src/main/java/granitefold/standin/faults/Errno.java
@@ -1,6 +1,6 @@
 package granitefold.standin.faults;
 
-/** Numbers of errors, as Linux has them. */
+/** Error numbers of Linux. */
 public enum Errno {
     EINTR(4), EIO(5), ENFILE(23), ENOSPC(28), EADDRNOTAVAIL(99), ENETUNREACH(101), ECONNABORTED(103), ENOBUFS(105), ETIMEDOUT(110), EHOSTUNREACH(113);
 
@@ -10,7 +10,7 @@
         this.number = number;
     }
 
-    /** The number that a failing call leaves. */
+    /** Returns the value of {@code errno}. */
     public int number() {
         return number;
     }
--- a/src/main/java/granitefold/standin/faults/SystemCallFaults.java
+++ b/src/main/java/granitefold/standin/faults/SystemCallFaults.java
@@ -10,12 +10,12 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 
-/** The control file of one process: switches its faults on and off while it runs, and counts those injected. */
+/** The control file of one process: enables and disables its faults while it runs, and counts the injected ones. */
 public final class SystemCallFaults {
     private static final String SOURCE = "faults.c", LIBRARY = "faults.so";
-    private static final int SLOT_BYTES = 16, VALUE_AT = 4, INJECTED_AT = 8;
+    private static final int SLOT_BYTES = 16, VALUE_OFFSET = 4, INJECTED_OFFSET = 8;
     private static final int ALWAYS_PERCENT = 100;
-    /** In place of a percentage. */
+    /** A special value of the percentage: only the next call is affected. */
     private static final int NEXT_CALL_ONLY = 101;
 
     private final Path library;
@@ -28,7 +28,7 @@
         this.slots = slots;
     }
 
-    /** Builds the library in a folder with the machine's C compiler, unless it is there. */
+    /** Compiles the library into a folder with the machine's C compiler, unless it exists there. */
     public static Path build(Path folder) throws IOException, InterruptedException {
         Path library = folder.resolve(LIBRARY);
         if (Files.exists(library)) {
@@ -37,7 +37,7 @@
         Path source = folder.resolve(SOURCE);
         try (InputStream in = SystemCallFaults.class.getResourceAsStream(SOURCE)) {
             if (in == null) {
-                throw new IOException("the source of the fault library is not in the jar");
+                throw new IOException("the jar does not contain the source of the fault library");
             }
             Files.write(source, in.readAllBytes());
         }
@@ -46,15 +46,15 @@
             compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-o", library.toString(), source.toString(), "-ldl")
                     .inheritIO().start();
         } catch (IOException e) {
-            throw new IOException("faults in system calls need a C compiler, cc (Debian's package gcc): " + e.getMessage());
+            throw new IOException("injecting faults into system calls needs the C compiler cc (Debian package gcc): " + e.getMessage());
         }
         if (compiler.waitFor() != 0) {
-            throw new IOException("the fault library does not compile");
+            throw new IOException("the fault library did not compile; see the output of the compiler");
         }
         return library;
     }
 
-    /** A control file with every fault off, for one process. */
+    /** Creates the control file of one process, with all faults disabled. */
     public static SystemCallFaults create(Path library, Path control) throws IOException {
         int size = SystemCallFault.values().length * SLOT_BYTES;
         try (FileChannel channel = FileChannel.open(control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
@@ -64,35 +64,35 @@
         }
     }
 
-    /** The variables with which the process has to be started. */
+    /** Returns the environment variables that the process must be started with. */
     public Map<String, String> environment() {
         return Map.of("LD_PRELOAD", library.toString(), "GRANITEFOLD_FAULTS", control.toString());
     }
 
-    /** From now on this happens to so many calls in a hundred. */
+    /** Injects the fault into a percentage of the calls from now on. */
     public void enable(SystemCallFault fault, int percent, int value) {
-        int at = fault.ordinal() * SLOT_BYTES;
-        slots.putInt(at + VALUE_AT, value);
-        slots.putInt(at, percent);
+        int offset = fault.ordinal() * SLOT_BYTES;
+        slots.putInt(offset + VALUE_OFFSET, value);
+        slots.putInt(offset, percent);
     }
 
-    /** From now on every such call fails so. */
+    /** Lets every call fail with the error from now on. */
     public void enable(SystemCallFault fault, Errno error) {
         enable(fault, ALWAYS_PERCENT, error.number());
     }
 
-    /** The next such call fails so, and it alone. */
+    /** Lets only the next call fail with the error. */
     public void failNext(SystemCallFault fault, Errno error) {
         enable(fault, NEXT_CALL_ONLY, error.number());
     }
 
-    /** From now on such calls are as they should be. */
+    /** Stops injecting the fault. */
     public void disable(SystemCallFault fault) {
         slots.putInt(fault.ordinal() * SLOT_BYTES, 0);
     }
 
-    /** How often it has happened so far. */
+    /** Returns how often the fault has been injected so far. */
     public long injected(SystemCallFault fault) {
-        return slots.getLong(fault.ordinal() * SLOT_BYTES + INJECTED_AT);
+        return slots.getLong(fault.ordinal() * SLOT_BYTES + INJECTED_OFFSET);
     }
 }
--- a/src/main/java/granitefold/standin/model/ClientRequest.java
+++ b/src/main/java/granitefold/standin/model/ClientRequest.java
@@ -1,21 +1,21 @@
 package granitefold.standin.model;
 
-/** A client's request, which it sends again for a while when it is refused. */
+/** A request of a client, which retries it a limited number of times when it is rejected. */
 final class ClientRequest {
     final int jobClass;
     final int tenant;
     final double workUs;
     final double worth;
-    final long onTimeUntilUs;
+    final long onTimeDeadlineUs;
     final long deadlineUs;
     int retries;
 
-    ClientRequest(int jobClass, int tenant, double workUs, double worth, long onTimeUntilUs, long deadlineUs) {
+    ClientRequest(int jobClass, int tenant, double workUs, double worth, long onTimeDeadlineUs, long deadlineUs) {
         this.jobClass = jobClass;
         this.tenant = tenant;
         this.workUs = workUs;
         this.worth = worth;
-        this.onTimeUntilUs = onTimeUntilUs;
+        this.onTimeDeadlineUs = onTimeDeadlineUs;
         this.deadlineUs = deadlineUs;
     }
 }
--- a/src/main/java/granitefold/standin/model/ModelAttempt.java
+++ b/src/main/java/granitefold/standin/model/ModelAttempt.java
@@ -2,7 +2,7 @@
 
 import granitefold.Dispatcher.Outcome;
 
-/** A job at a worker, and the dispatcher that hears of it. */
+/** An attempt at a worker, which reports its progress to the dispatcher that sent it. */
 final class ModelAttempt {
     final ClientRequest request;
     private final ModelDispatcher dispatcher;
--- a/src/main/java/granitefold/standin/model/ModelDispatcher.java
+++ b/src/main/java/granitefold/standin/model/ModelDispatcher.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** A dispatcher that runs the shipped decisions, with the clients that send to it. */
+/** A dispatcher that runs the production policy, together with the clients that send to it. */
 final class ModelDispatcher implements Dispatcher.Actions {
-    private static final int RETRIES_MOST = 2;
+    private static final int MAX_RETRIES = 2;
     private static final double RETRY_AFTER_US = 30_000;
 
     private final FleetModel fleet;
     private final VirtualTime time;
     private final int number;
-    private final DispatchPolicy decisions;
-    private final StarvationMeter starvation;
-    /** Requests that wait for an answer. */
-    private final Map<Long, ClientRequest> waiting = new HashMap<>();
+    private final DispatchPolicy policy;
+    private final StarvationMeter starvationMeter;
+    /** Requests without a final answer. */
+    private final Map<Long, ClientRequest> unanswered = new HashMap<>();
     private final Map<Long, List<ModelAttempt>> attempts = new HashMap<>();
     private long requests;
 
@@ -31,57 +31,57 @@
         this.fleet = fleet;
         this.time = time;
         this.number = number;
-        decisions = new DispatchPolicy(settings, seed, this);
-        starvation = new StarvationMeter(time.nowUs());
+        policy = new DispatchPolicy(settings, seed, this);
+        starvationMeter = new StarvationMeter(time.nowUs());
     }
 
     void start(List<Worker> workers) {
-        decisions.start(time.nowUs());
-        decisions.listUpdated(time.nowUs(), ListUpdate.WHOLE, workers);
+        policy.start(time.nowUs());
+        policy.listUpdated(time.nowUs(), ListUpdate.WHOLE, workers);
     }
 
-    void ask(ClientRequest request) {
+    void request(ClientRequest request) {
         long id = requests++;
         long leftUs = request.deadlineUs - time.nowUs();
-        waiting.put(id, request);
-        decisions.requested(time.nowUs(), new Request(id, request.jobClass, request.tenant, leftUs, request.workUs, 1, 0, 0));
+        unanswered.put(id, request);
+        policy.requested(time.nowUs(), new Request(id, request.jobClass, request.tenant, leftUs, request.workUs, 1, 0, 0));
         time.after(leftUs, () -> expire(id));
     }
 
     private void expire(long id) {
-        if (waiting.remove(id) != null) {
-            decisions.expired(time.nowUs(), id);
+        if (unanswered.remove(id) != null) {
+            policy.expired(time.nowUs(), id);
         }
     }
 
     void started(long id, int attempt) {
-        decisions.started(time.nowUs(), id, attempt);
+        policy.started(time.nowUs(), id, attempt);
     }
 
     void ended(ModelAttempt attempt, long id, int attemptNumber, Outcome outcome) {
         boolean served = outcome == Outcome.SERVED;
         if (served) {
-            waiting.remove(id);
+            unanswered.remove(id);
             fleet.served(attempt.request);
         }
-        decisions.ended(time.nowUs(), id, attemptNumber, served, outcome, null);
+        policy.ended(time.nowUs(), id, attemptNumber, served, outcome, null);
     }
 
-    void heard(int from, byte[] message) {
-        decisions.messageReceived(time.nowUs(), from, message);
+    void messageReceived(int from, byte[] message) {
+        policy.messageReceived(time.nowUs(), from, message);
     }
 
-    /** The longest span without an attempt, at the end of the run. */
-    double starvedS() {
-        starvation.ended(time.nowUs());
-        return starvation.longestS();
+    /** Returns, at the end of the run, the longest time without an attempt. */
+    double longestStarvationS() {
+        starvationMeter.ended(time.nowUs());
+        return starvationMeter.longestS();
     }
 
     @Override
     public void send(long id, long worker, long waitUs, long startUs) {
-        starvation.ended(time.nowUs());
+        starvationMeter.ended(time.nowUs());
         List<ModelAttempt> sent = attempts.computeIfAbsent(id, i -> new ArrayList<>());
-        ModelAttempt attempt = new ModelAttempt(this, waiting.get(id), id, sent.size());
+        ModelAttempt attempt = new ModelAttempt(this, unanswered.get(id), id, sent.size());
         sent.add(attempt);
         fleet.send(worker, attempt);
     }
@@ -90,37 +90,37 @@
     public void cancel(long id, int attempt) {
         ModelAttempt cancelled = attempts.get(id).get(attempt);
         cancelled.cancel();
-        time.after(2 * ModelWorker.NETWORK_US, () -> decisions.ended(time.nowUs(), id, attempt, true, Outcome.CANCELLED, null));
+        time.after(2 * ModelWorker.NETWORK_US, () -> policy.ended(time.nowUs(), id, attempt, true, Outcome.CANCELLED, null));
     }
 
     @Override
     public void refuse(long id, long retryAfterUs, Dispatcher.Refusal why) {
-        starvation.refused();
-        ClientRequest request = waiting.remove(id);
-        if (request != null && request.retries < RETRIES_MOST) {
+        starvationMeter.refused();
+        ClientRequest request = unanswered.remove(id);
+        if (request != null && request.retries < MAX_RETRIES) {
             request.retries++;
-            double backOff = RETRY_AFTER_US * (1 << request.retries) * (0.5 + fleet.random().nextDouble());
-            time.after((long) backOff, () -> ask(request));
+            double backOffUs = RETRY_AFTER_US * (1 << request.retries) * (0.5 + fleet.random().nextDouble());
+            time.after((long) backOffUs, () -> request(request));
         }
     }
 
     @Override
     public void fail(long id) {
-        waiting.remove(id);
+        unanswered.remove(id);
     }
 
     @Override
     public void timer(long afterUs, long token) {
-        time.after(afterUs, () -> decisions.elapsed(time.nowUs(), token));
+        time.after(afterUs, () -> policy.elapsed(time.nowUs(), token));
     }
 
     @Override
     public void sendToSibling(int sibling, byte[] message) {
-        fleet.tell(number, sibling, message);
+        fleet.sendGossip(number, sibling, message);
     }
 
     @Override
     public void watch() {
-        // the list of workers never changes here
+        // the list of workers never changes in the model
     }
 }
--- a/src/main/java/granitefold/standin/model/ModelWorker.java
+++ b/src/main/java/granitefold/standin/model/ModelWorker.java
@@ -5,11 +5,11 @@
 import java.util.Deque;
 import java.util.random.RandomGenerator;
 
-/** A worker: slots of one speed and a bounded queue. */
+/** A simulated worker: slots of equal speed and a bounded queue. */
 final class ModelWorker {
     static final int SLOTS = 5;
     static final long NETWORK_US = 300;
-    private static final int QUEUE_MOST = 50;
+    private static final int MAX_QUEUED = 50;
     private static final double[] SPEEDS = {0.9, 1.8};
     private static final double SPEED_SPREAD = 0.1, RUN_SPREAD = 0.3;
 
@@ -29,30 +29,30 @@
         speed = SPEEDS[kind] * Math.exp(SPEED_SPREAD * random.nextGaussian());
     }
 
-    void take(ModelAttempt attempt) {
+    void submit(ModelAttempt attempt) {
         if (busy < SLOTS) {
-            begin(attempt);
-        } else if (queue.size() < QUEUE_MOST) {
+            startJob(attempt);
+        } else if (queue.size() < MAX_QUEUED) {
             queue.add(attempt);
         } else {
             time.after(NETWORK_US, () -> attempt.ended(Outcome.FULL));
         }
     }
 
-    private void begin(ModelAttempt attempt) {
+    private void startJob(ModelAttempt attempt) {
         busy++;
         time.after(NETWORK_US, attempt::started);
         double noise = Math.exp(RUN_SPREAD * random.nextGaussian() - RUN_SPREAD * RUN_SPREAD / 2);
-        time.after((long) (attempt.request.workUs / speed * noise), () -> end(attempt));
+        time.after((long) (attempt.request.workUs / speed * noise), () -> endJob(attempt));
     }
 
-    private void end(ModelAttempt attempt) {
+    private void endJob(ModelAttempt attempt) {
         busy--;
         time.after(NETWORK_US, () -> attempt.ended(Outcome.SERVED));
         while (busy < SLOTS && !queue.isEmpty()) {
             ModelAttempt next = queue.remove();
             if (!next.cancelled()) {
-                begin(next);
+                startJob(next);
             }
         }
     }
--- a/src/main/java/granitefold/standin/model/StarvationCommand.java
+++ b/src/main/java/granitefold/standin/model/StarvationCommand.java
@@ -18,34 +18,35 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** How long dispatchers of a modelled fleet go without an attempt in a burst. Exit status: 0, or 2 for bad input. */
+/** Simulates bursts and prints how long dispatchers send no attempt. Exit status: 0, or 2 for invalid options. */
 @Command(name = "starvation", mixinStandardHelpOptions = true, exitCodeOnInvalidInput = 2,
-        description = "Model bursts over fleets of several sizes, and tell how long dispatchers refuse all that they get.")
+        description = "Simulate bursts in fleets of several sizes, and print how long dispatchers reject all requests.")
 public final class StarvationCommand implements Callable<Integer> {
     private static final int[] DISPATCHERS = {4, 30, 100};
     private static final double[] BURSTS = {1.5, 2.4, 5.9};
-    private static final double LOAD_LEAST = 0.7, LOAD_STEP = 0.02;
-    private static final int LOADS = 12, SEEDS_MOST = 10_000;
-    /** The standing test's limit. */
+    private static final double MIN_LOAD = 0.7, LOAD_STEP = 0.02;
+    private static final int LOADS = 12, MAX_SEEDS = 10_000;
+    /** A dispatcher counts as starved from this time on, as in the regression test for starvation. */
     private static final double STARVED_S = 4;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** A kind of fleet, and what came of its draws: spans in seconds, one for each dispatcher of each draw. */
-    private record Row(int dispatchers, double burst, boolean gossip, DescriptiveStatistics spansS, long starved, double worth, double lateShare) { }
+    /** The results of one kind of fleet; {@code spansS}: the longest time without an attempt per dispatcher and simulation. */
+    private record Row(int dispatchers, double burst, boolean gossip, DescriptiveStatistics spansS, long starved, double worth,
+            double lateShare) { }
 
     @Option(names = "--first-seed", defaultValue = "1", description = "The first seed (${DEFAULT-VALUE}).")
     private long firstSeed;
-    @Option(names = "--seeds", defaultValue = "17", description = "Seeds of each kind of fleet, of which there are 18 (${DEFAULT-VALUE}).")
+    @Option(names = "--seeds", defaultValue = "17", description = "Seeds for each of the 18 kinds of fleet (${DEFAULT-VALUE}).")
     private int seeds;
-    @Option(names = "--json", paramLabel = "FILE", description = "Write the rows there.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Write the rows to this file as JSON.")
     private Path json;
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException {
-        if (seeds < 1 || seeds > SEEDS_MOST) {
-            throw new ParameterException(spec.commandLine(), "--seeds takes 1 to " + SEEDS_MOST);
+        if (seeds < 1 || seeds > MAX_SEEDS) {
+            throw new ParameterException(spec.commandLine(), "--seeds must be from 1 to " + MAX_SEEDS);
         }
         ArrayNode rows = JSON.createArrayNode();
         for (int dispatchers : DISPATCHERS) {
@@ -64,28 +65,30 @@
     }
 
     private Row row(int dispatchers, double burst, boolean gossip) {
-        List<DrawResult> results = LongStream.range(firstSeed, firstSeed + seeds).parallel()
-                .mapToObj(seed -> FleetModel.run(new Draw(seed, dispatchers, burst, load(seed), gossip))).toList();
+        List<FleetResult> results = LongStream.range(firstSeed, firstSeed + seeds).parallel()
+                .mapToObj(seed -> FleetModel.run(new FleetScenario(seed, dispatchers, burst, load(seed), gossip))).toList();
         DescriptiveStatistics spans = new DescriptiveStatistics();
-        List<Double> starved = new ArrayList<>();
-        for (DrawResult result : results) {
+        List<Double> starvedSpansS = new ArrayList<>();
+        for (FleetResult result : results) {
             for (double s : result.starvedS()) {
                 spans.addValue(s);
                 if (s >= STARVED_S) {
-                    starved.add(s);
+                    starvedSpansS.add(s);
                 }
             }
         }
-        return new Row(dispatchers, burst, gossip, spans, starved.size(), results.stream().mapToDouble(DrawResult::worthServed).average().orElse(0),
-                results.stream().mapToDouble(DrawResult::lateShare).average().orElse(0));
+        return new Row(dispatchers, burst, gossip, spans, starvedSpansS.size(),
+                results.stream().mapToDouble(FleetResult::worthServed).average().orElse(0),
+                results.stream().mapToDouble(FleetResult::lateShare).average().orElse(0));
     }
 
     private static double load(long seed) {
-        return LOAD_LEAST + LOAD_STEP * Math.floorMod(seed, LOADS);
+        return MIN_LOAD + LOAD_STEP * Math.floorMod(seed, LOADS);
     }
 
     private void print(Row r) {
-        spec.commandLine().getOut().printf(Locale.ROOT, "%3d dispatchers, burst %.1f, gossip %s: no attempt for: median %.2f s, 99%% %.2f s, most %.2f s;"
+        spec.commandLine().getOut().printf(Locale.ROOT,
+                "%3d dispatchers, burst %.1f, gossip %s: no attempt for: median %.2f s, 99%% %.2f s, most %.2f s;"
                 + " %d of %d for 4 s; worth %.3f, late %.3f%n", r.dispatchers(), r.burst(), r.gossip() ? "on" : "off", r.spansS().getPercentile(50),
                 r.spansS().getPercentile(99), r.spansS().getMax(), r.starved(), r.spansS().getN(), r.worth(), r.lateShare());
         spec.commandLine().getOut().flush();
--- a/src/main/java/granitefold/standin/model/StarvationMeter.java
+++ b/src/main/java/granitefold/standin/model/StarvationMeter.java
@@ -1,9 +1,9 @@
 package granitefold.standin.model;
 
-/** Measures the longest span in which a dispatcher refused all that came, and enough of it to count. */
+/** Measures the longest time in which a dispatcher rejected all requests, if they were enough to count. */
 final class StarvationMeter {
-    /** The standing test counts spans in which this many requests came. */
-    private static final int REFUSALS_LEAST = 15;
+    /** Spans with fewer rejections do not count, as in the regression test for starvation. */
+    private static final int MIN_REFUSALS = 15;
 
     private long sinceUs;
     private long longestUs;
@@ -17,9 +17,9 @@
         refusals++;
     }
 
-    /** An attempt was sent, or the run ends. */
+    /** Ends the current span: an attempt was sent, or the run ends. */
     void ended(long nowUs) {
-        if (refusals >= REFUSALS_LEAST) {
+        if (refusals >= MIN_REFUSALS) {
             longestUs = Math.max(longestUs, nowUs - sinceUs);
         }
         refusals = 0;
--- a/src/main/java/granitefold/standin/model/VirtualTime.java
+++ b/src/main/java/granitefold/standin/model/VirtualTime.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock that jumps from one scheduled task to the next, in microseconds. */
+/** A scheduler in virtual time: its clock, in microseconds, advances from one scheduled task to the next. */
 final class VirtualTime {
     private record Task(long atUs, long number, Runnable action) { }
 
     private final PriorityQueue<Task> tasks = new PriorityQueue<>(Comparator.comparingLong(Task::atUs).thenComparingLong(Task::number));
     private final long startUs;
     private long nowUs;
-    private long scheduled;
+    private long tasksScheduled;
 
     VirtualTime(long startUs) {
         this.startUs = startUs;
@@ -26,10 +26,10 @@
     }
 
     void after(long delayUs, Runnable action) {
-        tasks.add(new Task(nowUs + Math.max(0, delayUs), scheduled++, action));
+        tasks.add(new Task(nowUs + Math.max(0, delayUs), tasksScheduled++, action));
     }
 
-    /** Runs what is due until so long after the start. */
+    /** Runs all tasks that are due within {@code lengthUs} after the start. */
     void run(long lengthUs) {
         while (!tasks.isEmpty() && tasks.peek().atUs() <= startUs + lengthUs) {
             Task next = tasks.remove();
--- a/src/main/java/granitefold/standin/model/Workload.java
+++ b/src/main/java/granitefold/standin/model/Workload.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** What clients ask for: three classes of different work and urgency, and tenants of which one is over its share. */
+/** The requests of clients: three job classes of different work and urgency, and tenants of which one exceeds its quota. */
 final class Workload {
-    private static final double STRETCH = 2, WORK_SPREAD = 0.8, OVER_SHARE = 0.4, QUOTA_OF_CAPACITY = 0.85;
-    private static final long KEY_WINDOW_US = 12_000_000;
+    private static final double WORK_STRETCH = 2, WORK_SPREAD = 0.8, HEAVY_TENANT_SHARE = 0.4, QUOTA_SHARE_OF_CAPACITY = 0.85;
+    private static final long DEDUPLICATION_WINDOW_US = 12_000_000;
     private static final int TENANTS = 4;
 
     private record Kind(double share, double workUs, double worth, long onTimeUs, long deadlineUs, Effect effect) { }
@@ -31,26 +31,26 @@
     static List<JobClass> classes() {
         List<JobClass> classes = new ArrayList<>();
         for (Kind k : KINDS) {
-            classes.add(new JobClass(k.effect(), Group.ALL, KEY_WINDOW_US, k.onTimeUs(), k.deadlineUs(), STRETCH, -1, k.worth(), 0));
+            classes.add(new JobClass(k.effect(), Group.ALL, DEDUPLICATION_WINDOW_US, k.onTimeUs(), k.deadlineUs(), WORK_STRETCH, -1, k.worth(), 0));
         }
         return classes;
     }
 
     static List<Dispatcher.Tenant> tenants(double capacityPerS) {
-        return Collections.nCopies(TENANTS, new Dispatcher.Tenant(1.0 / TENANTS, QUOTA_OF_CAPACITY * capacityPerS / TENANTS));
+        return Collections.nCopies(TENANTS, new Dispatcher.Tenant(1.0 / TENANTS, QUOTA_SHARE_OF_CAPACITY * capacityPerS / TENANTS));
     }
 
     static ClientRequest next(RandomGenerator random, long nowUs) {
-        double drawn = random.nextDouble();
-        int type = 0;
-        while (type < KINDS.size() - 1 && drawn >= KINDS.get(type).share()) {
-            drawn -= KINDS.get(type).share();
-            type++;
+        double remaining = random.nextDouble();
+        int jobClass = 0;
+        while (jobClass < KINDS.size() - 1 && remaining >= KINDS.get(jobClass).share()) {
+            remaining -= KINDS.get(jobClass).share();
+            jobClass++;
         }
-        Kind kind = KINDS.get(type);
-        int tenant = random.nextDouble() < OVER_SHARE ? 0 : random.nextInt(TENANTS);
+        Kind kind = KINDS.get(jobClass);
+        int tenant = random.nextDouble() < HEAVY_TENANT_SHARE ? 0 : random.nextInt(TENANTS);
         double workUs = kind.workUs() * Math.exp(WORK_SPREAD * random.nextGaussian() - WORK_SPREAD * WORK_SPREAD / 2);
-        long onTimeUs = kind.onTimeUs() + (long) (STRETCH * workUs);
-        return new ClientRequest(type, tenant, workUs, kind.worth(), nowUs + onTimeUs, nowUs + kind.deadlineUs());
+        long onTimeUs = kind.onTimeUs() + (long) (WORK_STRETCH * workUs);
+        return new ClientRequest(jobClass, tenant, workUs, kind.worth(), nowUs + onTimeUs, nowUs + kind.deadlineUs());
     }
 }
--- a/src/main/java/granitefold/standin/model/package-info.java
+++ b/src/main/java/granitefold/standin/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A model of a whole fleet on virtual time: dispatchers that run the shipped decisions, workers with slots and queues, clients that
- * retry. It needs no processes and no sockets, so that hundreds of draws take a minute.
+ * A simulation of a whole fleet in virtual time: dispatchers that run the production policy, workers with slots and queues, and
+ * clients that retry. It needs no processes and no sockets, so that hundreds of runs take a minute.
  */
 package granitefold.standin.model;
--- a/src/main/java/granitefold/standin/soak/SoakCommand.java
+++ b/src/main/java/granitefold/standin/soak/SoakCommand.java
@@ -22,85 +22,86 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Plays of the soak over seeds. Exit status: 0 where no rule is broken, 1 where one is, 2 for bad input. */
-@Command(name = "soak", mixinStandardHelpOptions = true, exitCodeOnInvalidInput = SoakCommand.BAD_INPUT,
-        description = "Play random, overlapping faults over a fleet of real processes, a play a seed.")
+/** Runs the soak test for a range of seeds. Exit status: 0 if no rule was broken, 1 if one was, 2 for invalid options. */
+@Command(name = "soak", mixinStandardHelpOptions = true, exitCodeOnInvalidInput = SoakCommand.INVALID_OPTIONS,
+        description = "Run fleets of real processes under random, overlapping faults, one test run per seed.")
 public final class SoakCommand implements Callable<Integer> {
-    static final int BAD_INPUT = 2;
-    private static final int BROKEN_RULE = 1, SHOWN_MOST = 5, TOLD_MOST = 20;
-    private static final long LENGTH_LEAST_S = 6, LENGTH_MOST_S = 600;
-    private static final int SEEDS_MOST = 100_000;
+    static final int INVALID_OPTIONS = 2;
+    private static final int RULE_BROKEN = 1, MAX_PRINTED_VIOLATIONS = 5, MAX_REPORTED_VIOLATIONS = 20;
+    private static final long MIN_LENGTH_S = 6, MAX_LENGTH_S = 600;
+    private static final int MAX_SEEDS = 100_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @Option(names = "--first-seed", defaultValue = "1", description = "The first play's (${DEFAULT-VALUE}).")
+    @Option(names = "--first-seed", defaultValue = "1", description = "Seed of the first test run (${DEFAULT-VALUE}).")
     private long firstSeed;
-    @Option(names = "--seeds", defaultValue = "10", description = "Plays, each with the next seed (${DEFAULT-VALUE}).")
+    @Option(names = "--seeds", defaultValue = "10", description = "Number of test runs, with consecutive seeds (${DEFAULT-VALUE}).")
     private int seeds;
-    @Option(names = "--length", defaultValue = "10", description = "Seconds for which clients ask in a play (${DEFAULT-VALUE}).")
+    @Option(names = "--length", defaultValue = "10", description = "Seconds of client load per test run (${DEFAULT-VALUE}).")
     private long lengthS;
-    @Option(names = "--jar", defaultValue = "target/granitefold.jar", description = "The dispatchers' jar (${DEFAULT-VALUE}).")
+    @Option(names = "--jar", defaultValue = "target/granitefold.jar", description = "Jar of the dispatchers (${DEFAULT-VALUE}).")
     private Path jar;
-    @Option(names = "--json", paramLabel = "FILE", description = "Write the report there, anew after each play.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Write the report to this file, updated after each test run.")
     private Path json;
-    @Option(names = "--histories", paramLabel = "FOLDER", description = "Write what was seen in each play that breaks a rule there.")
+    @Option(names = "--histories", paramLabel = "FOLDER", description = "Write the history of each test run that fails to this folder.")
     private Path histories;
-    @Option(names = "--print", description = "Print the scenarios of the seeds instead of playing them.")
+    @Option(names = "--print", description = "Print the scenarios of the seeds instead of running them.")
     private boolean print;
     @Spec
     private CommandSpec spec;
 
-    /** The scenario that a seed stands for. */
+    /** Returns the scenario that is generated from a seed. */
     public static Scenario scenario(long seed, long lengthS) throws granitefold.operator.InvalidFileException {
         return Scenario.read("soak-" + seed, SoakPlan.text(seed, 1000 * lengthS));
     }
 
     @Override
     public Integer call() throws Exception {
-        check();
-        ArrayNode plays = JSON.createArrayNode();
-        int broken = 0;
+        checkOptions();
+        ArrayNode reports = JSON.createArrayNode();
+        int failedRuns = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
             if (print) {
                 spec.commandLine().getOut().println(SoakPlan.text(seed, 1000 * lengthS));
                 continue;
             }
             Play p = Play.run(scenario(seed, lengthS), seed, jar, r -> { });
-            broken += p.well() ? 0 : 1;
-            told(p);
-            plays.add(json(p));
-            write(plays);
+            failedRuns += p.well() ? 0 : 1;
+            print(p);
+            reports.add(json(p));
+            write(reports);
             if (!p.well() && histories != null) {
                 History.write(p.history(), Files.createDirectories(histories).resolve("seed-" + seed + ".jsonl"));
             }
         }
         if (!print) {
-            spec.commandLine().getOut().printf("%d plays, a rule broken or the script failed in %d%n", seeds, broken);
+            spec.commandLine().getOut().printf("%d test runs; a rule was broken or the script failed in %d%n", seeds, failedRuns);
         }
-        return broken == 0 ? 0 : BROKEN_RULE;
+        return failedRuns == 0 ? 0 : RULE_BROKEN;
     }
 
-    private void check() {
-        if (seeds < 1 || seeds > SEEDS_MOST) {
-            throw new ParameterException(spec.commandLine(), "--seeds takes 1 to " + SEEDS_MOST);
+    private void checkOptions() {
+        if (seeds < 1 || seeds > MAX_SEEDS) {
+            throw new ParameterException(spec.commandLine(), "--seeds must be from 1 to " + MAX_SEEDS);
         }
-        if (lengthS < LENGTH_LEAST_S || lengthS > LENGTH_MOST_S) {
-            throw new ParameterException(spec.commandLine(), "--length takes " + LENGTH_LEAST_S + " to " + LENGTH_MOST_S + " seconds");
+        if (lengthS < MIN_LENGTH_S || lengthS > MAX_LENGTH_S) {
+            throw new ParameterException(spec.commandLine(), "--length must be from " + MIN_LENGTH_S + " to " + MAX_LENGTH_S + " seconds");
         }
         if (!Files.isReadable(jar)) {
             throw new ParameterException(spec.commandLine(), "--jar: " + jar + " cannot be read");
         }
         if (json != null && json.toAbsolutePath().getParent() != null && !Files.isDirectory(json.toAbsolutePath().getParent())) {
-            throw new ParameterException(spec.commandLine(), "--json: there is no folder for " + json);
+            throw new ParameterException(spec.commandLine(), "--json: the folder of this file does not exist: " + json);
         }
     }
 
-    private void told(Play p) {
+    private void print(Play p) {
         PrintWriter out = spec.commandLine().getOut();
         Tallies.Row all = p.tallies().all();
-        out.printf(Locale.ROOT, "seed %d: asked %d, service %.3f, rejected %d, failed %d, lost %d, left %d: %s%n", p.seed(), all.asked, all.service(),
+        out.printf(Locale.ROOT, "seed %d: requests %d, service %.3f, rejected %d, failed %d, lost %d, left %d: %s%n",
+                p.seed(), all.asked, all.service(),
                 all.count(Tallies.End.REJECTED), all.count(Tallies.End.FAILED), all.count(Tallies.End.LOST), all.count(Tallies.End.LEFT),
-                p.failed() != null ? "the script failed: " + p.failed() : p.violations().isEmpty() ? "no rule broken" : "BROKEN " + counts(p));
-        p.violations().stream().limit(SHOWN_MOST).forEach(v -> out.println("  " + v));
+                p.failed() != null ? "the script failed: " + p.failed() : p.violations().isEmpty() ? "no rule broken" : "rules broken: " + counts(p));
+        p.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(v -> out.println("  " + v));
         out.flush();
     }
 
@@ -119,14 +120,14 @@
         ObjectNode faults = o.putObject("injected");
         p.injected().forEach(faults::put);
         ArrayNode violations = o.putArray("violations");
-        p.violations().stream().limit(TOLD_MOST).forEach(v -> violations.addObject().put("rule", v.rule().name()).put("at_ms", v.atUs() / 1000)
-                .put("what", v.what()));
+        p.violations().stream().limit(MAX_REPORTED_VIOLATIONS).forEach(v -> violations.addObject().put("rule", v.rule().name())
+                .put("at_ms", v.atUs() / 1000).put("what", v.what()));
         return o.put("violations_in_all", p.violations().size());
     }
 
-    private void write(ArrayNode plays) throws IOException {
+    private void write(ArrayNode reports) throws IOException {
         if (json != null) {
-            Files.writeString(json, JSON.writerWithDefaultPrettyPrinter().writeValueAsString(plays) + "\n");
+            Files.writeString(json, JSON.writerWithDefaultPrettyPrinter().writeValueAsString(reports) + "\n");
         }
     }
 }
--- a/src/main/java/granitefold/standin/soak/package-info.java
+++ b/src/main/java/granitefold/standin/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The soak: fleets of real processes under random, overlapping faults, each play drawn from its seed and judged by the checker
- * of the rules.
+ * The soak test: fleets of real processes under random, overlapping faults. Each test run is generated from its seed, and the
+ * history checker decides whether it broke a rule.
  */
 package granitefold.standin.soak;
--- a/src/main/resources/granitefold/standin/faults/faults.c
+++ b/src/main/resources/granitefold/standin/faults/faults.c
@@ -1,7 +1,7 @@
 /*
- * Preloaded into a dispatcher by the soak: lets system calls fail as Linux documents, at the word of the process that
- * maps the same control file. One slot for each kind of fault; the harness writes `percent` and `value`, this library
- * counts in `injected` what it did. Nothing is allocated, and without a control file every call passes through.
+ * Is preloaded into a dispatcher by the soak test and injects failures of system calls that Linux documents. The test process
+ * maps the same control file, which has one slot per kind of fault: the test process writes `percent` and `value`, this
+ * library counts the injected faults in `injected`. It allocates no memory; without a control file all calls pass through.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -30,20 +30,20 @@
 };
 
 #define NS_PER_MS 1000000L
-#define HOLD_APART_MS 500
-/* In place of a percentage. */
+#define MIN_HOLD_INTERVAL_MS 500
+/* A special value of `percent`: only the next call is affected. */
 #define NEXT_CALL_ONLY 101
 #define RESOLVE(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
 #define CALL(name, ...) ({ static __typeof__(&name) next; if (!next) next = RESOLVE(name); next(__VA_ARGS__); })
 
-#define TRACKED 65536
+#define MAX_TRACKED_FD 65536
 
 static struct slot *slots;
-/* Descriptors that the process has connected by itself: only these are broken, the clients' are the harness's to break. */
-static volatile unsigned char outgoing[TRACKED];
+/* Descriptors of outgoing connections. BROKEN_READ applies only to these; the test process breaks those of clients itself. */
+static volatile unsigned char outgoing[MAX_TRACKED_FD];
 
 static void note_outgoing(int fd, unsigned char value) {
-    if (fd >= 0 && fd < TRACKED) {
+    if (fd >= 0 && fd < MAX_TRACKED_FD) {
         outgoing[fd] = value;
     }
 }
@@ -60,7 +60,7 @@
     close(fd);
 }
 
-static unsigned draw(void) {
+static unsigned random_percent(void) {
     if (!random_state) {
         struct timespec now;
         CALL(clock_gettime, CLOCK_MONOTONIC, &now);
@@ -72,17 +72,18 @@
     return (unsigned) (random_state >> 33) % 100;
 }
 
-/* Whether a call is the one that a fault of a single call waits for. */
-static int is_next(enum fault kind) {
+/* Claims the fault of a single call, so that no other thread injects it again. */
+static int claim_next_call(enum fault kind) {
     int32_t expected = NEXT_CALL_ONLY;
     return __atomic_compare_exchange_n(&slots[kind].percent, &expected, 0, 0, __ATOMIC_RELAXED, __ATOMIC_RELAXED);
 }
 
-static int hits(enum fault kind) {
-    if (!slots || slots[kind].percent <= 0 || (int) draw() >= slots[kind].percent) {
+/* Decides whether this call is affected, and counts it if so. */
+static int should_inject(enum fault kind) {
+    if (!slots || slots[kind].percent <= 0 || (int) random_percent() >= slots[kind].percent) {
         return 0;
     }
-    if (slots[kind].percent == NEXT_CALL_ONLY && !is_next(kind)) {
+    if (slots[kind].percent == NEXT_CALL_ONLY && !claim_next_call(kind)) {
         return 0;
     }
     __atomic_add_fetch(&slots[kind].injected, 1, __ATOMIC_RELAXED);
@@ -90,7 +91,7 @@
 }
 
 static int fails(enum fault kind) {
-    if (!hits(kind)) {
+    if (!should_inject(kind)) {
         return 0;
     }
     errno = slots[kind].value;
@@ -108,23 +109,23 @@
     return is_type(fd, S_IFSOCK) && getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
 }
 
-/* A process is held up once between two reads of its clock, not at each piece of one message. */
-static int64_t next_hold;
+/* A process is delayed at most once between two reads of its clock, not at each write of one message. */
+static int64_t next_hold_ms;
 
 static void hold(void) {
     struct timespec now;
     CALL(clock_gettime, CLOCK_MONOTONIC, &now);
-    int64_t at = (int64_t) now.tv_sec * 1000 + now.tv_nsec / NS_PER_MS;
-    if (at >= next_hold && hits(HELD_WRITE)) {
-        next_hold = at + slots[HELD_WRITE].value + HOLD_APART_MS;
-        struct timespec span = {0, slots[HELD_WRITE].value * NS_PER_MS};
-        nanosleep(&span, NULL);
+    int64_t now_ms = (int64_t) now.tv_sec * 1000 + now.tv_nsec / NS_PER_MS;
+    if (now_ms >= next_hold_ms && should_inject(HELD_WRITE)) {
+        next_hold_ms = now_ms + slots[HELD_WRITE].value + MIN_HOLD_INTERVAL_MS;
+        struct timespec delay = {0, slots[HELD_WRITE].value * NS_PER_MS};
+        nanosleep(&delay, NULL);
     }
 }
 
-/* A path that has broken stays so: the kernel's own connection is ended along with the error. */
-static int breaks(int fd) {
-    if (slots && slots[BROKEN_READ].percent > 0 && fd >= 0 && fd < TRACKED && outgoing[fd] && is_stream(fd) && fails(BROKEN_READ)) {
+/* Fails a read and shuts down the kernel's connection, since a broken connection stays broken. */
+static int fails_and_breaks(int fd) {
+    if (slots && slots[BROKEN_READ].percent > 0 && fd >= 0 && fd < MAX_TRACKED_FD && outgoing[fd] && is_stream(fd) && fails(BROKEN_READ)) {
         int error = errno;
         shutdown(fd, SHUT_RDWR);
         errno = error;
@@ -134,12 +135,12 @@
 }
 
 static size_t shortened(enum fault kind, int fd, size_t count) {
-    return slots && count > 1 && slots[kind].percent > 0 && is_stream(fd) && hits(kind) ? 1 + count / 4 : count;
+    return slots && count > 1 && slots[kind].percent > 0 && is_stream(fd) && should_inject(kind) ? 1 + count / 4 : count;
 }
 
-/* A signal comes before the first byte. */
+/* Injects a signal before the first byte is transferred. */
 static int interrupted(int fd) {
-    if (!slots || slots[INTERRUPTED].percent <= 0 || !is_stream(fd) || !hits(INTERRUPTED)) {
+    if (!slots || slots[INTERRUPTED].percent <= 0 || !is_stream(fd) || !should_inject(INTERRUPTED)) {
         return 0;
     }
     errno = EINTR;
@@ -170,54 +171,54 @@
     return CALL(connect, fd, address, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    if (slots && hits(WAIT)) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    if (slots && should_inject(WAIT)) {
         errno = EINTR;
         return -1;
     }
-    return CALL(epoll_wait, fd, events, most, timeout);
+    return CALL(epoll_wait, fd, events, max_events, timeout);
 }
 
-ssize_t read(int fd, void *to, size_t count) {
-    return breaks(fd) || interrupted(fd) ? -1 : CALL(read, fd, to, shortened(SHORT_READ, fd, count));
+ssize_t read(int fd, void *buffer, size_t count) {
+    return fails_and_breaks(fd) || interrupted(fd) ? -1 : CALL(read, fd, buffer, shortened(SHORT_READ, fd, count));
 }
 
-ssize_t readv(int fd, const struct iovec *to, int count) {
-    return breaks(fd) || interrupted(fd) ? -1 : CALL(readv, fd, to, count);
+ssize_t readv(int fd, const struct iovec *buffers, int count) {
+    return fails_and_breaks(fd) || interrupted(fd) ? -1 : CALL(readv, fd, buffers, count);
 }
 
 static int storage_fails(int fd) {
     return slots && slots[STORAGE_WRITE].percent > 0 && is_type(fd, S_IFREG) && fails(STORAGE_WRITE);
 }
 
-ssize_t write(int fd, const void *from, size_t count) {
+ssize_t write(int fd, const void *buffer, size_t count) {
     if (storage_fails(fd) || interrupted(fd)) {
         return -1;
     }
     if (slots && slots[HELD_WRITE].percent > 0 && is_stream(fd)) {
         hold();
     }
-    return CALL(write, fd, from, shortened(SHORT_WRITE, fd, count));
+    return CALL(write, fd, buffer, shortened(SHORT_WRITE, fd, count));
 }
 
-ssize_t writev(int fd, const struct iovec *from, int count) {
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
     if (storage_fails(fd) || interrupted(fd)) {
         return -1;
     }
     if (slots && slots[HELD_WRITE].percent > 0 && is_stream(fd)) {
         hold();
     }
-    if (slots && count > 0 && from[0].iov_len > 0) {
-        size_t less = shortened(SHORT_WRITE, fd, from[0].iov_len);
-        if (less < from[0].iov_len) {
-            return CALL(write, fd, from[0].iov_base, less);
+    if (slots && count > 0 && buffers[0].iov_len > 0) {
+        size_t length = shortened(SHORT_WRITE, fd, buffers[0].iov_len);
+        if (length < buffers[0].iov_len) {
+            return CALL(write, fd, buffers[0].iov_base, length);
         }
     }
-    return CALL(writev, fd, from, count);
+    return CALL(writev, fd, buffers, count);
 }
 
-ssize_t pwrite64(int fd, const void *from, size_t count, off64_t at) {
-    return storage_fails(fd) ? -1 : CALL(pwrite64, fd, from, count, at);
+ssize_t pwrite64(int fd, const void *buffer, size_t count, off64_t offset) {
+    return storage_fails(fd) ? -1 : CALL(pwrite64, fd, buffer, count, offset);
 }
 
 int fsync(int fd) {
--- a/src/test/java/granitefold/standin/AgentReplyFuzz.java
+++ b/src/test/java/granitefold/standin/AgentReplyFuzz.java
@@ -21,7 +21,8 @@
             throw new AssertionError("not one line of ASCII: " + sent);
         }
         AgentReply reply = AgentReply.parse(sent);
-        boolean correct = status.acceptsTraffic() ? reply.weight() == weight && reply.maxconn() == 7 && reply.up() && ready == "ready".equals(reply.admin())
+        boolean correct = status.acceptsTraffic()
+                ? reply.weight() == weight && reply.maxconn() == 7 && reply.up() && ready == "ready".equals(reply.admin())
                 : reply.weight() == -1 && (Boolean.FALSE.equals(reply.up()) || reply.admin() != null && !reply.admin().equals("ready"));
         if (!correct) {
             throw new AssertionError(status + " is parsed as " + reply + " from " + sent);
--- a/src/test/java/granitefold/standin/edge/RelaysTest.java
+++ b/src/test/java/granitefold/standin/edge/RelaysTest.java
@@ -129,7 +129,8 @@
         try (DatagramSocket a = new DatagramSocket(0, HOST); DatagramSocket b = new DatagramSocket(0, HOST)) {
             Edge forward = new Edge(Kind.SIBLING, "a", "b");
             Edge backward = new Edge(Kind.SIBLING, "b", "a");
-            var ends = relays.openUdp(forward, (InetSocketAddress) a.getLocalSocketAddress(), backward, (InetSocketAddress) b.getLocalSocketAddress());
+            var ends = relays.openUdp(forward, (InetSocketAddress) a.getLocalSocketAddress(),
+                    backward, (InetSocketAddress) b.getLocalSocketAddress());
             b.setSoTimeout(TIMEOUT_MS);
             send(a, ends.get(0), 1);
             assertEquals(ends.get(1), receive(b).getSocketAddress(), "b receives from the address that stands for a");
