--- a/src/main/java/granitefold/core/DiscoveryWatch.java
+++ b/src/main/java/granitefold/core/DiscoveryWatch.java
@@ -5,55 +5,55 @@
 import java.util.SplittableRandom;
 
 /**
- * The watch on discovery, on one clock. Whatever discovery has, and could be asked for, counts as told 6 s later, whether it
- * arrived or not. From any moment at which discovery can be reached again it takes at most {@link #SILENT_US} until the call that
- * is out is given up, or {@link #PAUSE_MOST_US} until the pause is over; a call that was out for longer than the pause is followed
- * by the next one at once. The last list stands meanwhile.
+ * Keeps a watch call to discovery open. A list that discovery offers is binding 6 s later, received or not. Once discovery is
+ * reachable again, it takes at most {@link #SILENCE_TIMEOUT_US} to give up the pending call, or {@link #MAX_BACKOFF_US} to end
+ * the backoff; a call that was open for longer than the backoff is followed by the next one at once. The last list is used
+ * meanwhile.
  */
 final class DiscoveryWatch {
-    /** Heartbeats come every 2 s; after this much silence the call is given up, whatever had become of it. */
-    static final long SILENT_US = 3_000_000;
-    /** The first and the longest time from one call to the next; by chance up to half of it less. */
-    static final long PAUSE_FIRST_US = 50_000, PAUSE_MOST_US = 1_000_000;
+    /** A call without a message for this long is given up, in whatever state; heartbeats come every 2 s. */
+    static final long SILENCE_TIMEOUT_US = 3_000_000;
+    /** The initial and the longest backoff between the starts of two calls; jitter shortens it by up to half. */
+    static final long INITIAL_BACKOFF_US = 50_000, MAX_BACKOFF_US = 1_000_000;
 
     /**
-     * An agent that for so long has told nothing but lists of an older index does not lag behind, since what lags counts as
-     * told by then: discovery has begun anew, and counts from there.
+     * The longest time that an agent may lag behind, since a list is binding after it. An agent that sends only older versions for
+     * longer is not lagging: discovery has restarted its version count, which is accepted then.
      */
-    private static final long BEHIND_US = 6_000_000;
+    private static final long MAX_LAG_US = 6_000_000;
 
     private enum State {
-        /** A call was made and nothing has come yet: it may be dialling, or wait for an answer. */
+        /** A call was started and nothing has been received: it is connecting or waits for an answer. */
         CALLED,
-        /** Words come. */
-        HEARD,
-        /** The next call is still to be made. */
-        PAUSED
+        /** The call has received a message. */
+        RECEIVING,
+        /** No call is open; the next one starts when the backoff ends. */
+        BACKING_OFF
     }
 
-    /** What is to be done with a list. */
+    /** How much of a message's list is applied. */
     enum ListAcceptance {
-        /** There is none, or it says nothing. */
-        NOTHING,
-        /** It is older than ours: who is told to drain there gets nothing new, and nobody is taken for up again. */
-        DRAINS,
-        /** It is taken in. */
-        ALL
+        /** Nothing: there is no list, or it is not credible. */
+        IGNORED,
+        /** The list is older than the current one: workers that it drains get no new jobs, and none becomes ready again. */
+        DRAINS_ONLY,
+        /** The whole list. */
+        ACCEPTED
     }
 
     private final Timers timers;
     private final List<Effect> effects;
     private final SplittableRandom random;
-    private State state = State.PAUSED;
+    private State state = State.BACKING_OFF;
     private String address;
     private long version;
     private long calledAt;
-    private long heardAt;
-    private long pause = PAUSE_FIRST_US;
-    /** Whether the last list was not taken in whole; since when all were older than ours, or 0. */
-    private boolean refused;
-    private long behindSince;
-    /** The end of a silence or of a pause. */
+    private long lastReceivedAt;
+    private long backoff = INITIAL_BACKOFF_US;
+    /** Whether the last list was rejected; since when all lists were older than the current one, or 0. */
+    private boolean rejecting;
+    private long olderListsSince;
+    /** Ends the wait for a message or the backoff. */
     private Timers.Timer timer;
 
     DiscoveryWatch(String address, long version, long seed, Timers timers, List<Effect> effects) {
@@ -69,90 +69,90 @@
     }
 
     void open(long now) {
-        calledAt = heardAt = now;
+        calledAt = lastReceivedAt = now;
         effects.add(new Effect.OpenWatch(address, version));
-        enter(State.CALLED, now + SILENT_US);
+        enter(State.CALLED, now + SILENCE_TIMEOUT_US);
     }
 
     private void enter(State next, long until) {
         state = next;
         timers.cancel(timer);
-        timer = timers.at(until, this::due);
+        timer = timers.at(until, this::timerElapsed);
     }
 
-    private void due(long now) {
-        if (state == State.PAUSED) {
+    private void timerElapsed(long now) {
+        if (state == State.BACKING_OFF) {
             open(now);
-        } else if (now - heardAt < SILENT_US) {
-            enter(state, heardAt + SILENT_US);
+        } else if (now - lastReceivedAt < SILENCE_TIMEOUT_US) {
+            enter(state, lastReceivedAt + SILENCE_TIMEOUT_US);
         } else {
-            // a cut link says nothing: only the missing heartbeats show it
+            // a broken link shows only by missing heartbeats
             effects.add(new Effect.CloseWatch());
             ended("silent", now);
         }
     }
 
-    /** A word has come, without news where {@code list} is null. */
-    ListAcceptance heard(WorkerList list, boolean workersKnown, long now) {
-        heardAt = now;
-        state = State.HEARD;
+    /** A message was received; a heartbeat if {@code list} is null. */
+    ListAcceptance received(WorkerList list, boolean workersKnown, long now) {
+        lastReceivedAt = now;
+        state = State.RECEIVING;
         boolean older = list != null && list.version() < version;
-        if (behindSince != 0 && now - behindSince >= BEHIND_US && (list == null || older)) {
-            // from its first list on
-            behindSince = 0;
+        if (olderListsSince != 0 && now - olderListsSince >= MAX_LAG_US && (list == null || older)) {
+            // asks for the whole list under the new version count
+            olderListsSince = 0;
             version = 0;
             effects.add(new Effect.CloseWatch());
             open(now);
-            return ListAcceptance.NOTHING;
+            return ListAcceptance.IGNORED;
         }
         if (list == null) {
-            return ListAcceptance.NOTHING;
+            return ListAcceptance.IGNORED;
         }
         if (list.whole() && list.entries().isEmpty() && workersKnown) {
-            // nobody runs a fleet of none: what lost its own list, or has not read it yet, says this
-            refuse("empty");
-            return ListAcceptance.NOTHING;
+            // no fleet has zero workers: discovery has lost its list or not read it yet
+            reject("empty");
+            return ListAcceptance.IGNORED;
         }
         if (older) {
-            // an agent that lags behind, or one moved to: whom it takes for up may be told to drain by now
-            behindSince = behindSince == 0 ? now : behindSince;
-            refuse("older than " + version);
-            return ListAcceptance.DRAINS;
+            // a lagging agent, or one at a new address: workers it calls ready may be draining by now
+            olderListsSince = olderListsSince == 0 ? now : olderListsSince;
+            reject("older than " + version);
+            return ListAcceptance.DRAINS_ONLY;
         }
-        behindSince = 0;
-        refused = false;
+        olderListsSince = 0;
+        rejecting = false;
         version = list.version();
-        return ListAcceptance.ALL;
+        return ListAcceptance.ACCEPTED;
     }
 
-    /** Logs the change of state, not each list. */
-    private void refuse(String why) {
-        if (!refused) {
-            refused = true;
-            effects.add(new Effect.Log(LogEvent.DISCOVERY_REFUSED, why));
+    /** Logs the first of consecutive rejections. */
+    private void reject(String reason) {
+        if (!rejecting) {
+            rejecting = true;
+            effects.add(new Effect.Log(LogEvent.DISCOVERY_REFUSED, reason));
         }
     }
 
-    /** Leaves the watch on the old address, which may be about to end, for one on the new, at once. */
-    void move(String to, long now) {
-        if (!to.equals(address)) {
-            address = to;
-            pause = PAUSE_FIRST_US;
+    /** Closes the watch on the old address, which may be about to shut down, and opens one on the new address at once. */
+    void changeAddress(String newAddress, long now) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
+            backoff = INITIAL_BACKOFF_US;
             effects.add(new Effect.CloseWatch());
             open(now);
         }
     }
 
-    /** The call has ended, or was given up. */
-    void ended(String why, long now) {
-        if (state == State.PAUSED) {
+    /** The call has ended or was given up; the next one follows after the backoff. */
+    void ended(String reason, long now) {
+        if (state == State.BACKING_OFF) {
             return;
         }
-        effects.add(new Effect.Log(LogEvent.DISCOVERY_ENDED, why));
-        // one that was heard for a while is no sign of trouble; one that ends as soon as it has spoken is
-        pause = state == State.HEARD && now - calledAt >= PAUSE_MOST_US ? PAUSE_FIRST_US : pause;
-        long least = pause / 2 + random.nextLong(pause / 2);
-        pause = Math.min(PAUSE_MOST_US, pause * 2);
-        enter(State.PAUSED, Math.max(now, calledAt + least));
+        effects.add(new Effect.Log(LogEvent.DISCOVERY_ENDED, reason));
+        // the backoff is reset only by a call that was up for a while: one that ends right after a message is a failure
+        backoff = state == State.RECEIVING && now - calledAt >= MAX_BACKOFF_US ? INITIAL_BACKOFF_US : backoff;
+        long delay = backoff / 2 + random.nextLong(backoff / 2);
+        backoff = Math.min(MAX_BACKOFF_US, backoff * 2);
+        enter(State.BACKING_OFF, Math.max(now, calledAt + delay));
     }
 }
--- a/src/main/java/granitefold/core/OptionalFeatures.java
+++ b/src/main/java/granitefold/core/OptionalFeatures.java
@@ -4,18 +4,25 @@
 import granitefold.health.HealthSettings;
 import granitefold.recovery.LearnedStateAgingSettings;
 
-/** What an operator's file adds to the core, each part null where it is off; {@code figures}: they are kept;
- * {@code trace}: what becomes of each request and connection is logged. */
-public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean figures,
+/**
+ * Features that an operator's file enables.
+ *
+ * @param availability null if availability is not reported
+ * @param health null if the health of workers is not checked
+ * @param persistence null if no state is saved
+ * @param metrics whether metrics are collected and published
+ * @param trace whether the course of each request and connection is logged
+ */
+public record OptionalFeatures(AvailabilitySettings availability, HealthSettings health, Persistence persistence, boolean metrics,
         boolean trace) {
-    /** What was learned is to outlive the process: it is given out at this interval, in microseconds. */
-    public record Persistence(long intervalUs, LearnedStateAgingSettings ageing) { }
+    /** Saving of the learned state, at an interval in microseconds; {@code aging} adapts it when it is restored. */
+    public record Persistence(long intervalUs, LearnedStateAgingSettings aging) { }
 
-    /** The same with or without figures. */
-    public OptionalFeatures withFigures(boolean on) {
+    /** Returns a copy with metrics on or off. */
+    public OptionalFeatures withMetrics(boolean on) {
         return new OptionalFeatures(availability, health, persistence, on, trace);
     }
 
-    /** Nothing: no timer, no state, no effect. */
+    /** All features off: they cause no timers, state or effects. */
     public static final OptionalFeatures NONE = new OptionalFeatures(null, null, null, false, false);
 }
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -103,7 +103,7 @@
         }
         int perSide = Math.max(SPARE_CLIENT_CONNECTIONS + 1, (config.sockets() - RESERVED_DESCRIPTORS - checkDescriptors) / 2);
         bounds = new Reducer.Bounds(perSide, perSide - SPARE_CLIENT_CONNECTIONS, perSide, config.connectTimeoutUs(), config.idleCloseUs());
-        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withFigures(hasOps));
+        reducer = new Reducer(config.namedSettings().settings(), bounds, config.seed(), operator.extras(config.probingAllowed()).withMetrics(hasOps));
     }
 
     /** Opens the sockets and starts the loop; called on the main thread. */
@@ -344,8 +344,8 @@
             stateSaver.accept(e.learned());
         } else if (effect instanceof Effect.PublishReport e) {
             statusReporter.publish(e.report());
-        } else if (effect instanceof Effect.PublishFigures e) {
-            figures = e.figures();
+        } else if (effect instanceof Effect.PublishMetrics e) {
+            figures = e.metrics();
             if (processes != null && figures.ready()) {
                 processes.register();
             }
