--- a/src/main/java/granitefold/standin/Balancer.java
+++ b/src/main/java/granitefold/standin/Balancer.java
@@ -56,7 +56,7 @@
             return t;
         });
         if (rules.http() != null || rules.agent()) {
-            backends.forEach(b -> checker.execute(() -> check(b)));
+            backends.forEach(backend -> checker.execute(() -> check(backend)));
         }
     }
 
@@ -65,20 +65,20 @@
     }
 
     // ---------------------------------------------------------------- checks
-    private void check(Backend b) {
+    private void check(Backend backend) {
         AgentReply reply = null;
         int status = 0;
         boolean degraded = false;
         boolean fail = false;
         if (rules.agent()) {
-            try (HttpConnection connection = HttpConnection.open(b.target.agent(), (int) rules.timeout())) {
+            try (HttpConnection connection = HttpConnection.open(backend.target.agent(), (int) rules.timeout())) {
                 reply = AgentReply.parse(connection.readToEnd());
             } catch (IOException e) {
                 // reply stays null
             }
         }
         if (rules.http() != null) {
-            try (HttpConnection connection = HttpConnection.open(b.target.http(), (int) rules.timeout())) {
+            try (HttpConnection connection = HttpConnection.open(backend.target.http(), (int) rules.timeout())) {
                 connection.write("GET " + rules.http() + " HTTP/1.1\r\nHost: check\r\nConnection: close\r\n\r\n");
                 if (connection.read()) {
                     status = connection.status();
@@ -91,28 +91,28 @@
         }
         synchronized (this) {
             if (rules.agent()) {
-                b.state.agentReplied(reply);
+                backend.state.agentReplied(reply);
             }
             if (rules.http() != null) {
-                b.state.httpChecked(status, degraded, fail);
+                backend.state.httpChecked(status, degraded, fail);
             }
-            schedule(b);
+            schedule(backend);
         }
     }
 
-    private void schedule(Backend b) {
+    private void schedule(Backend backend) {
         if (!checker.isShutdown()) {
-            long delayMs = b.state.intervalMs();
-            b.nextCheckMs = nowMs() + delayMs;
-            b.nextCheck = checker.schedule(() -> check(b), delayMs, TimeUnit.MILLISECONDS);
+            long delayMs = backend.state.intervalMs();
+            backend.nextCheckMs = nowMs() + delayMs;
+            backend.nextCheck = checker.schedule(() -> check(backend), delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Handles a request that failed at a server; where the rules require it, the next check is brought forward. */
-    private synchronized void requestFailed(Backend b) {
-        b.state.requestFailed(nowMs());
-        if (b.nextCheck != null && b.nextCheckMs - nowMs() > b.state.intervalMs() && b.nextCheck.cancel(false)) {
-            schedule(b);
+    private synchronized void requestFailed(Backend backend) {
+        backend.state.requestFailed(nowMs());
+        if (backend.nextCheck != null && backend.nextCheckMs - nowMs() > backend.state.intervalMs() && backend.nextCheck.cancel(false)) {
+            schedule(backend);
         }
     }
 
@@ -120,25 +120,25 @@
     private synchronized Backend select() {
         long nowMs = nowMs();
         List<Backend> candidates = new ArrayList<>();
-        for (Backend b : backends) {
-            if (b.state.eligible(nowMs) && b.inFlight < b.state.maxconn()) {
-                candidates.add(b);
+        for (Backend backend : backends) {
+            if (backend.state.eligible(nowMs) && backend.inFlight < backend.state.maxconn()) {
+                candidates.add(backend);
             }
         }
         if (rules.envoy()) {
             if (candidates.size() < ENVOY_PANIC_SHARE * backends.size()) {
                 // below the panic threshold Envoy ignores health and uses all hosts
                 candidates = backends;
-            } else if (candidates.stream().anyMatch(b -> !b.state.degraded())) {
-                candidates.removeIf(b -> b.state.degraded());
+            } else if (candidates.stream().anyMatch(backend -> !backend.state.degraded())) {
+                candidates.removeIf(backend -> backend.state.degraded());
             }
         }
         Backend best = null;
         double totalWeight = 0;
-        for (Backend b : candidates) {
-            b.credit += b.state.weight();
-            totalWeight += b.state.weight();
-            best = best == null || b.credit > best.credit ? b : best;
+        for (Backend backend : candidates) {
+            backend.credit += backend.state.weight();
+            totalWeight += backend.state.weight();
+            best = best == null || backend.credit > best.credit ? backend : best;
         }
         if (best != null) {
             best.credit -= totalWeight;
@@ -151,31 +151,31 @@
 
     /** Forwards a request, in its wire format, to a server and returns the outcome. */
     public Outcome forward(String request) {
-        Backend b = select();
-        if (b == null) {
+        Backend backend = select();
+        if (backend == null) {
             return Outcome.LOST;
         }
         try {
-            return forward(b, request);
+            return forward(backend, request);
         } catch (IOException e) {
-            requestFailed(b);
+            requestFailed(backend);
             return Outcome.LOST;
         } finally {
             synchronized (this) {
-                b.inFlight--;
+                backend.inFlight--;
             }
         }
     }
 
-    private Outcome forward(Backend b, String request) throws IOException {
+    private Outcome forward(Backend backend, String request) throws IOException {
         HttpConnection connection;
-        synchronized (b) {
-            connection = b.idle.pollLast();
+        synchronized (backend) {
+            connection = backend.idle.pollLast();
         }
         boolean reused = connection != null;
         while (true) {
             if (connection == null) {
-                connection = HttpConnection.open(b.target.clients(), TIMEOUT_MS);
+                connection = HttpConnection.open(backend.target.clients(), TIMEOUT_MS);
                 reused = false;
             }
             try {
@@ -195,15 +195,15 @@
         }
         if (rules.envoy() && connection.headers.containsKey("x-envoy-immediate-health-check-fail")) {
             synchronized (this) {
-                b.state.failImmediately();
+                backend.state.failImmediately();
             }
         }
         int status = connection.status();
         if ("close".equalsIgnoreCase(connection.headers.get("connection"))) {
             connection.close();
         } else {
-            synchronized (b) {
-                b.idle.addLast(connection);
+            synchronized (backend) {
+                backend.idle.addLast(connection);
             }
         }
         return status == 200 ? Outcome.SERVED : status == 503 || status == 429 ? Outcome.REJECTED : Outcome.FAILED;
@@ -211,25 +211,25 @@
 
     /** Returns the number of requests sent to a server so far. */
     public long sent(String name) {
-        return backends.stream().filter(b -> b.target.name().equals(name)).mapToLong(b -> b.sent.get()).sum();
+        return backends.stream().filter(backend -> backend.target.name().equals(name)).mapToLong(backend -> backend.sent.get()).sum();
     }
 
     /** Returns when the last request was sent to a server, on the clock of {@link #nowMs}. */
     long lastSentMs(String name) {
-        return backends.stream().filter(b -> b.target.name().equals(name)).mapToLong(b -> b.lastSentMs).max().orElse(0);
+        return backends.stream().filter(backend -> backend.target.name().equals(name)).mapToLong(backend -> backend.lastSentMs).max().orElse(0);
     }
 
     /** Returns whether a server may be sent new requests. */
     synchronized boolean eligible(String name) {
-        return backends.stream().anyMatch(b -> b.target.name().equals(name) && b.state.eligible(nowMs()));
+        return backends.stream().anyMatch(backend -> backend.target.name().equals(name) && backend.state.eligible(nowMs()));
     }
 
     @Override
     public void close() throws IOException {
         checker.shutdownNow();
-        for (Backend b : backends) {
-            synchronized (b) {
-                for (HttpConnection connection : b.idle) {
+        for (Backend backend : backends) {
+            synchronized (backend) {
+                for (HttpConnection connection : backend.idle) {
                     connection.close();
                 }
             }
--- a/src/main/java/granitefold/standin/model/StarvationCommand.java
+++ b/src/main/java/granitefold/standin/model/StarvationCommand.java
@@ -86,18 +86,18 @@
         return MIN_LOAD + LOAD_STEP * Math.floorMod(seed, LOADS);
     }
 
-    private void print(Row r) {
+    private void print(Row row) {
         spec.commandLine().getOut().printf(Locale.ROOT,
                 "%3d dispatchers, burst %.1f, gossip %s: no attempt for: median %.2f s, 99%% %.2f s, most %.2f s;"
-                + " %d of %d for 4 s; worth %.3f, late %.3f%n", r.dispatchers(), r.burst(), r.gossip() ? "on" : "off", r.spansS().getPercentile(50),
-                r.spansS().getPercentile(99), r.spansS().getMax(), r.starved(), r.spansS().getN(), r.worth(), r.lateShare());
+                + " %d of %d for 4 s; worth %.3f, late %.3f%n", row.dispatchers(), row.burst(), row.gossip() ? "on" : "off",
+                row.spansS().getPercentile(50), row.spansS().getPercentile(99), row.spansS().getMax(), row.starved(), row.spansS().getN(), row.worth(), row.lateShare());
         spec.commandLine().getOut().flush();
     }
 
-    private static ObjectNode json(Row r) {
-        return JSON.createObjectNode().put("dispatchers", r.dispatchers()).put("burst", r.burst()).put("gossip", r.gossip())
-                .put("dispatchers_in_all", r.spansS().getN()).put("median_s", r.spansS().getPercentile(50))
-                .put("p90_s", r.spansS().getPercentile(90)).put("p99_s", r.spansS().getPercentile(99)).put("most_s", r.spansS().getMax())
-                .put("starved_4_s", r.starved()).put("worth", r.worth()).put("late_share", r.lateShare());
+    private static ObjectNode json(Row row) {
+        return JSON.createObjectNode().put("dispatchers", row.dispatchers()).put("burst", row.burst()).put("gossip", row.gossip())
+                .put("dispatchers_in_all", row.spansS().getN()).put("median_s", row.spansS().getPercentile(50))
+                .put("p90_s", row.spansS().getPercentile(90)).put("p99_s", row.spansS().getPercentile(99)).put("most_s", row.spansS().getMax())
+                .put("starved_4_s", row.starved()).put("worth", row.worth()).put("late_share", row.lateShare());
     }
 }
--- a/src/main/java/granitefold/standin/model/Workload.java
+++ b/src/main/java/granitefold/standin/model/Workload.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** The requests of clients: three job classes of different work and urgency, and tenants of which one exceeds its quota. */
+/** The requests of clients: three job classes of different work and urgency, and tenants of which one exceeds its share. */
 final class Workload {
     private static final double WORK_STRETCH = 2, WORK_SPREAD = 0.8, HEAVY_TENANT_SHARE = 0.4, QUOTA_SHARE_OF_CAPACITY = 0.85;
     private static final long DEDUPLICATION_WINDOW_US = 12_000_000;
--- a/src/main/java/granitefold/standin/soak/SoakCommand.java
+++ b/src/main/java/granitefold/standin/soak/SoakCommand.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import granitefold.standin.ground.TestRun;
-import granitefold.standin.ground.Scenario;
 import granitefold.standin.ground.RequestStatistics;
+import granitefold.standin.ground.Scenario;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.history.History;
 import granitefold.standin.history.Violation;
 import java.io.IOException;
@@ -64,13 +64,13 @@
                 spec.commandLine().getOut().println(SoakPlan.text(seed, 1000 * lengthS));
                 continue;
             }
-            TestRun p = TestRun.run(scenario(seed, lengthS), seed, jar, r -> { });
-            failedRuns += p.passed() ? 0 : 1;
-            print(p);
-            reports.add(json(p));
+            TestRun testRun = TestRun.run(scenario(seed, lengthS), seed, jar, r -> { });
+            failedRuns += testRun.passed() ? 0 : 1;
+            printSummary(testRun);
+            reports.add(json(testRun));
             write(reports);
-            if (!p.passed() && histories != null) {
-                History.write(p.history(), Files.createDirectories(histories).resolve("seed-" + seed + ".jsonl"));
+            if (!testRun.passed() && histories != null) {
+                History.write(testRun.history(), Files.createDirectories(histories).resolve("seed-" + seed + ".jsonl"));
             }
         }
         if (!print) {
@@ -94,35 +94,37 @@
         }
     }
 
-    private void print(TestRun p) {
+    private void printSummary(TestRun testRun) {
         PrintWriter out = spec.commandLine().getOut();
-        RequestStatistics.Summary all = p.statistics().all();
+        RequestStatistics.Summary all = testRun.statistics().all();
         out.printf(Locale.ROOT, "seed %d: requests %d, service %.3f, rejected %d, failed %d, lost %d, left %d: %s%n",
-                p.seed(), all.requests, all.servedValueShare(),
-                all.count(RequestStatistics.Outcome.REJECTED), all.count(RequestStatistics.Outcome.FAILED), all.count(RequestStatistics.Outcome.LOST), all.count(RequestStatistics.Outcome.LEFT),
-                p.scriptError() != null ? "the script failed: " + p.scriptError() : p.violations().isEmpty() ? "no rule broken" : "rules broken: " + counts(p));
-        p.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(v -> out.println("  " + v));
+                testRun.seed(), all.requests, all.servedValueShare(),
+                all.count(RequestStatistics.Outcome.REJECTED), all.count(RequestStatistics.Outcome.FAILED),
+                all.count(RequestStatistics.Outcome.LOST), all.count(RequestStatistics.Outcome.LEFT),
+                testRun.scriptError() != null ? "the script failed: " + testRun.scriptError()
+                : testRun.violations().isEmpty() ? "no rule broken" : "rules broken: " + counts(testRun));
+        testRun.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(v -> out.println("  " + v));
         out.flush();
     }
 
-    private static Map<Violation.Rule, Integer> counts(TestRun p) {
+    private static Map<Violation.Rule, Integer> counts(TestRun testRun) {
         Map<Violation.Rule, Integer> counts = new TreeMap<>();
-        p.violations().forEach(v -> counts.merge(v.rule(), 1, Integer::sum));
+        testRun.violations().forEach(v -> counts.merge(v.rule(), 1, Integer::sum));
         return counts;
     }
 
-    private static ObjectNode json(TestRun p) {
-        ObjectNode o = JSON.createObjectNode().put("seed", p.seed()).put("well", p.passed()).put("asked", p.statistics().all().requests)
-                .put("service", p.statistics().all().servedValueShare());
-        if (p.scriptError() != null) {
-            o.put("script_failed", p.scriptError());
+    private static ObjectNode json(TestRun testRun) {
+        ObjectNode report = JSON.createObjectNode().put("seed", testRun.seed()).put("well", testRun.passed())
+                .put("asked", testRun.statistics().all().requests).put("service", testRun.statistics().all().servedValueShare());
+        if (testRun.scriptError() != null) {
+            report.put("script_failed", testRun.scriptError());
         }
-        ObjectNode faults = o.putObject("injected");
-        p.injectedFaults().forEach(faults::put);
-        ArrayNode violations = o.putArray("violations");
-        p.violations().stream().limit(MAX_REPORTED_VIOLATIONS).forEach(v -> violations.addObject().put("rule", v.rule().name())
+        ObjectNode faults = report.putObject("injected");
+        testRun.injectedFaults().forEach(faults::put);
+        ArrayNode violations = report.putArray("violations");
+        testRun.violations().stream().limit(MAX_REPORTED_VIOLATIONS).forEach(v -> violations.addObject().put("rule", v.rule().name())
                 .put("at_ms", v.atUs() / 1000).put("what", v.what()));
-        return o.put("violations_in_all", p.violations().size());
+        return report.put("violations_in_all", testRun.violations().size());
     }
 
     private void write(ArrayNode reports) throws IOException {
--- a/src/main/java/granitefold/standin/world/Registry.java
+++ b/src/main/java/granitefold/standin/world/Registry.java
@@ -122,7 +122,7 @@
                     } else if (sentVersion != version) {
                         sentVersion = version;
                         text = listJson(addresses) + "\n";
-                        entries = toldEntries();
+                        entries = publishedEntries();
                     }
                 }
                 if (text == null) {
@@ -144,7 +144,7 @@
         }
 
         /** Returns history entries that record which status of each worker the dispatcher has been sent. */
-        private List<Entry> toldEntries() {
+        private List<Entry> publishedEntries() {
             List<Entry> entries = new ArrayList<>();
             workers.forEach(w -> entries.add(entry(w.name, w.status())));
             removed.forEach((name, status) -> entries.add(entry(name, status)));
