--- a/src/main/java/granitefold/standin/ground/Settings.java
+++ b/src/main/java/granitefold/standin/ground/DispatcherConfig.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import granitefold.standin.history.Terms;
+import granitefold.standin.history.RuleTerms;
 import java.util.List;
 
 /** A dispatcher's configuration, in the platform's form. */
-final class Settings {
+final class DispatcherConfig {
     static final ObjectMapper JSON = new ObjectMapper();
-    private static final int TICK_MS = 5, ANSWER_SLACK_MS = 20, CONNECT_MS = 300, IDLE_MS = 15_000, RETRY_AFTER_MS = 2000,
-            ATTEMPTS = 4;
+    private static final int TICK_MS = 5, ANSWER_GRACE_MS = 20, CONNECT_TIMEOUT_MS = 300, IDLE_TIMEOUT_MS = 15_000, RETRY_AFTER_MS = 2000,
+            MAX_ATTEMPTS = 4;
 
-    private Settings() { }
+    private DispatcherConfig() { }
 
     /** All but the addresses, which the member fills in. */
     static ObjectNode of(Scenario s, String name, int number, long seed) {
@@ -28,8 +28,8 @@
                 case SAFE -> "retryable";
                 case KEYED -> "dedup";
                 case UNSAFE -> "fragile";
-            }).put("group", "all").put("dedupWindowMs", j.effect() == Terms.Effect.KEYED ? j.windowUs() / 1000 : 0)
-                    .put("onTimeMs", j.onTimeUs() / 1000).put("deadlineMs", j.deadlineUs() / 1000).put("points", j.worth());
+            }).put("group", "all").put("dedupWindowMs", j.effect() == RuleTerms.Effect.KEYED ? j.keyWindowUs() / 1000 : 0)
+                    .put("onTimeMs", j.onTimeUs() / 1000).put("deadlineMs", j.deadlineUs() / 1000).put("points", j.value());
             stretches.add(j.stretch());
         });
         ArrayNode tenants = set.putArray("tenants");
@@ -38,11 +38,11 @@
         set.putArray("failureDomains").add("sala");
         set.putArray("hostTypes").add("m");
         set.put("me", number).put("siblings", s.dispatchers().count()).put("tickMs", TICK_MS);
-        set.putObject("rules").put("drainGraceMs", Scenario.DRAIN_GRACE_MS).put("graceToAnswerMs", ANSWER_SLACK_MS)
-                .put("coldFrom", s.cocineros().spec().coldFrom()).put("coldMs", s.cocineros().spec().coldUs() / 1000)
-                .put("tipMultiple", s.cocineros().spec().fallMultiple()).put("fallMs", s.cocineros().spec().fallUs() / 1000);
-        set.putObject("limits").put("attemptsCap", ATTEMPTS).put("connectTimeoutMs", CONNECT_MS).put("idleCloseMs", IDLE_MS)
-                .put("cancelling", true).put("peers", s.dispatchers().talk()).put("maxRetryAfterMs", RETRY_AFTER_MS);
+        set.putObject("rules").put("drainGraceMs", Scenario.DRAIN_GRACE_MS).put("graceToAnswerMs", ANSWER_GRACE_MS)
+                .put("coldFrom", s.workers().spec().coldFrom()).put("coldMs", s.workers().spec().coldUs() / 1000)
+                .put("tipMultiple", s.workers().spec().fallMultiple()).put("fallMs", s.workers().spec().fallUs() / 1000);
+        set.putObject("limits").put("attemptsCap", MAX_ATTEMPTS).put("connectTimeoutMs", CONNECT_TIMEOUT_MS).put("idleCloseMs", IDLE_TIMEOUT_MS)
+                .put("cancelling", true).put("peers", s.dispatchers().gossip()).put("maxRetryAfterMs", RETRY_AFTER_MS);
         return c;
     }
 
--- /dev/null
+++ b/src/main/java/granitefold/standin/ground/FaultScript.java
@@ -0,0 +1,223 @@
+package granitefold.standin.ground;
+
+import granitefold.standin.edge.Edge;
+import granitefold.standin.edge.Edge.Kind;
+import granitefold.standin.edge.Fault;
+import granitefold.standin.history.Entry.What;
+import granitefold.standin.world.Worker;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Locale;
+import java.util.function.Predicate;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
+/** Performs a scenario's steps at their times and triggers, and undoes those that last only so long. */
+final class FaultScript {
+    /** Something that was done, for the report. */
+    record PerformedStep(long elapsedUs, String what) { }
+
+    private static final long POLL_INTERVAL_MS = 5;
+    private static final double DEFAULT_SLOWDOWN = 3, DEFAULT_LOSS = 0.3;
+    private static final long DEFAULT_DELAY_MS = 50, DEFAULT_DRIP = 2000;
+
+    private final TestBed testBed;
+    private final ScenarioActions actions;
+    private final ProcessFaults processFaults;
+    private final List<PerformedStep> timeline = new ArrayList<>();
+    private final List<Thread> threads = new ArrayList<>();
+    private volatile String scriptError;
+
+    FaultScript(TestBed testBed) {
+        this.testBed = testBed;
+        actions = new ScenarioActions(testBed);
+        processFaults = new ProcessFaults(testBed);
+    }
+
+    synchronized List<PerformedStep> timeline() {
+        return List.copyOf(timeline);
+    }
+
+    /** What went wrong with the script itself, or null. */
+    String scriptError() {
+        return scriptError;
+    }
+
+    /** Begins with the clients. */
+    void start() {
+        List<Scenario.Step> all = new ArrayList<>(testBed.scenario.steps());
+        all.addAll(randomSteps());
+        for (Scenario.Step s : all) {
+            Thread t = new Thread(() -> run(s), "step " + s.action());
+            t.setDaemon(true);
+            threads.add(t);
+            t.start();
+        }
+    }
+
+    /** Waits until the last step is over. */
+    void join() throws InterruptedException {
+        for (Thread t : threads) {
+            t.join();
+        }
+    }
+
+    private List<Scenario.Step> randomSteps() {
+        Scenario.RandomSteps d = testBed.scenario.randomSteps();
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(testBed.seed + 2);
+        List<Scenario.Step> steps = new ArrayList<>();
+        for (int i = 0; i < d.count() && !d.actions().isEmpty(); i++) {
+            String action = d.actions().get(random.nextInt(d.actions().size()));
+            List<String> names = ScenarioActions.appliesToWorkers(action) ? testBed.registry.workers().stream().map(w -> w.name).toList()
+                    : testBed.fleet.stream().map(m -> m.name).toList();
+            steps.add(new Scenario.Step(action, d.fromUs() + (long) (random.nextDouble() * (d.untilUs() - d.fromUs())), "",
+                    List.of(names.get(random.nextInt(names.size()))), List.of(), List.of(), 0, d.durationUs()));
+        }
+        return steps;
+    }
+
+    private void run(Scenario.Step s) {
+        try {
+            if (!s.trigger().isEmpty()) {
+                awaitTrigger(s.trigger());
+                Thread.sleep(s.atUs() / 1000);
+            } else {
+                long wait = s.atUs() - testBed.loadGenerator.elapsedUs();
+                Thread.sleep(Math.max(0, wait / 1000));
+            }
+            if (testBed.loadGenerator.finished()) {
+                return;
+            }
+            perform(s);
+            if (s.durationUs() > 0) {
+                Thread.sleep(s.durationUs() / 1000);
+                undo(s);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } catch (IOException | RuntimeException e) {
+            scriptError = s.action() + " " + s.targets() + ": " + e;
+        }
+    }
+
+    private void awaitTrigger(String when) throws InterruptedException {
+        String[] words = when.split(" ");
+        while (!testBed.loadGenerator.finished()) {
+            boolean seen = switch (words[0]) {
+                case "served" -> testBed.loadGenerator.served() >= Long.parseLong(words[1]);
+                default -> testBed.history.sorted().stream().anyMatch(e -> e.what() == What.PROCESS && e.who().equals(words[1])
+                        && e.atUs() > testBed.loadGenerator.startedUs() && e.text().startsWith(words[0]));
+            };
+            if (seen) {
+                return;
+            }
+            Thread.sleep(POLL_INTERVAL_MS);
+        }
+    }
+
+    private synchronized void record(String what) {
+        timeline.add(new PerformedStep(testBed.loadGenerator.elapsedUs(), what));
+    }
+
+    /** Performs a step at once, and does not undo it. */
+    void performNow(Scenario.Step s) throws IOException, InterruptedException {
+        perform(s);
+    }
+
+    // ---------------------------------------------------------------- actions
+    private void perform(Scenario.Step s) throws IOException, InterruptedException {
+        record(s.action() + (s.targets().isEmpty() ? "" : " " + String.join(" ", s.targets()))
+                + (s.groups().isEmpty() ? "" : " between " + s.groups().get(0) + " and " + s.groups().get(1)));
+        Fault fault = fault(s);
+        if (fault != null) {
+            edges(s).forEach(e -> set(e, fault));
+            return;
+        }
+        switch (s.action()) {
+            case "reset" -> edges(s).forEach(testBed.relays::reset);
+            case "discovery-down" -> testBed.registry.down(true);
+            case "discovery-up" -> testBed.registry.down(false);
+            case "hush" -> testBed.registry.hush();
+            case "rate" -> testBed.loadGenerator.rate(s.amount());
+            case "tenant-rate" -> s.targets().forEach(t -> testBed.loadGenerator.tenantRate(t, s.amount()));
+            default -> {
+                if (ProcessFaults.handles(s.action())) {
+                    for (String name : s.targets()) {
+                        processFaults.start(s.action(), testBed.dispatcher(name), s.amount());
+                    }
+                } else if (ScenarioActions.appliesToWorkers(s.action())) {
+                    for (String name : s.targets()) {
+                        Worker w = testBed.worker(name);
+                        if (w == null) {
+                            throw new IllegalArgumentException("there is no cocinero " + name);
+                        }
+                        actions.worker(s.action(), w, s.amount() > 0 ? s.amount() : DEFAULT_SLOWDOWN);
+                    }
+                } else {
+                    List<DispatcherUnderTest> targets = new ArrayList<>();
+                    s.targets().forEach(name -> targets.add(testBed.dispatcher(name)));
+                    actions.dispatchers(s.action(), targets, s.amount());
+                }
+            }
+        }
+    }
+
+    private void undo(Scenario.Step s) throws IOException, InterruptedException {
+        if (ProcessFaults.handles(s.action())) {
+            for (String name : s.targets()) {
+                processFaults.stop(s.action(), testBed.dispatcher(name));
+            }
+            return;
+        }
+        String back = switch (s.action()) {
+            case "cut", "cut-there", "cut-back", "delay", "lose", "drip", "refuse" -> "heal";
+            case "kill", "end" -> "start";
+            case "stop" -> "continue";
+            case "slow", "hang", "stick", "fail", "truncate", "break" -> "well";
+            case "discovery-down" -> "discovery-up";
+            case "rate" -> "rate";
+            case "tenant-rate" -> "tenant-rate";
+            default -> null;
+        };
+        if (back != null) {
+            perform(new Scenario.Step(back, 0, "", s.targets(), s.groups(), s.edges(), back.endsWith("rate") ? 1 : 0, 0));
+        }
+    }
+
+    private static Fault fault(Scenario.Step s) {
+        double a = s.amount();
+        return switch (s.action()) {
+            case "cut" -> Fault.CUT;
+            case "cut-there" -> Fault.CUT_THERE;
+            case "cut-back" -> Fault.CUT_BACK;
+            case "refuse" -> Fault.REFUSING;
+            case "delay" -> Fault.delayed((long) (a > 0 ? a : DEFAULT_DELAY_MS), (long) (a > 0 ? a : DEFAULT_DELAY_MS));
+            case "lose" -> Fault.lossy(a > 0 ? a : DEFAULT_LOSS, DEFAULT_LOSS / 3, DEFAULT_LOSS / 3);
+            case "drip" -> Fault.dripping((long) (a > 0 ? a : DEFAULT_DRIP));
+            case "heal" -> Fault.NONE;
+            default -> null;
+        };
+    }
+
+    /** The edges that a step names: between two groups, or all that touch a name; of all kinds, or of those named. */
+    private List<Edge> edges(Scenario.Step s) {
+        List<Kind> kinds = s.edges().isEmpty() ? List.of(Kind.values())
+                : s.edges().stream().map(k -> Kind.valueOf(k.toUpperCase(Locale.ROOT))).toList();
+        Predicate<Edge> which;
+        if (!s.groups().isEmpty()) {
+            Collection<String> a = s.groups().get(0);
+            Collection<String> b = s.groups().get(1);
+            which = e -> e.joins(a, b);
+        } else {
+            which = e -> s.targets().isEmpty() || s.targets().contains(e.from()) || s.targets().contains(e.to());
+        }
+        return testBed.edges(kinds, which);
+    }
+
+    private void set(Edge e, Fault f) {
+        testBed.relays.fault(e, f);
+        testBed.history.add(What.FAULT, e.toString(), f.equals(Fault.NONE) ? "none" : f.toString());
+    }
+}
--- a/src/main/java/granitefold/standin/ground/GroundCommand.java
+++ b/src/main/java/granitefold/standin/ground/GroundCommand.java
@@ -1,7 +1,7 @@
 package granitefold.standin.ground;
 
 import granitefold.operator.InvalidFileException;
-import granitefold.standin.history.Checker;
+import granitefold.standin.history.HistoryChecker;
 import granitefold.standin.history.History;
 import granitefold.standin.history.Violation;
 import java.io.IOException;
@@ -30,7 +30,7 @@
             CommandLine.HelpCommand.class})
 public final class GroundCommand implements Callable<Integer> {
     private static final int BROKEN_RULE = 1, BROKEN_FILE = 2, USAGE = 64;
-    private static final double SURE = 0.975;
+    private static final double UPPER_QUANTILE = 0.975;
 
     @Spec
     private CommandSpec spec;
@@ -92,25 +92,25 @@
         public Integer call() throws Exception {
             Scenario s = Scenario.read(find(scenario));
             PrintWriter out = spec.commandLine().getOut();
-            Thread rescue = new Thread(this::rescue);
-            Runtime.getRuntime().addShutdownHook(rescue);
-            List<TestRun> plays = new ArrayList<>();
+            Thread shutdownHook = new Thread(this::writePartialReport);
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
+            List<TestRun> runs = new ArrayList<>();
             for (int i = 0; i < repeat; i++) {
                 if (!quiet) {
-                    out.printf("%s, seed %d: %d dispatchers, %d cocineros, %d s%n", s.name(), seed + i, s.dispatchers().count(), s.cocineros().count(),
+                    out.printf("%s, seed %d: %d dispatchers, %d cocineros, %d s%n", s.name(), seed + i, s.dispatchers().count(), s.workers().count(),
                             s.lengthUs() / 1_000_000);
                     out.flush();
                 }
                 TestRun p = TestRun.run(s, seed + i, jar, r -> running = r);
-                plays.add(p);
+                runs.add(p);
                 print(out, p);
-                write(p, plays);
+                write(p, runs);
             }
-            Runtime.getRuntime().removeShutdownHook(rescue);
-            if (plays.size() > 1) {
-                out.println(interval(plays));
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            if (runs.size() > 1) {
+                out.println(interval(runs));
             }
-            return plays.stream().allMatch(TestRun::passed) ? 0 : BROKEN_RULE;
+            return runs.stream().allMatch(TestRun::passed) ? 0 : BROKEN_RULE;
         }
 
         private static Path find(String name) {
@@ -119,7 +119,7 @@
         }
 
         /** Broken off by hand: what there is so far is still of use. */
-        private void rescue() {
+        private void writePartialReport() {
             TestRun.InProgress r = running;
             if (r != null) {
                 try {
@@ -131,13 +131,13 @@
             }
         }
 
-        private void write(TestRun p, List<TestRun> plays) throws IOException {
+        private void write(TestRun p, List<TestRun> runs) throws IOException {
             if (json != null) {
-                Object all = plays.size() == 1 ? Report.json(p) : plays.stream().map(Report::json).toList();
-                Files.writeString(json, Settings.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(all) + "\n");
+                Object all = runs.size() == 1 ? TestReport.json(p) : runs.stream().map(TestReport::json).toList();
+                Files.writeString(json, DispatcherConfig.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(all) + "\n");
             }
             if (html != null) {
-                Report.html(p, html);
+                TestReport.html(p, html);
             }
             if (history != null) {
                 History.write(p.history(), history);
@@ -157,12 +157,12 @@
             out.flush();
         }
 
-        private static String interval(List<TestRun> plays) {
+        private static String interval(List<TestRun> runs) {
             SummaryStatistics s = new SummaryStatistics();
-            plays.forEach(p -> s.addValue(p.statistics().all().servedValueShare()));
-            double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(SURE) * s.getStandardDeviation() / Math.sqrt(s.getN());
+            runs.forEach(p -> s.addValue(p.statistics().all().servedValueShare()));
+            double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(UPPER_QUANTILE) * s.getStandardDeviation() / Math.sqrt(s.getN());
             return String.format(Locale.ROOT, "service over %d plays: %.3f, 95%% interval %.3f to %.3f; rules broken in %d", s.getN(), s.getMean(),
-                    s.getMean() - half, s.getMean() + half, plays.stream().filter(p -> !p.violations().isEmpty()).count());
+                    s.getMean() - half, s.getMean() + half, runs.stream().filter(p -> !p.violations().isEmpty()).count());
         }
     }
 
@@ -179,7 +179,7 @@
 
         @Override
         public Integer call() throws Exception {
-            List<Violation> found = Checker.check(Scenario.read(Run.find(scenario)).terms(slackMs), History.read(history));
+            List<Violation> found = HistoryChecker.check(Scenario.read(Run.find(scenario)).terms(slackMs), History.read(history));
             found.forEach(spec.commandLine().getOut()::println);
             spec.commandLine().getOut().println(found.isEmpty() ? "no rule broken" : found.size() + " times a rule was broken");
             return found.isEmpty() ? 0 : BROKEN_RULE;
@@ -198,7 +198,7 @@
             for (String name : scenarios) {
                 Scenario s = Scenario.read(Run.find(name));
                 spec.commandLine().getOut().printf("%s: %s (%d dispatchers, %d cocineros, %d s, %d steps)%n", s.name(), s.about(), s.dispatchers().count(),
-                        s.cocineros().count(), s.lengthUs() / 1_000_000, s.steps().size() + s.drawn().count());
+                        s.workers().count(), s.lengthUs() / 1_000_000, s.steps().size() + s.randomSteps().count());
             }
             return 0;
         }
--- a/src/main/java/granitefold/standin/ground/Clients.java
+++ b/src/main/java/granitefold/standin/ground/LoadGenerator.java
@@ -5,7 +5,7 @@
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
-import granitefold.standin.history.Terms;
+import granitefold.standin.history.RuleTerms;
 import java.io.IOException;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
@@ -32,70 +32,70 @@
  * and used again; another one is opened, where the front says, when all are busy. A client comes again after a reject, with a
  * new id; some leave before their time is up.
  */
-final class Clients {
-    private static final int CONNECT_MS = 1000, BODY_MOST = 64;
+final class LoadGenerator {
+    private static final int CONNECT_TIMEOUT_MS = 1000, MAX_BODY_CHARS = 64;
     /** How much longer than its time a client listens, so that a late answer is seen. */
-    static final long LISTENS_MS = 1500;
-    private static final long BACKOFF_MS = 30, HONOURED_MS = 2000;
+    static final long LATE_ANSWER_WAIT_MS = 1500;
+    private static final long BACKOFF_MS = 30, MAX_RETRY_AFTER_MS = 2000;
 
     /** What one request asks for, drawn before it is due. */
-    private record Wanted(long number, long dueUs, String jobClass, String tenant, long workUs, int sid, double impatience, boolean honours) { }
+    private record PlannedRequest(long number, long dueUs, String jobClass, String tenant, long workUs, int sid, double impatience, boolean honoursRetryAfter) { }
 
-    private static final class Kept {
+    private static final class PooledConnection {
         final Exchange exchange;
-        final Member member;
+        final DispatcherUnderTest member;
 
-        Kept(Exchange exchange, Member member) {
+        PooledConnection(Exchange exchange, DispatcherUnderTest member) {
             this.exchange = exchange;
             this.member = member;
         }
     }
 
     private final Scenario scenario;
-    private final Front front;
+    private final LoadBalancer loadBalancer;
     private final History history;
     final RequestStatistics statistics = new RequestStatistics();
     private final UniformRandomProvider random;
-    private final Deque<Kept> idle = new ArrayDeque<>();
+    private final Deque<PooledConnection> idle = new ArrayDeque<>();
     private final Map<String, Double> rates = new HashMap<>();
     private final AtomicLong served = new AtomicLong();
-    private final AtomicLong out = new AtomicLong();
+    private final AtomicLong inFlight = new AtomicLong();
     private final ExecutorService threads = Executors.newCachedThreadPool(r -> {
         Thread t = new Thread(r, "client");
         t.setDaemon(true);
         return t;
     });
-    private volatile boolean over;
-    private volatile long beganUs;
+    private volatile boolean finished;
+    private volatile long startedUs;
     private volatile double rate;
 
-    Clients(Scenario scenario, Front front, History history, long seed) {
+    LoadGenerator(Scenario scenario, LoadBalancer loadBalancer, History history, long seed) {
         this.scenario = scenario;
-        this.front = front;
+        this.loadBalancer = loadBalancer;
         this.history = history;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        rate = scenario.load().perS();
+        rate = scenario.load().requestsPerS();
         scenario.tenants().forEach((t, x) -> rates.put(t, x.share() * x.usage()));
     }
 
     /** Begins to ask; ends by itself. */
-    void begin() {
-        beganUs = history.now();
+    void start() {
+        startedUs = history.now();
         Server.daemon(this::schedule, "clients");
     }
 
     /** Microseconds since clients began. */
-    long sinceUs() {
-        return history.now() - beganUs;
+    long elapsedUs() {
+        return history.now() - startedUs;
     }
 
-    long beganUs() {
-        return beganUs;
+    long startedUs() {
+        return startedUs;
     }
 
     /** From now on so many times the scenario's rate. */
     void rate(double times) {
-        rate = scenario.load().perS() * times;
+        rate = scenario.load().requestsPerS() * times;
     }
 
     /** From now on a tenant asks for so many times its share. */
@@ -107,19 +107,19 @@
         return served.get();
     }
 
-    boolean over() {
-        return over && out.get() == 0;
+    boolean finished() {
+        return finished && inFlight.get() == 0;
     }
 
     void stop() {
-        over = true;
+        finished = true;
     }
 
     private void schedule() {
-        Map<String, ContinuousSampler> works = new HashMap<>();
-        scenario.classes().forEach((name, c) -> works.put(name, sampler(c)));
+        Map<String, ContinuousSampler> samplers = new HashMap<>();
+        scenario.classes().forEach((name, jobClass) -> samplers.put(name, sampler(jobClass)));
         double at = 0;
-        for (long i = 0; !over; i++) {
+        for (long i = 0; !finished; i++) {
             double all;
             synchronized (this) {
                 all = rates.values().stream().mapToDouble(r -> r).sum();
@@ -128,40 +128,40 @@
             if (at > scenario.lengthUs()) {
                 break;
             }
-            String jobClass = pick(scenario.classes().keySet().iterator(), c -> scenario.classes().get(c).share());
+            String jobClass = pick(scenario.classes().keySet().iterator(), name -> scenario.classes().get(name).share());
             String tenant;
             synchronized (this) {
                 tenant = pick(scenario.tenants().keySet().iterator(), rates::get);
             }
-            ContinuousSampler s = works.get(jobClass);
-            long work = (long) (s == null ? scenario.classes().get(jobClass).workUs() : Math.min(s.sample(), 8 * scenario.classes().get(jobClass).workUs()));
-            Wanted w = new Wanted(i, (long) at, jobClass, tenant, work, (int) (64 * random.nextDouble() * random.nextDouble()),
-                    random.nextDouble() < scenario.load().impatient() ? random.nextDouble() : 0, random.nextDouble() < scenario.load().honour());
-            long untilNs = (long) ((beganUs + at - history.now()) * 1000);
+            ContinuousSampler sampler = samplers.get(jobClass);
+            long work = (long) (sampler == null ? scenario.classes().get(jobClass).workUs() : Math.min(sampler.sample(), 8 * scenario.classes().get(jobClass).workUs()));
+            PlannedRequest request = new PlannedRequest(i, (long) at, jobClass, tenant, work, (int) (64 * random.nextDouble() * random.nextDouble()),
+                    random.nextDouble() < scenario.load().impatientShare() ? random.nextDouble() : 0, random.nextDouble() < scenario.load().retryAfterShare());
+            long untilNs = (long) ((startedUs + at - history.now()) * 1000);
             if (untilNs > 0) {
                 LockSupport.parkNanos(untilNs);
-                while (history.now() < beganUs + (long) at) {
+                while (history.now() < startedUs + (long) at) {
                     Thread.onSpinWait();
                 }
             }
-            out.incrementAndGet();
+            inFlight.incrementAndGet();
             threads.execute(() -> {
                 try {
-                    ask(w);
+                    execute(request);
                 } finally {
-                    out.decrementAndGet();
+                    inFlight.decrementAndGet();
                 }
             });
         }
-        over = true;
+        finished = true;
     }
 
-    private ContinuousSampler sampler(Scenario.JobClass c) {
-        if (c.spread() == 0) {
+    private ContinuousSampler sampler(Scenario.JobClass jobClass) {
+        if (jobClass.spread() == 0) {
             return null;
         }
-        double sigma = Math.sqrt(Math.log(1 + c.spread() * c.spread()));
-        return LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), Math.log(Math.max(1, c.workUs())) - sigma * sigma / 2, sigma);
+        double sigma = Math.sqrt(Math.log(1 + jobClass.spread() * jobClass.spread()));
+        return LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), Math.log(Math.max(1, jobClass.workUs())) - sigma * sigma / 2, sigma);
     }
 
     private String pick(java.util.Iterator<String> names, java.util.function.ToDoubleFunction<String> weight) {
@@ -180,73 +180,73 @@
     // ---------------------------------------------------------------- one request with its retries
     private record Answer(What what, int status, String retryAfter, String dispatcher) { }
 
-    private void ask(Wanted w) {
-        Scenario.JobClass c = scenario.classes().get(w.jobClass);
-        long dueUs = beganUs + w.dueUs;
-        String key = c.effect() == Terms.Effect.KEYED ? String.format(Locale.ROOT, "%016x%016x", w.number, w.workUs) : null;
-        Answer a = null;
+    private void execute(PlannedRequest request) {
+        Scenario.JobClass jobClass = scenario.classes().get(request.jobClass);
+        long dueUs = startedUs + request.dueUs;
+        String key = jobClass.effect() == RuleTerms.Effect.KEYED ? String.format(Locale.ROOT, "%016x%016x", request.number, request.workUs) : null;
+        Answer answer = null;
         for (int n = 0; n <= scenario.load().retries(); n++) {
-            a = once(w, c, key, n);
-            if (a.what != What.ANSWERED || a.status != 503 && a.status != 429 || n == scenario.load().retries()) {
+            answer = attempt(request, jobClass, key, n);
+            if (answer.what != What.ANSWERED || answer.status != 503 && answer.status != 429 || n == scenario.load().retries()) {
                 break;
             }
-            double after = a.retryAfter != null && w.honours ? Math.min(HONOURED_MS, 1000 * Double.parseDouble(a.retryAfter)) : 0;
+            double after = answer.retryAfter != null && request.honoursRetryAfter ? Math.min(MAX_RETRY_AFTER_MS, 1000 * Double.parseDouble(answer.retryAfter)) : 0;
             LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos((long) (1000 * Math.max(after, BACKOFF_MS << n))));
         }
         long took = history.now() - dueUs;
         // a result of another request is the checker's matter; here it is an answer
-        RequestStatistics.Outcome end = a.what == What.LEFT ? RequestStatistics.Outcome.LEFT : a.what != What.ANSWERED ? RequestStatistics.Outcome.LOST
-                : a.status == 200 ? took <= c.onTimeUs() + c.stretch() * w.workUs ? RequestStatistics.Outcome.IN_TIME : RequestStatistics.Outcome.LATE
-                : a.status == 503 || a.status == 429 ? RequestStatistics.Outcome.REJECTED : RequestStatistics.Outcome.FAILED;
+        RequestStatistics.Outcome end = answer.what == What.LEFT ? RequestStatistics.Outcome.LEFT : answer.what != What.ANSWERED ? RequestStatistics.Outcome.LOST
+                : answer.status == 200 ? took <= jobClass.onTimeUs() + jobClass.stretch() * request.workUs ? RequestStatistics.Outcome.IN_TIME : RequestStatistics.Outcome.LATE
+                : answer.status == 503 || answer.status == 429 ? RequestStatistics.Outcome.REJECTED : RequestStatistics.Outcome.FAILED;
         if (end == RequestStatistics.Outcome.IN_TIME || end == RequestStatistics.Outcome.LATE) {
             served.incrementAndGet();
         }
-        statistics.add(w.dueUs, w.jobClass, w.tenant, a.dispatcher, end, c.worth() * Math.max(1, w.workUs) / Math.max(1, c.workUs()), took);
+        statistics.add(request.dueUs, request.jobClass, request.tenant, answer.dispatcher, end, jobClass.value() * Math.max(1, request.workUs) / Math.max(1, jobClass.workUs()), took);
     }
 
     /** One sending, and once more on a new connection where a kept one ended with no byte of an answer. */
-    private Answer once(Wanted w, Scenario.JobClass c, String key, int attempt) {
-        Answer a = null;
+    private Answer attempt(PlannedRequest request, Scenario.JobClass jobClass, String key, int attempt) {
+        Answer answer = null;
         for (int again = 0; again < 2; again++) {
-            Kept k = take(again > 0);
-            if (k == null) {
-                history.add(new Entry(history.now(), What.REFUSED, "client", null, null, null, w.jobClass, w.tenant, null, 0, null));
+            PooledConnection connection = acquireConnection(again > 0);
+            if (connection == null) {
+                history.add(new Entry(history.now(), What.REFUSED, "client", null, null, null, request.jobClass, request.tenant, null, 0, null));
                 return new Answer(What.REFUSED, 0, null, null);
             }
-            boolean keptOne = k.exchange.first != null;
-            a = send(k, w, c, key, "r" + w.number + "-" + attempt + (again > 0 ? "-x" : ""));
-            if (a.what != What.UNHEARD || !keptOne) {
-                return a;
+            boolean reused = connection.exchange.first != null;
+            answer = send(connection, request, jobClass, key, "r" + request.number + "-" + attempt + (again > 0 ? "-x" : ""));
+            if (answer.what != What.UNHEARD || !reused) {
+                return answer;
             }
         }
-        return a;
+        return answer;
     }
 
-    private Kept take(boolean fresh) {
+    private PooledConnection acquireConnection(boolean fresh) {
         while (!fresh) {
-            Kept k;
+            PooledConnection connection;
             synchronized (idle) {
-                k = idle.pollLast();
+                connection = idle.pollLast();
             }
-            if (k == null) {
+            if (connection == null) {
                 break;
             }
             try {
-                if (!k.exchange.closedWithin(1)) {
-                    return k;
+                if (!connection.exchange.closedWithin(1)) {
+                    return connection;
                 }
-                k.exchange.close();
+                connection.exchange.close();
             } catch (IOException e) {
-                history.add(new Entry(history.now(), What.EXTRA, "client", k.member.name, null, null, null, null, null, 0, null));
+                history.add(new Entry(history.now(), What.EXTRA, "client", connection.member.name, null, null, null, null, null, 0, null));
             }
         }
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
-            Member m = front.next(history.now());
+            DispatcherUnderTest m = loadBalancer.next(history.now());
             if (m == null) {
                 return null;
             }
             try {
-                return new Kept(Exchange.open(Front.address(m), CONNECT_MS), m);
+                return new PooledConnection(Exchange.open(LoadBalancer.address(m), CONNECT_TIMEOUT_MS), m);
             } catch (IOException e) {
                 // refused: the front tries the next one
             }
@@ -254,24 +254,24 @@
         return null;
     }
 
-    private Answer send(Kept k, Wanted w, Scenario.JobClass c, String key, String txn) {
-        Exchange e = k.exchange;
-        long waitsMs = w.impatience > 0 ? Math.max(1, (long) (w.impatience * c.deadlineUs() / 1000)) : c.deadlineUs() / 1000;
-        String body = txn.length() > BODY_MOST ? txn.substring(0, BODY_MOST) : txn;
+    private Answer send(PooledConnection connection, PlannedRequest request, Scenario.JobClass jobClass, String key, String txn) {
+        Exchange e = connection.exchange;
+        long waitMs = request.impatience > 0 ? Math.max(1, (long) (request.impatience * jobClass.deadlineUs() / 1000)) : jobClass.deadlineUs() / 1000;
+        String body = txn.length() > MAX_BODY_CHARS ? txn.substring(0, MAX_BODY_CHARS) : txn;
         boolean fresh = e.first == null;
         What what;
         int status = 0;
         String text = null;
         try {
-            String head = "POST /" + w.jobClass + "?sid=" + Integer.toHexString(w.sid) + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + txn + "\r\nX-Org: " + w.tenant
-                    + "\r\nX-Remaining-Ms: " + c.deadlineUs() / 1000 + "\r\nX-Estimate: " + w.workUs + "\r\nX-Labels: slots=" + c.slots() + ",memory=1\r\n"
+            String head = "POST /" + request.jobClass + "?sid=" + Integer.toHexString(request.sid) + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + txn + "\r\nX-Org: " + request.tenant
+                    + "\r\nX-Remaining-Ms: " + jobClass.deadlineUs() / 1000 + "\r\nX-Estimate: " + request.workUs + "\r\nX-Labels: slots=" + jobClass.slots() + ",memory=1\r\n"
                     + (key == null ? "" : "Idempotency-Key: " + key + "\r\n") + "Content-Length: " + body.length() + "\r\n\r\n" + body;
             e.head = Map.of();
             // written down before it is sent: nothing that follows may seem to come first
             String conn = granitefold.standin.world.Worker.text((java.net.InetSocketAddress) e.socket.getLocalSocketAddress());
-            history.add(new Entry(history.now(), What.ASKED, "client", k.member.name, txn, key, w.jobClass, w.tenant, conn, c.deadlineUs() / 1000, null));
+            history.add(new Entry(history.now(), What.ASKED, "client", connection.member.name, txn, key, request.jobClass, request.tenant, conn, jobClass.deadlineUs() / 1000, null));
             e.write(head);
-            e.socket.setSoTimeout((int) (w.impatience > 0 ? waitsMs : waitsMs + LISTENS_MS));
+            e.socket.setSoTimeout((int) (request.impatience > 0 ? waitMs : waitMs + LATE_ANSWER_WAIT_MS));
             if (!e.read()) {
                 what = What.UNHEARD;
             } else {
@@ -280,17 +280,17 @@
                 text = status == 200 ? expected(key, txn, body, e.body) ? "made" : "other" : e.head.get("retry-after");
             }
         } catch (SocketTimeoutException silent) {
-            what = w.impatience > 0 ? What.LEFT : What.SILENT;
+            what = request.impatience > 0 ? What.LEFT : What.SILENT;
         } catch (IOException broken) {
             what = e.begun ? What.CUT : What.UNHEARD;
         }
         text = what == What.UNHEARD && fresh ? "new" : text;
-        history.add(new Entry(history.now(), what, "client", k.member.name, txn, key, w.jobClass, w.tenant, null, status, text));
+        history.add(new Entry(history.now(), what, "client", connection.member.name, txn, key, request.jobClass, request.tenant, null, status, text));
         // some connections end for reasons of their own, so that the front can spread them anew
-        boolean keep = what == What.ANSWERED && !"close".equals(e.head.get("connection")) && ThreadLocalRandom.current().nextDouble() >= scenario.load().churn();
+        boolean keep = what == What.ANSWERED && !"close".equals(e.head.get("connection")) && ThreadLocalRandom.current().nextDouble() >= scenario.load().churnShare();
         if (keep) {
             synchronized (idle) {
-                idle.add(k);
+                idle.add(connection);
             }
         } else {
             try {
@@ -299,7 +299,7 @@
                 // closed is closed
             }
         }
-        return new Answer(what, status, text, k.member.name);
+        return new Answer(what, status, text, connection.member.name);
     }
 
     /** A cocinero's result is the body in capitals; of a keyed job it may be that of an earlier sending of the same key. */
--- a/src/main/java/granitefold/standin/ground/Await.java
+++ b/src/main/java/granitefold/standin/ground/Polling.java
@@ -5,26 +5,26 @@
 import java.util.function.Supplier;
 
 /** Waits for a sign of readiness, for so long at the most, and says on failure what was awaited and what there is to see. */
-final class Await {
-    private static final long LOOK_MS = 5;
+final class Polling {
+    private static final long POLL_INTERVAL_MS = 5;
 
-    private Await() { }
+    private Polling() { }
 
-    static void until(String what, long seconds, Callable<Boolean> sign, Supplier<String> last) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        Exception why = null;
-        while (System.nanoTime() - until < 0) {
+    static void until(String what, long seconds, Callable<Boolean> condition, Supplier<String> diagnostics) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        Exception lastError = null;
+        while (System.nanoTime() - deadlineNs < 0) {
             try {
-                if (sign.call()) {
+                if (condition.call()) {
                     return;
                 }
             } catch (InterruptedException e) {
                 throw e;
             } catch (Exception e) {
-                why = e;
+                lastError = e;
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        throw new IllegalStateException("waited " + seconds + " s for: " + what + (why == null ? "" : " (" + why + ")") + "\n" + last.get());
+        throw new IllegalStateException("waited " + seconds + " s for: " + what + (lastError == null ? "" : " (" + lastError + ")") + "\n" + diagnostics.get());
     }
 }
--- a/src/main/java/granitefold/standin/ground/ProcessFaults.java
+++ b/src/main/java/granitefold/standin/ground/ProcessFaults.java
@@ -14,15 +14,15 @@
 /** What is done to a dispatcher's process from below and outside: system calls, pauses, planned ends with a kill, idle crowds. */
 final class ProcessFaults {
     /** The page's bound of how long a process may be held up. */
-    private static final long HELD_MS = 150;
+    private static final long MAX_PAUSE_MS = 150;
     private static final int HOUR_S = 3600;
-    private static final long ACCEPTS_FAIL_FROM_MS = 400, ACCEPTS_FAIL_MS = 300;
-    private static final double ALWAYS = 100;
-    private static final int CROWD = 400, CONNECT_MS = 200;
-    private static final String[] SERIES = {"HUP", "TERM", "HUP", "INT", "TERM", "HUP"};
-    private static final long SERIES_STEP_MS = 120;
+    private static final long MAX_ACCEPT_FAULT_DELAY_MS = 400, MAX_ACCEPT_FAULT_MS = 300;
+    private static final double ALWAYS_PERCENT = 100;
+    private static final int MAX_IDLE_CONNECTIONS = 400, CONNECT_TIMEOUT_MS = 200;
+    private static final String[] SIGNAL_SERIES = {"HUP", "TERM", "HUP", "INT", "TERM", "HUP"};
+    private static final long MAX_SIGNAL_INTERVAL_MS = 120;
 
-    private static final Map<String, SystemCallFault> CALLS = Map.ofEntries(
+    private static final Map<String, SystemCallFault> SYSTEM_CALL_FAULTS = Map.ofEntries(
             Map.entry("accept-fails", SystemCallFault.ACCEPT),
             Map.entry("socket-fails", SystemCallFault.SOCKET),
             Map.entry("connect-fails", SystemCallFault.CONNECT),
@@ -44,38 +44,38 @@
             SystemCallFault.STORAGE_WRITE, List.of(Errno.ENOSPC, Errno.EIO),
             SystemCallFault.STORAGE_SYNC, List.of(Errno.EIO, Errno.ENOSPC));
 
-    private final Ground ground;
-    private final Map<Member, List<Socket>> crowds = new java.util.concurrent.ConcurrentHashMap<>();
+    private final TestBed testBed;
+    private final Map<DispatcherUnderTest, List<Socket>> idleConnections = new java.util.concurrent.ConcurrentHashMap<>();
     private final Random random;
 
-    ProcessFaults(Ground ground) {
-        this.ground = ground;
-        random = new Random(ground.seed);
+    ProcessFaults(TestBed testBed) {
+        this.testBed = testBed;
+        random = new Random(testBed.seed);
     }
 
-    static boolean knows(String action) {
-        return CALLS.containsKey(action) || List.of("hold", "release", "crash", "crowd", WRITES_HELD).contains(action);
+    static boolean handles(String action) {
+        return SYSTEM_CALL_FAULTS.containsKey(action) || List.of("hold", "release", "crash", "crowd", WRITES_HELD).contains(action);
     }
 
     /** {@code amount}: of system calls how many in a hundred, of pauses the milliseconds. */
-    void begin(String action, Member m, double amount) throws IOException, InterruptedException {
+    void start(String action, DispatcherUnderTest m, double amount) throws IOException, InterruptedException {
         switch (action) {
-            case "hold" -> hold(m, amount > 0 ? (long) amount : HELD_MS);
-            case "release" -> release(m);
+            case "hold" -> pause(m, amount > 0 ? (long) amount : MAX_PAUSE_MS);
+            case "release" -> restartGracefully(m);
             case "crash" -> crash(m, (long) amount);
-            case "crowd" -> crowd(m);
-            case WRITES_HELD -> m.faults.on(SystemCallFault.HELD_WRITE, (int) amount, (int) HELD_MS);
-            default -> call(CALLS.get(action), m, (int) (amount > 0 ? amount : ALWAYS));
+            case "crowd" -> openIdleConnections(m);
+            case WRITES_HELD -> m.faults.on(SystemCallFault.HELD_WRITE, (int) amount, (int) MAX_PAUSE_MS);
+            default -> failSystemCalls(SYSTEM_CALL_FAULTS.get(action), m, (int) (amount > 0 ? amount : ALWAYS_PERCENT));
         }
     }
 
-    void end(String action, Member m) throws IOException {
+    void stop(String action, DispatcherUnderTest m) throws IOException {
         if (action.equals("crowd")) {
-            disperse(m);
+            closeIdleConnections(m);
         } else if (action.equals(WRITES_HELD)) {
             m.faults.off(SystemCallFault.HELD_WRITE);
-        } else if (CALLS.containsKey(action)) {
-            m.faults.off(CALLS.get(action));
+        } else if (SYSTEM_CALL_FAULTS.containsKey(action)) {
+            m.faults.off(SYSTEM_CALL_FAULTS.get(action));
         }
     }
 
@@ -83,7 +83,7 @@
         return random.nextInt(below);
     }
 
-    private void call(SystemCallFault fault, Member m, int percent) {
+    private void failSystemCalls(SystemCallFault fault, DispatcherUnderTest m, int percent) {
         List<Errno> errors = ERRORS.get(fault);
         int value = errors != null ? errors.get(draw(errors.size())).number() : fault == SystemCallFault.WALL_CLOCK
                 ? (draw(2) == 0 ? 1 : -1) * (1 + draw(HOUR_S)) : 0;
@@ -91,106 +91,106 @@
     }
 
     /** Stands still for a moment that the page allows: it excuses nothing. */
-    private static void hold(Member m, long ms) throws IOException, InterruptedException {
-        Member.Life life = m.life();
-        if (life == null || !life.process.isAlive()) {
+    private static void pause(DispatcherUnderTest m, long ms) throws IOException, InterruptedException {
+        DispatcherUnderTest.Incarnation incarnation = m.current();
+        if (incarnation == null || !incarnation.process.isAlive()) {
             return;
         }
-        m.quietSignal(life, "STOP");
-        Thread.sleep(Math.min(HELD_MS, ms));
-        m.quietSignal(life, "CONT");
+        m.sendUnrecordedSignal(incarnation, "STOP");
+        Thread.sleep(Math.min(MAX_PAUSE_MS, ms));
+        m.sendUnrecordedSignal(incarnation, "CONT");
     }
 
     /** Told to end, with signals in series and pauses, killed when the platform may, and started anew. */
-    private void release(Member m) throws IOException, InterruptedException {
-        if (!m.lifeCycle.tryLock()) {
+    private void restartGracefully(DispatcherUnderTest m) throws IOException, InterruptedException {
+        if (!m.lifecycleLock.tryLock()) {
             return;
         }
         try {
             if (!m.alive()) {
                 return;
             }
-            long told = System.nanoTime();
-            ground.front.outAt(m, ground.history.now() + Front.TOLD_US);
-            boolean heldFirst = draw(2) == 0;
-            if (heldFirst) {
-                m.quietSignal(m.life(), "STOP");
+            long terminatedNs = System.nanoTime();
+            testBed.loadBalancer.removeAt(m, testBed.history.now() + LoadBalancer.TERMINATED_TRAFFIC_US);
+            boolean pausedFirst = draw(2) == 0;
+            if (pausedFirst) {
+                m.sendUnrecordedSignal(m.current(), "STOP");
             }
             m.terminate();
-            if (heldFirst) {
-                Thread.sleep(draw((int) HELD_MS));
-                m.quietSignal(m.life(), "CONT");
+            if (pausedFirst) {
+                Thread.sleep(draw((int) MAX_PAUSE_MS));
+                m.sendUnrecordedSignal(m.current(), "CONT");
             }
             if (draw(2) == 0) {
                 failAccepts(m);
             }
             if (draw(2) == 0) {
-                for (String signal : SERIES) {
-                    m.quietSignal(m.life(), signal);
-                    Thread.sleep(draw((int) SERIES_STEP_MS));
+                for (String signal : SIGNAL_SERIES) {
+                    m.sendUnrecordedSignal(m.current(), signal);
+                    Thread.sleep(draw((int) MAX_SIGNAL_INTERVAL_MS));
                 }
             }
-            long killAt = told + TimeUnit.MICROSECONDS.toNanos(ground.scenario.killedAfterUs());
-            long holdAt = killAt - TimeUnit.MILLISECONDS.toNanos(HELD_MS + 100 + draw(500));
-            if (draw(2) == 0 && holdAt - System.nanoTime() > 0 && !m.awaitExitUntil(holdAt)) {
-                hold(m, draw((int) HELD_MS));
+            long killAtNs = terminatedNs + TimeUnit.MICROSECONDS.toNanos(testBed.scenario.earliestKillUs());
+            long pauseAtNs = killAtNs - TimeUnit.MILLISECONDS.toNanos(MAX_PAUSE_MS + 100 + draw(500));
+            if (draw(2) == 0 && pauseAtNs - System.nanoTime() > 0 && !m.awaitExitUntil(pauseAtNs)) {
+                pause(m, draw((int) MAX_PAUSE_MS));
             }
-            if (!m.awaitExitUntil(killAt)) {
-                m.killAfterItsTime();
+            if (!m.awaitExitUntil(killAtNs)) {
+                m.killAfterGracePeriod();
             }
-            m.awaitExit(Member.PATIENCE_S);
-            ground.restart(m);
+            m.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+            testBed.restart(m);
         } finally {
-            m.lifeCycle.unlock();
+            m.lifecycleLock.unlock();
         }
     }
 
     /** New connections still come for 0.4 s after the word to end: for a while they cannot be accepted. */
-    private void failAccepts(Member m) throws InterruptedException {
-        Thread.sleep(draw((int) ACCEPTS_FAIL_FROM_MS));
+    private void failAccepts(DispatcherUnderTest m) throws InterruptedException {
+        Thread.sleep(draw((int) MAX_ACCEPT_FAULT_DELAY_MS));
         List<Errno> errors = ERRORS.get(SystemCallFault.ACCEPT);
         m.faults.on(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
-        Thread.sleep(ACCEPTS_FAIL_MS / 2 + draw((int) ACCEPTS_FAIL_MS / 2));
+        Thread.sleep(MAX_ACCEPT_FAULT_MS / 2 + draw((int) MAX_ACCEPT_FAULT_MS / 2));
         m.faults.off(SystemCallFault.ACCEPT);
     }
 
     /** Killed without a word, and started anew after a while. */
-    private void crash(Member m, long awayMs) throws IOException, InterruptedException {
-        if (!m.lifeCycle.tryLock()) {
+    private void crash(DispatcherUnderTest m, long downtimeMs) throws IOException, InterruptedException {
+        if (!m.lifecycleLock.tryLock()) {
             return;
         }
         try {
             if (m.alive()) {
-                ground.front.outAt(m, ground.history.now() + ground.scenario.dispatchers().noticeUs());
+                testBed.loadBalancer.removeAt(m, testBed.history.now() + testBed.scenario.dispatchers().failureDetectionUs());
                 m.kill();
-                m.awaitExit(Member.PATIENCE_S);
-                Thread.sleep(awayMs);
-                ground.restart(m);
+                m.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+                Thread.sleep(downtimeMs);
+                testBed.restart(m);
             }
         } finally {
-            m.lifeCycle.unlock();
+            m.lifecycleLock.unlock();
         }
     }
 
-    private void crowd(Member m) {
-        ground.history.add(What.FAULT, "crowd>" + m.name, "idle clients");
+    private void openIdleConnections(DispatcherUnderTest m) {
+        testBed.history.add(What.FAULT, "crowd>" + m.name, "idle clients");
         List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < Math.min(CROWD, ground.scenario.dispatchers().sockets()); i++) {
+        for (int i = 0; i < Math.min(MAX_IDLE_CONNECTIONS, testBed.scenario.dispatchers().sockets()); i++) {
             Socket s = new Socket();
             try {
-                s.connect(m.listen, CONNECT_MS);
+                s.connect(m.listenAddress, CONNECT_TIMEOUT_MS);
                 idle.add(s);
             } catch (IOException e) {
                 break;
             }
         }
-        crowds.put(m, idle);
+        idleConnections.put(m, idle);
     }
 
-    private void disperse(Member m) throws IOException {
-        for (Socket s : crowds.getOrDefault(m, List.of())) {
+    private void closeIdleConnections(DispatcherUnderTest m) throws IOException {
+        for (Socket s : idleConnections.getOrDefault(m, List.of())) {
             s.close();
         }
-        ground.history.add(What.FAULT, "crowd>" + m.name, "none");
+        testBed.history.add(What.FAULT, "crowd>" + m.name, "none");
     }
 }
--- a/src/main/java/granitefold/standin/ground/RequestStatistics.java
+++ b/src/main/java/granitefold/standin/ground/RequestStatistics.java
@@ -12,7 +12,7 @@
  * first attempt, and times count from when that was due, so that a request that waits for its turn does not flatter the figures.
  */
 public final class RequestStatistics {
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     /** How a request ended for its client. */
     public enum Outcome {
@@ -27,7 +27,7 @@
         public double requestedValue;
         public double servedValue;
         private final long[] outcomes = new long[Outcome.values().length];
-        private final Histogram latencyUs = new Histogram(TimeUnit.MINUTES.toMicros(5), DIGITS);
+        private final Histogram latencyUs = new Histogram(TimeUnit.MINUTES.toMicros(5), SIGNIFICANT_DIGITS);
 
         public long count(Outcome outcome) {
             return outcomes[outcome.ordinal()];
@@ -43,12 +43,12 @@
             return latencyUs.getValueAtPercentile(percentile) / 1000.0;
         }
 
-        private void add(Outcome outcome, double worth, long us) {
+        private void add(Outcome outcome, double value, long latency) {
             requests++;
             outcomes[outcome.ordinal()]++;
-            requestedValue += worth;
-            servedValue += outcome == Outcome.IN_TIME ? worth : 0;
-            latencyUs.recordValue(Math.min(Math.max(0, us), latencyUs.getHighestTrackableValue()));
+            requestedValue += value;
+            servedValue += outcome == Outcome.IN_TIME ? value : 0;
+            latencyUs.recordValue(Math.min(Math.max(0, latency), latencyUs.getHighestTrackableValue()));
         }
     }
 
@@ -59,16 +59,16 @@
     private final List<Summary> seconds = new ArrayList<>();
 
     /** A request has ended. {@code dueUs}: after clients began; {@code dispatcher}: who gave the last answer, or null. */
-    synchronized void add(long dueUs, String jobClass, String tenant, String dispatcher, Outcome outcome, double worth, long tookUs) {
+    synchronized void add(long dueUs, String jobClass, String tenant, String dispatcher, Outcome outcome, double value, long tookUs) {
         int second = (int) (dueUs / 1_000_000);
         while (seconds.size() <= second) {
             seconds.add(new Summary());
         }
-        all.add(outcome, worth, tookUs);
-        seconds.get(second).add(outcome, worth, tookUs);
-        classes.computeIfAbsent(jobClass, c -> new Summary()).add(outcome, worth, tookUs);
-        tenants.computeIfAbsent(tenant, c -> new Summary()).add(outcome, worth, tookUs);
-        dispatchers.computeIfAbsent(dispatcher == null ? "none" : dispatcher, c -> new Summary()).add(outcome, worth, tookUs);
+        all.add(outcome, value, tookUs);
+        seconds.get(second).add(outcome, value, tookUs);
+        classes.computeIfAbsent(jobClass, c -> new Summary()).add(outcome, value, tookUs);
+        tenants.computeIfAbsent(tenant, c -> new Summary()).add(outcome, value, tookUs);
+        dispatchers.computeIfAbsent(dispatcher == null ? "none" : dispatcher, c -> new Summary()).add(outcome, value, tookUs);
     }
 
     public Summary all() {
--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -30,9 +30,9 @@
  */
 @Command(name = "rollouts", mixinStandardHelpOptions = true, description = "Roll a version that refuses a share of requests, in stages and all at once.")
 final class RolloutExperiment implements Callable<Integer> {
-    private static final long PATIENCE_S = 240;
-    private static final double SURE = 0.95, TWO_SIDES = 0.975;
-    private static final int SETTLED_S = 2, BEFORE_REQUESTS = 1500;
+    private static final long TIMEOUT_S = 240;
+    private static final double CONFIDENCE = 0.95, UPPER_QUANTILE = 0.975;
+    private static final int WARMUP_S = 2, BASELINE_REQUESTS = 1500;
 
     @Option(names = "--loss", defaultValue = "0.05", description = "Share that the new version refuses; 0 rolls a version against itself (${DEFAULT-VALUE}).")
     private double loss;
@@ -83,11 +83,11 @@
     private Outcome play(long seed, Path fresh, PlanParameters parameters) throws IOException, InterruptedException, granitefold.operator.InvalidFileException {
         Scenario s = Scenario.read("rollouts", "for = 600s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = 200\n");
         try (RolloutTestBed r = new RolloutTestBed(s, seed, jar)) {
-            r.awaitServed(BEFORE_REQUESTS);
-            int began = (int) (r.sinceUs() / 1_000_000);
+            r.awaitServed(BASELINE_REQUESTS);
+            int began = (int) (r.elapsedUs() / 1_000_000);
             r.writePlan("rollout", fresh, parameters);
             r.start();
-            Result result = r.awaitResult(PATIENCE_S);
+            Result result = r.awaitResult(TIMEOUT_S);
             r.awaitSecond(began + windowS);
             int broken = r.finish().size();
             return new Outcome(seed, result, lost(r.statistics().seconds(), began, windowS), broken);
@@ -97,7 +97,7 @@
     private static double lost(List<RequestStatistics.Summary> seconds, int began, int windowS) {
         double before = 0;
         double asked = 0;
-        for (int i = SETTLED_S; i < began; i++) {
+        for (int i = WARMUP_S; i < began; i++) {
             before += seconds.get(i).servedValue;
             asked += seconds.get(i).requestedValue;
         }
@@ -135,7 +135,7 @@
                     b == null ? "" : String.format(Locale.ROOT, "%.4f", b.lost), a.broken + (b == null ? 0 : b.broken), a.result.verdict());
             out.flush();
         }
-        var share = new WilsonScoreInterval().createInterval(staged.size(), stopped, SURE);
+        var share = new WilsonScoreInterval().createInterval(staged.size(), stopped, CONFIDENCE);
         out.printf(Locale.ROOT, "went back in %d of %d (95%% interval %.3f to %.3f), after %.1f s on the mean; rules broken %d times%n", stopped, staged.size(),
                 share.getLowerBound(), share.getUpperBound(), seconds.getMean(), broken);
         out.println("worth lost in stages: " + interval(inStages) + (stagedOnly ? "" : "; all at once: " + interval(allAtOnce) + "; saved, paired: " + interval(saved)));
@@ -145,7 +145,7 @@
         if (s.getN() < 2) {
             return String.format(Locale.ROOT, "%.4f", s.getMean());
         }
-        double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(TWO_SIDES) * s.getStandardDeviation() / Math.sqrt(s.getN());
+        double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(UPPER_QUANTILE) * s.getStandardDeviation() / Math.sqrt(s.getN());
         return String.format(Locale.ROOT, "%.4f (%.4f to %.4f)", s.getMean(), s.getMean() - half, s.getMean() + half);
     }
 }
--- a/src/main/java/granitefold/standin/ground/RolloutTestBed.java
+++ b/src/main/java/granitefold/standin/ground/RolloutTestBed.java
@@ -1,7 +1,7 @@
 package granitefold.standin.ground;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import granitefold.standin.history.Checker;
+import granitefold.standin.history.HistoryChecker;
 import granitefold.standin.history.Violation;
 import java.io.Closeable;
 import java.io.IOException;
@@ -30,7 +30,7 @@
     /** What a rollout came to. {@code exit}: the controller's status; {@code seconds}: from its start to its end. */
     public record Result(int exit, String state, String verdict, int stage, List<String> labels, double seconds, String report) { }
 
-    private final Ground ground;
+    private final TestBed testBed;
     private final Path folder;
     private final Path jar;
     private final List<Process> controllers = new ArrayList<>();
@@ -39,47 +39,47 @@
 
     public RolloutTestBed(Scenario scenario, long seed, Path jar) throws IOException, InterruptedException {
         this.jar = jar;
-        ground = new Ground(scenario, seed, jar);
-        folder = Files.createDirectories(ground.folder.resolve("rollout"));
+        testBed = new TestBed(scenario, seed, jar);
+        folder = Files.createDirectories(testBed.folder.resolve("rollout"));
         try {
-            ground.start();
+            testBed.start();
         } catch (IOException | InterruptedException | RuntimeException e) {
-            ground.close();
+            testBed.close();
             throw e;
         }
-        ground.clients.begin();
+        testBed.loadGenerator.start();
     }
 
     public long served() {
-        return ground.clients.served();
+        return testBed.loadGenerator.served();
     }
 
     /** Waits until so many more requests were served. */
     public void awaitServed(long more) throws InterruptedException {
         long wanted = served() + more;
-        Await.until(wanted + " requests served", Member.PATIENCE_S, () -> served() >= wanted, this::lastLines);
+        Polling.until(wanted + " requests served", DispatcherUnderTest.TIMEOUT_S, () -> served() >= wanted, this::lastLines);
     }
 
     /** Microseconds since clients began. */
-    long sinceUs() {
-        return ground.clients.sinceUs();
+    long elapsedUs() {
+        return testBed.loadGenerator.elapsedUs();
     }
 
     /** Waits until so many seconds have gone by since clients began. */
     void awaitSecond(int second) throws InterruptedException {
-        Await.until("second " + second, second + Member.PATIENCE_S, () -> sinceUs() >= second * 1_000_000L, this::lastLines);
+        Polling.until("second " + second, second + DispatcherUnderTest.TIMEOUT_S, () -> elapsedUs() >= second * 1_000_000L, this::lastLines);
     }
 
     /** Writes the plan to another version; {@code numbered}: a name of its own gives it a folder of its own. */
     public void writePlan(String name, Path fresh, PlanParameters parameters) throws IOException {
         StringBuilder b = new StringBuilder("name = " + name + "\nfolder = \"" + folder.resolve(name) + "\"\ndispatchers = [\n");
-        for (Member m : ground.members) {
-            b.append("  { name = ").append(m.name).append(", keeper = \"").append(Member.text(m.control)).append("\" }\n");
+        for (DispatcherUnderTest m : testBed.fleet) {
+            b.append("  { name = ").append(m.name).append(", keeper = \"").append(DispatcherUnderTest.format(m.controlAddress)).append("\" }\n");
         }
         b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"").append(fresh.toAbsolutePath())
                 .append("\" }\nstages = [").append(parameters.stages).append("]\nlook { warm = ").append(ms(parameters.warmupS)).append(", least = ").append(ms(parameters.minLookS))
                 .append(", most = ").append(ms(parameters.maxLookS)).append(" }\nstep = ").append(ms(parameters.stepS)).append("\nworse = ").append(parameters.rollBack ? "back" : "stop")
-                .append("\ncontrols = ").append(parameters.controls).append("\nclasses = [").append(String.join(", ", ground.scenario.classes().keySet())).append("]\n");
+                .append("\ncontrols = ").append(parameters.controls).append("\nclasses = [").append(String.join(", ", testBed.scenario.classes().keySet())).append("]\n");
         if (!parameters.tolerances.isEmpty()) {
             b.append("borne { ").append(parameters.tolerances).append(" }\n");
         }
@@ -93,13 +93,13 @@
 
     /** Starts a controller on the plan. */
     public Process start() throws IOException {
-        startedUs = controllers.isEmpty() ? ground.history.now() : startedUs;
-        Process p = command(folder.resolve("controller-" + controllers.size() + ".log"), "start");
+        startedUs = controllers.isEmpty() ? testBed.history.now() : startedUs;
+        Process p = launch(folder.resolve("controller-" + controllers.size() + ".log"), "start");
         controllers.add(p);
         return p;
     }
 
-    private Process command(Path log, String word, String... more) throws IOException {
+    private Process launch(Path log, String word, String... more) throws IOException {
         List<String> line = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-Xshare:auto", "-jar", jar.toString(),
                 "rollout", word, plan.toString()));
         line.addAll(List.of(more));
@@ -108,21 +108,21 @@
 
     /** Says a word to the rollout, as an operator does; its status. */
     public int sendCommand(String word) throws IOException, InterruptedException {
-        Process p = command(folder.resolve("word.log"), word);
+        Process p = launch(folder.resolve("word.log"), word);
         return p.waitFor();
     }
 
     /** How it stands, by {@code rollout status --json}. */
     public JsonNode status() throws IOException, InterruptedException {
         Path out = folder.resolve("status.log");
-        command(out, "status", "--json").waitFor();
-        return Settings.JSON.readTree(Files.readAllBytes(out));
+        launch(out, "status", "--json").waitFor();
+        return DispatcherConfig.JSON.readTree(Files.readAllBytes(out));
     }
 
     /** Waits until the controller's log has a text. */
     public void awaitLog(String part) throws InterruptedException {
         Path log = folder.resolve("controller-" + (controllers.size() - 1) + ".log");
-        Await.until("'" + part + "' in the controller's log", 2 * Member.PATIENCE_S, () -> Files.readString(log).contains(part), this::lastLines);
+        Polling.until("'" + part + "' in the controller's log", 2 * DispatcherUnderTest.TIMEOUT_S, () -> Files.readString(log).contains(part), this::lastLines);
     }
 
     public String lastLines() {
@@ -134,14 +134,14 @@
         } catch (IOException e) {
             b.append(e);
         }
-        ground.members.forEach(m -> b.append(m.lastLines()).append('\n'));
+        testBed.fleet.forEach(m -> b.append(m.lastLines()).append('\n'));
         return b.toString();
     }
 
     /** A step of a scenario, now. */
     public void injectStep(String step) throws Exception {
         Scenario s = Scenario.read("step", "steps = [ " + step + " ]");
-        new Script(ground).now(s.steps().get(0));
+        new FaultScript(testBed).performNow(s.steps().get(0));
     }
 
     /** Waits for the controller's end. */
@@ -150,10 +150,10 @@
         if (!p.waitFor(seconds, TimeUnit.SECONDS)) {
             throw new IllegalStateException("the rollout has no end after " + seconds + " s\n" + lastLines());
         }
-        double took = (ground.history.now() - startedUs) / 1e6;
+        double took = (testBed.history.now() - startedUs) / 1e6;
         JsonNode s = status();
         List<String> labels = new ArrayList<>();
-        for (Member m : ground.members) {
+        for (DispatcherUnderTest m : testBed.fleet) {
             labels.add(label(m));
         }
         Path report = plan.resolveSibling(plan.getFileName().toString().replace(".plan", "")).resolve("report.txt");
@@ -162,21 +162,21 @@
     }
 
     /** Which version the processes of a dispatcher run, by their command lines; several where there are several. */
-    private String label(Member m) {
+    private String label(DispatcherUnderTest m) {
         List<String> jars = m.jars();
         return String.join("+", jars.stream().map(j -> j.equals(jar.toAbsolutePath().toString()) ? "old" : "new").toList());
     }
 
     /** Ends the load and the fleet, and judges what was seen. */
     public List<Violation> finish() throws InterruptedException {
-        ground.clients.stop();
-        Await.until("the last client's answer", 2 * Member.PATIENCE_S, ground.clients::over, this::lastLines);
-        ground.end();
-        return Checker.check(ground.scenario.terms(SLACK_MS), ground.history.sorted());
+        testBed.loadGenerator.stop();
+        Polling.until("the last client's answer", 2 * DispatcherUnderTest.TIMEOUT_S, testBed.loadGenerator::finished, this::lastLines);
+        testBed.shutDown();
+        return HistoryChecker.check(testBed.scenario.terms(SLACK_MS), testBed.history.sorted());
     }
 
     public RequestStatistics statistics() {
-        return ground.clients.statistics;
+        return testBed.loadGenerator.statistics;
     }
 
     @Override
@@ -185,6 +185,6 @@
             p.destroyForcibly();
             p.onExit().join();
         }
-        ground.close();
+        testBed.close();
     }
 }
--- a/src/main/java/granitefold/standin/ground/Scenario.java
+++ b/src/main/java/granitefold/standin/ground/Scenario.java
@@ -3,7 +3,7 @@
 import granitefold.operator.InvalidFileException;
 import granitefold.operator.HoconFile;
 import granitefold.operator.ConfigSection;
-import granitefold.standin.history.Terms;
+import granitefold.standin.history.RuleTerms;
 import granitefold.standin.world.WorkerSpec;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -18,51 +18,51 @@
  * @param lengthUs how long clients ask
  * @param steps what happens, in the order of the file
  */
-public record Scenario(String name, String about, long lengthUs, Dispatchers dispatchers, Cocineros cocineros, Load load,
-        Map<String, JobClass> classes, Map<String, Tenant> tenants, List<Step> steps, Drawn drawn) {
+public record Scenario(String name, String about, long lengthUs, Dispatchers dispatchers, Workers workers, Load load,
+        Map<String, JobClass> classes, Map<String, Tenant> tenants, List<Step> steps, RandomSteps randomSteps) {
     private static final long MINUTE_MS = 60_000;
-    static final int DISPATCHERS_MOST = 24, COCINEROS_MOST = 40;
+    static final int MAX_DISPATCHERS = 24, MAX_WORKERS = 40;
 
     /**
      * The dispatchers.
      *
-     * @param noticeUs how long the front goes on sending to one that has died
+     * @param failureDetectionUs how long the front goes on sending to one that has died
      * @param operator their operators' file
-     * @param state each has a folder that lasts
-     * @param beside they have a second address, so that another version may be started beside each
-     * @param talk they may send each other datagrams
-     * @param kept each has a keeper that starts it and changes its version
+     * @param persistentState each has a folder that lasts
+     * @param secondAddress they have a second address, so that another version may be started beside each
+     * @param gossip they may send each other datagrams
+     * @param hasKeeper each has a keeper that starts it and changes its version
      * @param sockets descriptors that each may hold
      * @param faults the fault library is preloaded into each, so that system calls may be made to fail
      */
-    public record Dispatchers(int count, int memoryMb, long noticeUs, String operator, boolean state, boolean beside, boolean talk, boolean kept, int sockets, boolean faults) { }
+    public record Dispatchers(int count, int memoryMb, long failureDetectionUs, String operator, boolean persistentState, boolean secondAddress, boolean gossip, boolean hasKeeper, int sockets, boolean faults) { }
 
     /** The cocineros, all alike but for their speed, which is drawn around the mean by a share. */
-    public record Cocineros(int count, WorkerSpec spec, double spread) { }
+    public record Workers(int count, WorkerSpec spec, double spread) { }
 
     /**
      * The clients: requests come by chance at a rate, whatever becomes of those before.
      *
      * @param retries how often a client comes again after a reject
-     * @param impatient share of clients that leave early
-     * @param honour share of clients that heed Retry-After
-     * @param churn share of answers after which a client closes its connection
+     * @param impatientShare share of clients that leave early
+     * @param retryAfterShare share of clients that heed Retry-After
+     * @param churnShare share of answers after which a client closes its connection
      */
-    public record Load(double perS, int retries, double impatient, double honour, double churn) { }
+    public record Load(double requestsPerS, int retries, double impatientShare, double retryAfterShare, double churnShare) { }
 
     /** A class of jobs; times in microseconds, {@code spread}: of the work, as its standard deviation over its mean. */
-    public record JobClass(double share, double workUs, double spread, int slots, Terms.Effect effect, long onTimeUs, long deadlineUs,
-            double stretch, double worth, long windowUs) { }
+    public record JobClass(double share, double workUs, double spread, int slots, RuleTerms.Effect effect, long onTimeUs, long deadlineUs,
+            double stretch, double value, long keyWindowUs) { }
 
     /** A tenant: its share of the quota, and what it asks of its share of the load. */
     public record Tenant(double share, double usage) { }
 
     /** Something that goes wrong, or right again, at a time after clients began, or a while after something was seen. */
-    public record Step(String action, long atUs, String when, List<String> to, List<List<String>> between, List<String> edges,
-            double amount, long lastsUs) { }
+    public record Step(String action, long atUs, String trigger, List<String> targets, List<List<String>> groups, List<String> edges,
+            double amount, long durationUs) { }
 
     /** Steps drawn from the seed. */
-    public record Drawn(int count, long fromUs, long untilUs, List<String> of, long lastsUs) { }
+    public record RandomSteps(int count, long fromUs, long untilUs, List<String> actions, long durationUs) { }
 
     /** The actions of steps. */
     static final List<String> ACTIONS = List.of("kill", "kill-keeper", "stop", "continue", "end", "start", "restart", "reload", "cut", "cut-there", "cut-back",
@@ -90,7 +90,7 @@
         Map<String, JobClass> classes = new LinkedHashMap<>();
         all.named("classes").forEach((key, s) -> classes.put(key, jobClass(s)));
         if (classes.isEmpty()) {
-            classes.put("ficha", new JobClass(1, 40_000, 0.8, 1, Terms.Effect.SAFE, 300_000, 5_000_000, 2, 1, 12_000_000));
+            classes.put("ficha", new JobClass(1, 40_000, 0.8, 1, RuleTerms.Effect.SAFE, 300_000, 5_000_000, 2, 1, 12_000_000));
         }
         Map<String, Tenant> tenants = new LinkedHashMap<>();
         all.named("tenants").forEach((key, s) -> {
@@ -103,22 +103,22 @@
         double meanWork = classes.values().stream().mapToDouble(j -> j.share * j.workUs * j.slots).sum()
                 / classes.values().stream().mapToDouble(JobClass::share).sum();
         Scenario s = new Scenario(name, all.string("about", "", "a sentence", t -> true), all.durationUs("for", 10_000_000, 500, 60 * MINUTE_MS),
-                new Dispatchers(d.integer("count", 2, 1, DISPATCHERS_MOST), d.integer("memory-mb", 160, 64, 1024),
+                new Dispatchers(d.integer("count", 2, 1, MAX_DISPATCHERS), d.integer("memory-mb", 160, 64, 1024),
                         d.durationUs("front-notice", 1_500_000, 0, MINUTE_MS), d.string("operator", "", "the text of an operators' file", t -> true),
                         d.bool("state", false), d.bool("beside", false), d.bool("talk", true), d.bool("kept", false),
                         d.integer("sockets", 1024, 64, 65_536), d.bool("faults", false)),
-                cocineros(c, meanWork),
+                workers(c, meanWork),
                 new Load(l.number("rate", 60, 0.1, 5000), l.integer("retries", 2, 0, 10), l.number("impatient", 0, 0, 1),
                         l.number("honour", 0.8, 0, 1), l.number("churn", 0.05, 0, 1)),
-                classes, tenants, steps(all), drawn(r));
+                classes, tenants, steps(all), randomSteps(r));
         for (ConfigSection x : List.of(d, c, l, r, all)) {
             x.reportUnknownKeys();
         }
         return s;
     }
 
-    private static Cocineros cocineros(ConfigSection c, double meanWork) {
-        Cocineros found = new Cocineros(c.integer("count", 4, 1, COCINEROS_MOST), new WorkerSpec(c.integer("slots", 6, 1, 64), c.number("speed", 1, 0.01, 100),
+    private static Workers workers(ConfigSection c, double meanWork) {
+        Workers found = new Workers(c.integer("count", 4, 1, MAX_WORKERS), new WorkerSpec(c.integer("slots", 6, 1, 64), c.number("speed", 1, 0.01, 100),
                 c.integer("queue", 40, 0, 10_000), c.number("cold-from", 0.4, 0.01, 1), c.durationUs("cold-for", 6_000_000, 1, MINUTE_MS),
                 c.number("falls-at", 3, 1, 1000), c.durationUs("falls-within", 2_000_000, 100, MINUTE_MS), meanWork, c.integer("keeps", 0, 0, 10_000),
                 c.durationUs("fetch", 0, 0, MINUTE_MS)), c.number("spread", 0, 0, 0.9));
@@ -127,7 +127,7 @@
 
     private static JobClass jobClass(ConfigSection s) {
         JobClass c = new JobClass(s.number("share", 1, 0, 1), s.durationUs("work", 40_000, 0, MINUTE_MS), s.number("spread", 0.8, 0, 5),
-                s.integer("slots", 1, 1, 64), Terms.Effect.valueOf(s.choice("effect", "safe", "safe", "keyed", "unsafe").toUpperCase(java.util.Locale.ROOT)),
+                s.integer("slots", 1, 1, 64), RuleTerms.Effect.valueOf(s.choice("effect", "safe", "safe", "keyed", "unsafe").toUpperCase(java.util.Locale.ROOT)),
                 s.durationUs("on-time", 300_000, 1, MINUTE_MS), s.durationUs("deadline", 5_000_000, 10, 5 * MINUTE_MS), s.number("stretch", 2, 0, 100),
                 s.number("worth", 1, 0, 1000), s.durationUs("window", 12_000_000, 100, 5 * MINUTE_MS));
         s.reportUnknownKeys();
@@ -159,8 +159,8 @@
         return steps;
     }
 
-    private static Drawn drawn(ConfigSection r) {
-        return new Drawn(r.integer("count", 0, 0, 1000), r.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS), r.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
+    private static RandomSteps randomSteps(ConfigSection r) {
+        return new RandomSteps(r.integer("count", 0, 0, 1000), r.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS), r.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
                 r.strings("of", "one of " + String.join(", ", ACTIONS), ACTIONS::contains), r.durationUs("lasts", 1_000_000, 0, 60 * MINUTE_MS));
     }
 
@@ -171,23 +171,23 @@
 
     /** What the fleet does a second by itself, warm, in jobs of mean work. */
     public double capacityPerS() {
-        return cocineros.count * cocineros.spec.slots() * cocineros.spec.speed() * 1e6 / cocineros.spec.meanWorkUs();
+        return workers.count * workers.spec.slots() * workers.spec.speed() * 1e6 / workers.spec.meanWorkUs();
     }
 
-    /** What the rules are measured by; {@code slackMs}: as {@link Terms} has it. */
-    public Terms terms(long slackMs) {
-        Map<String, Terms.JobClass> rules = new LinkedHashMap<>();
-        classes.forEach((key, c) -> rules.put(key, new Terms.JobClass(c.effect, c.windowUs / 1000, c.deadlineUs / 1000)));
+    /** What the rules are measured by; {@code slackMs}: as {@link RuleTerms} has it. */
+    public RuleTerms terms(long slackMs) {
+        Map<String, RuleTerms.JobClass> rules = new LinkedHashMap<>();
+        classes.forEach((key, c) -> rules.put(key, new RuleTerms.JobClass(c.effect, c.keyWindowUs / 1000, c.deadlineUs / 1000)));
         Map<String, Double> quotas = new LinkedHashMap<>();
         tenants.forEach((key, t) -> quotas.put(key, t.share * capacityPerS()));
-        return new Terms(rules, quotas, DRAIN_GRACE_MS, slackMs, true, !dispatchers.kept, dispatchers.faults);
+        return new RuleTerms(rules, quotas, DRAIN_GRACE_MS, slackMs, true, !dispatchers.hasKeeper, dispatchers.faults);
     }
 
     static final long DRAIN_GRACE_MS = 3000;
-    private static final long KILL_DEADLINE_MOST_US = 3_000_000, KILL_GRACE_US = 700_000;
+    private static final long MAX_KILL_DEADLINE_US = 3_000_000, KILL_GRACE_US = 700_000;
 
     /** So long after SIGTERM the platform may kill a process, at the earliest. */
-    long killedAfterUs() {
-        return Math.min(KILL_DEADLINE_MOST_US, classes.values().stream().mapToLong(JobClass::deadlineUs).max().orElse(0)) + KILL_GRACE_US;
+    long earliestKillUs() {
+        return Math.min(MAX_KILL_DEADLINE_US, classes.values().stream().mapToLong(JobClass::deadlineUs).max().orElse(0)) + KILL_GRACE_US;
     }
 }
--- a/src/main/java/granitefold/standin/ground/Disorder.java
+++ b/src/main/java/granitefold/standin/ground/ScenarioActions.java
@@ -16,20 +16,20 @@
 import java.util.stream.Stream;
 
 /** What is done to processes, to cocineros, and to folders of stored state. */
-final class Disorder {
-    private static final Set<String> OF_WORKERS = Set.of("slow", "hang", "stick", "fail", "truncate", "break", "well", "drain", "remove",
+final class ScenarioActions {
+    private static final Set<String> WORKER_ACTIONS = Set.of("slow", "hang", "stick", "fail", "truncate", "break", "well", "drain", "remove",
             "replace", "die");
     private static final long MS_PER_HOUR = 3_600_000;
 
-    private final Ground ground;
+    private final TestBed testBed;
 
-    Disorder(Ground ground) {
-        this.ground = ground;
+    ScenarioActions(TestBed testBed) {
+        this.testBed = testBed;
     }
 
     /** Whether an action is done to cocineros. */
-    static boolean ofWorkers(String action) {
-        return OF_WORKERS.contains(action);
+    static boolean appliesToWorkers(String action) {
+        return WORKER_ACTIONS.contains(action);
     }
 
     void worker(String action, Worker w, double amount) throws IOException {
@@ -40,78 +40,78 @@
             case "fail" -> w.mood(Mood.FAILING);
             case "truncate" -> w.mood(Mood.TRUNCATING);
             case "break" -> w.mood(Mood.RESETTING);
-            case "drain" -> ground.registry.status(w, "draining");
-            case "remove" -> ground.registry.remove(w);
+            case "drain" -> testBed.registry.status(w, "draining");
+            case "remove" -> testBed.registry.remove(w);
             case "die" -> {
                 w.die();
-                ground.registry.remove(w);
+                testBed.registry.remove(w);
             }
             case "replace" -> {
                 w.die();
-                ground.registry.remove(w);
-                ground.worker(true);
+                testBed.registry.remove(w);
+                testBed.addWorker(true);
             }
             default -> {
                 w.mood(Mood.WELL);
                 w.slowness(1);
-                ground.registry.status(w, "up");
+                testBed.registry.status(w, "up");
             }
         }
     }
 
     /** All at once, as far as one machine can. */
-    void members(String action, List<Member> hit, double amount) throws IOException, InterruptedException {
-        long now = ground.history.now();
+    void dispatchers(String action, List<DispatcherUnderTest> targets, double amount) throws IOException, InterruptedException {
+        long now = testBed.history.now();
         switch (action) {
             case "kill" -> {
                 // all in one instant, as far as it goes; then those that are kept come back
-                hit.parallelStream().forEach(Member::kill);
-                hit.forEach(m -> ground.front.outAt(m, now + ground.scenario.dispatchers().noticeUs()));
-                hit.stream().filter(Member::kept).forEach(ground::takeInOnceReady);
+                targets.parallelStream().forEach(DispatcherUnderTest::kill);
+                targets.forEach(m -> testBed.loadBalancer.removeAt(m, now + testBed.scenario.dispatchers().failureDetectionUs()));
+                targets.stream().filter(DispatcherUnderTest::hasKeeper).forEach(testBed::addToBalancerWhenReady);
             }
             case "start" -> {
-                for (Member m : hit) {
-                    if (m.life() != null && !m.alive() || m.awaitExit(Member.PATIENCE_S)) {
-                        ground.restart(m);
+                for (DispatcherUnderTest m : targets) {
+                    if (m.current() != null && !m.alive() || m.awaitExit(DispatcherUnderTest.TIMEOUT_S)) {
+                        testBed.restart(m);
                     }
                 }
             }
             case "end", "restart" -> {
-                hit.forEach(m -> {
+                targets.forEach(m -> {
                     m.terminate();
-                    ground.front.outAt(m, now + Front.TOLD_US);
+                    testBed.loadBalancer.removeAt(m, now + LoadBalancer.TERMINATED_TRAFFIC_US);
                 });
                 if (action.equals("restart")) {
-                    for (Member m : hit) {
-                        m.awaitExit(Member.PATIENCE_S);
-                        ground.restart(m);
+                    for (DispatcherUnderTest m : targets) {
+                        m.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+                        testBed.restart(m);
                     }
                 }
             }
             case "kill-keeper" -> {
-                for (Member m : hit) {
+                for (DispatcherUnderTest m : targets) {
                     m.killKeeper();
                 }
             }
             case "stop", "continue" -> {
-                for (Member m : hit) {
-                    m.signal(action.equals("stop") ? "STOP" : "CONT");
+                for (DispatcherUnderTest m : targets) {
+                    m.sendSignal(action.equals("stop") ? "STOP" : "CONT");
                 }
             }
             case "reload" -> {
-                for (Member m : hit) {
+                for (DispatcherUnderTest m : targets) {
                     m.writeConfig();
-                    m.signal("HUP");
+                    m.sendSignal("HUP");
                 }
             }
-            default -> stored(action, hit, amount);
+            default -> stateFiles(action, targets, amount);
         }
     }
 
     // ---------------------------------------------------------------- stored state, while nobody writes it
-    private void stored(String action, List<Member> hit, double amount) throws IOException {
+    private void stateFiles(String action, List<DispatcherUnderTest> targets, double amount) throws IOException {
         List<Path> files = new ArrayList<>();
-        for (Member m : hit) {
+        for (DispatcherUnderTest m : targets) {
             files.addAll(files(m.stateFolder()));
         }
         switch (action) {
@@ -134,9 +134,9 @@
                 }
             }
             case "state-swapped" -> {
-                for (int i = 0; i + 1 < hit.size(); i += 2) {
-                    Path a = hit.get(i).stateFolder();
-                    Path b = hit.get(i + 1).stateFolder();
+                for (int i = 0; i + 1 < targets.size(); i += 2) {
+                    Path a = targets.get(i).stateFolder();
+                    Path b = targets.get(i + 1).stateFolder();
                     Path between = a.resolveSibling("between");
                     Files.move(a, between);
                     Files.move(b, a);
@@ -144,12 +144,12 @@
                 }
             }
             case "state-kept" -> {
-                for (Member m : hit) {
+                for (DispatcherUnderTest m : targets) {
                     copy(m.stateFolder(), m.stateFolder().resolveSibling("kept"));
                 }
             }
             case "state-back" -> {
-                for (Member m : hit) {
+                for (DispatcherUnderTest m : targets) {
                     copy(m.stateFolder().resolveSibling("kept"), m.stateFolder());
                 }
             }
--- a/src/main/java/granitefold/standin/ground/Ground.java
+++ b/src/main/java/granitefold/standin/ground/TestBed.java
@@ -8,7 +8,7 @@
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
-import granitefold.standin.history.Terms;
+import granitefold.standin.history.RuleTerms;
 import granitefold.standin.world.KeyWindow;
 import granitefold.standin.world.Registry;
 import granitefold.standin.world.Worker;
@@ -32,10 +32,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** A fleet of real processes, the world round it, and a relay on each edge between them. */
-public final class Ground implements Closeable {
+public final class TestBed implements Closeable {
     static final String CLIENTS = "clients", DISCOVERY = "discovery", CONTROLLER = "controller";
 
-    private static final long PULSE_NS = 5_000_000, LATE_US = 10_000;
+    private static final long LAG_CHECK_INTERVAL_NS = 5_000_000, MIN_RECORDED_LAG_US = 10_000;
 
     private volatile boolean closed;
     final Scenario scenario;
@@ -43,22 +43,22 @@
     final History history = new History();
     final Relays relays;
     final Registry registry = new Registry(history);
-    final List<Member> members = new ArrayList<>();
-    final Front front;
-    final Clients clients;
+    final List<DispatcherUnderTest> fleet = new ArrayList<>();
+    final LoadBalancer loadBalancer;
+    final LoadGenerator loadGenerator;
     final Path folder;
     /** Workers join while others are being faulted. */
     private final List<Edge> edges = new CopyOnWriteArrayList<>();
     private final Map<String, Worker> workers = new ConcurrentHashMap<>();
     /** Where a dispatcher finds a cocinero. */
-    private final Map<String, InetSocketAddress> ways = new ConcurrentHashMap<>();
-    private final Map<String, KeyWindow> windows = new HashMap<>();
+    private final Map<String, InetSocketAddress> relayAddresses = new ConcurrentHashMap<>();
+    private final Map<String, KeyWindow> keyWindows = new HashMap<>();
     private final List<Registry.Agent> agents = new ArrayList<>();
     private final UniformRandomProvider random;
-    private int workersMade;
+    private int workersCreated;
 
     /** Nothing of it runs yet. {@code jar}: of the dispatchers. */
-    public Ground(Scenario scenario, long seed, Path jar) throws IOException {
+    public TestBed(Scenario scenario, long seed, Path jar) throws IOException {
         this.scenario = scenario;
         this.seed = seed;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -66,84 +66,84 @@
         relays = new Relays(seed, new EdgeListener() {
             @Override
             public void sent(Edge edge, InetSocketAddress conn, long earliestNs, long atNs) {
-                seen(What.SENT, edge, conn, atNs, (atNs - earliestNs) / 1000);
+                recordPeerEvent(What.SENT, edge, conn, atNs, (atNs - earliestNs) / 1000);
             }
 
             @Override
             public void closed(Edge edge, InetSocketAddress conn, long atNs) {
-                seen(What.CLOSED, edge, conn, atNs, 0);
+                recordPeerEvent(What.CLOSED, edge, conn, atNs, 0);
             }
 
             @Override
             public void forwarded(Edge edge, InetSocketAddress opener, long atNs) {
-                passedOn(What.FORWARDED, edge, opener, atNs);
+                recordClientEvent(What.FORWARDED, edge, opener, atNs);
             }
 
             @Override
             public void closeForwarded(Edge edge, InetSocketAddress opener, long atNs) {
-                passedOn(What.CLOSE_FORWARDED, edge, opener, atNs);
+                recordClientEvent(What.CLOSE_FORWARDED, edge, opener, atNs);
             }
         });
         scenario.classes().forEach((name, c) -> {
-            if (c.effect() == Terms.Effect.KEYED) {
-                windows.put(name, new KeyWindow(c.windowUs()));
+            if (c.effect() == RuleTerms.Effect.KEYED) {
+                keyWindows.put(name, new KeyWindow(c.keyWindowUs()));
             }
         });
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
             String name = "n" + i;
-            members.add(new Member(name, i, Settings.of(scenario, name, i, random.nextLong()), scenario.dispatchers(), folder, jar, history));
+            fleet.add(new DispatcherUnderTest(name, i, DispatcherConfig.of(scenario, name, i, random.nextLong()), scenario.dispatchers(), folder, jar, history));
         }
-        for (int i = 0; i < scenario.cocineros().count(); i++) {
-            worker(false);
+        for (int i = 0; i < scenario.workers().count(); i++) {
+            addWorker(false);
         }
-        for (Member m : members) {
-            wire(m);
+        for (DispatcherUnderTest m : fleet) {
+            connectDispatcher(m);
         }
-        datagrams();
-        front = new Front(members);
-        clients = new Clients(scenario, front, history, seed + 1);
+        connectSiblings();
+        loadBalancer = new LoadBalancer(fleet);
+        loadGenerator = new LoadGenerator(scenario, loadBalancer, history, seed + 1);
     }
 
-    private void seen(What what, Edge edge, InetSocketAddress conn, long atNs, long number) {
+    private void recordPeerEvent(What what, Edge edge, InetSocketAddress conn, long atNs, long number) {
         if (edge.kind() == Kind.PEER && conn != null) {
             history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.text(conn), number, null));
         }
     }
 
-    private void passedOn(What what, Edge edge, InetSocketAddress opener, long atNs) {
+    private void recordClientEvent(What what, Edge edge, InetSocketAddress opener, long atNs) {
         if (edge.kind() == Kind.CLIENT && opener != null) {
             history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.text(opener), 0, null));
         }
     }
 
     /** The address that a dispatcher's connections come from, as the world sees it. */
-    private static InetAddress as(Member m) throws IOException {
-        return InetAddress.getByAddress(new byte[] {127, 10, 0, (byte) (m.number + 1)});
+    private static InetAddress sourceAddress(DispatcherUnderTest m) throws IOException {
+        return InetAddress.getByAddress(new byte[] {127, 10, 0, (byte) (m.index + 1)});
     }
 
-    private static String whose(InetSocketAddress from) {
+    private static String dispatcherOf(InetSocketAddress from) {
         byte[] a = from.getAddress().getAddress();
         return a[1] == 10 ? "n" + (a[3] - 1) : "nobody";
     }
 
     // ---------------------------------------------------------------- the world
     /** Another cocinero; {@code cold}: one that starts now. */
-    Worker worker(boolean cold) throws IOException {
-        WorkerSpec s = scenario.cocineros().spec();
-        double speed = s.speed() * (1 + scenario.cocineros().spread() * (2 * random.nextDouble() - 1));
-        Worker w = new Worker("s" + workersMade++, new WorkerSpec(s.slots(), speed, s.queue(), s.coldFrom(), s.coldUs(), s.fallMultiple(),
-                s.fallUs(), s.meanWorkUs(), s.keeps(), s.fetchUs()), cold, windows, history, Ground::whose);
+    Worker addWorker(boolean cold) throws IOException {
+        WorkerSpec s = scenario.workers().spec();
+        double speed = s.speed() * (1 + scenario.workers().spread() * (2 * random.nextDouble() - 1));
+        Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queue(), s.coldFrom(), s.coldUs(), s.fallMultiple(),
+                s.fallUs(), s.meanWorkUs(), s.keeps(), s.fetchUs()), cold, keyWindows, history, TestBed::dispatcherOf);
         workers.put(w.name, w);
-        for (Member m : members) {
-            way(m, w);
+        for (DispatcherUnderTest m : fleet) {
+            connectWorker(m, w);
         }
         registry.add(w);
         return w;
     }
 
-    private void way(Member m, Worker w) throws IOException {
+    private void connectWorker(DispatcherUnderTest m, Worker w) throws IOException {
         Edge e = edge(Kind.PEER, m.name, w.name);
-        ways.put(e.toString(), relays.tcp(e, w::at, as(m)));
+        relayAddresses.put(e.toString(), relays.tcp(e, w::at, sourceAddress(m)));
     }
 
     Worker worker(String name) {
@@ -162,54 +162,54 @@
     }
 
     // ---------------------------------------------------------------- a dispatcher's edges
-    private void wire(Member m) throws IOException {
-        Registry.Agent agent = registry.new Agent(m.name, w -> Member.text(ways.get(m.name + ">" + w)));
+    private void connectDispatcher(DispatcherUnderTest m) throws IOException {
+        Registry.Agent agent = registry.new Agent(m.name, w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)));
         agents.add(agent);
-        InetSocketAddress discovery = relays.tcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::at, as(m));
-        m.front = relays.tcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listen, InetAddress.getLoopbackAddress());
-        m.control = relays.tcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeper, InetAddress.getLoopbackAddress());
-        m.config().put("listen", Member.text(m.listen)).put("discovery", Member.text(discovery));
-        known(m);
+        InetSocketAddress discovery = relays.tcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::at, sourceAddress(m));
+        m.clientAddress = relays.tcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listenAddress, InetAddress.getLoopbackAddress());
+        m.controlAddress = relays.tcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeperAddress, InetAddress.getLoopbackAddress());
+        m.config().put("listen", DispatcherUnderTest.format(m.listenAddress)).put("discovery", DispatcherUnderTest.format(discovery));
+        refreshKnownWorkers(m);
     }
 
     /** What a dispatcher knows of the list when it starts: what there is now. */
-    void known(Member m) throws IOException {
-        m.config().set("known", Settings.JSON.readTree(registry.list(w -> Member.text(ways.get(m.name + ">" + w)))));
+    void refreshKnownWorkers(DispatcherUnderTest m) throws IOException {
+        m.config().set("known", DispatcherConfig.JSON.readTree(registry.list(w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)))));
     }
 
-    private void datagrams() {
-        int n = members.size();
+    private void connectSiblings() {
+        int n = fleet.size();
         InetSocketAddress[][] to = new InetSocketAddress[n][n];
         for (int i = 0; i < n; i++) {
-            to[i][i] = members.get(i).siblings;
-            for (int j = i + 1; j < n && scenario.dispatchers().talk(); j++) {
+            to[i][i] = fleet.get(i).siblingAddress;
+            for (int j = i + 1; j < n && scenario.dispatchers().gossip(); j++) {
                 // i sends to the first, which j sees as the second; and back
-                Member a = members.get(i);
-                Member b = members.get(j);
-                List<InetSocketAddress> ends = relays.udp(edge(Kind.SIBLING, a.name, b.name), a.siblings, edge(Kind.SIBLING, b.name, a.name), b.siblings);
+                DispatcherUnderTest a = fleet.get(i);
+                DispatcherUnderTest b = fleet.get(j);
+                List<InetSocketAddress> ends = relays.udp(edge(Kind.SIBLING, a.name, b.name), a.siblingAddress, edge(Kind.SIBLING, b.name, a.name), b.siblingAddress);
                 to[i][j] = ends.get(0);
                 to[j][i] = ends.get(1);
             }
         }
-        for (int i = 0; i < n && scenario.dispatchers().talk(); i++) {
-            members.get(i).config().put("peer_listen", Member.text(members.get(i).siblings))
-                    .set("peers", Settings.addresses(Stream.of(to[i]).map(Member::text).toList()));
+        for (int i = 0; i < n && scenario.dispatchers().gossip(); i++) {
+            fleet.get(i).config().put("peer_listen", DispatcherUnderTest.format(fleet.get(i).siblingAddress))
+                    .set("peers", DispatcherConfig.addresses(Stream.of(to[i]).map(DispatcherUnderTest::format).toList()));
         }
     }
 
-    Member member(String name) {
-        return members.stream().filter(m -> m.name.equals(name)).findFirst()
+    DispatcherUnderTest dispatcher(String name) {
+        return fleet.stream().filter(m -> m.name.equals(name)).findFirst()
                 .orElseThrow(() -> new IllegalArgumentException("there is no dispatcher " + name));
     }
 
     // ---------------------------------------------------------------- the fleet's life
     /** Notes when the harness itself is short of processor time: what it saw then, it saw late. */
-    private void watchLag() {
+    private void monitorSchedulingDelay() {
         while (!closed) {
-            long due = System.nanoTime() + PULSE_NS;
-            LockSupport.parkNanos(PULSE_NS);
+            long due = System.nanoTime() + LAG_CHECK_INTERVAL_NS;
+            LockSupport.parkNanos(LAG_CHECK_INTERVAL_NS);
             long lateUs = (System.nanoTime() - due) / 1000;
-            if (lateUs > LATE_US) {
+            if (lateUs > MIN_RECORDED_LAG_US) {
                 history.add(new Entry(history.now(), What.LATE, "harness", null, null, null, null, null, null, lateUs, null));
             }
         }
@@ -217,29 +217,29 @@
 
     /** Starts all dispatchers and waits until each serves. */
     public void start() throws IOException, InterruptedException {
-        granitefold.standin.Server.daemon(this::watchLag, "pulse");
-        for (Member m : members) {
+        granitefold.standin.Server.daemon(this::monitorSchedulingDelay, "pulse");
+        for (DispatcherUnderTest m : fleet) {
             m.start();
         }
-        for (Member m : members) {
+        for (DispatcherUnderTest m : fleet) {
             m.awaitReady();
-            front.in(m);
+            loadBalancer.add(m);
         }
     }
 
     /** Starts a dispatcher's next process; it is taken in by the front when it serves. */
-    void restart(Member m) throws IOException {
-        known(m);
+    void restart(DispatcherUnderTest m) throws IOException {
+        refreshKnownWorkers(m);
         m.start();
-        takeInOnceReady(m);
+        addToBalancerWhenReady(m);
     }
 
     /** It starts, by us or by its keeper: the front takes it in once it serves. */
-    void takeInOnceReady(Member m) {
+    void addToBalancerWhenReady(DispatcherUnderTest m) {
         granitefold.standin.Server.daemon(() -> {
             try {
                 m.awaitReady();
-                front.in(m);
+                loadBalancer.add(m);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IllegalStateException e) {
@@ -251,7 +251,7 @@
     /** How often each kind of fault in system calls was injected. */
     Map<String, Long> injectedFaults() {
         Map<String, Long> counts = new java.util.TreeMap<>();
-        for (Member m : members) {
+        for (DispatcherUnderTest m : fleet) {
             for (SystemCallFault fault : m.faults == null ? new SystemCallFault[0] : SystemCallFault.values()) {
                 counts.merge(fault.name(), m.faults.injected(fault), Long::sum);
             }
@@ -260,12 +260,12 @@
     }
 
     /** Ends all dispatchers that live, in order, and waits for them. */
-    void end() throws InterruptedException {
-        List<Member> alive = members.stream().filter(Member::alive).toList();
-        alive.forEach(Member::end);
-        for (Member m : alive) {
-            if (!m.awaitGone(Member.PATIENCE_S)) {
-                history.add(What.PROCESS, m.name, "crashed: it did not end in " + Member.PATIENCE_S + " s");
+    void shutDown() throws InterruptedException {
+        List<DispatcherUnderTest> alive = fleet.stream().filter(DispatcherUnderTest::alive).toList();
+        alive.forEach(DispatcherUnderTest::shutDown);
+        for (DispatcherUnderTest m : alive) {
+            if (!m.awaitAllExited(DispatcherUnderTest.TIMEOUT_S)) {
+                history.add(What.PROCESS, m.name, "crashed: it did not end in " + DispatcherUnderTest.TIMEOUT_S + " s");
             }
         }
     }
@@ -273,8 +273,8 @@
     @Override
     public void close() throws IOException {
         closed = true;
-        clients.stop();
-        members.forEach(Member::close);
+        loadGenerator.stop();
+        fleet.forEach(DispatcherUnderTest::close);
         for (Registry.Agent a : agents) {
             a.close();
         }
--- a/src/main/java/granitefold/standin/ground/Report.java
+++ b/src/main/java/granitefold/standin/ground/TestReport.java
@@ -22,15 +22,15 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** A play as JSON, for programs, and as one page that holds all it shows, for people. */
-final class Report {
-    private static final int WIDTH = 900, HEIGHT = 320, TRACE_MOST = 20, VIOLATIONS_MOST = 50;
+final class TestReport {
+    private static final int WIDTH = 900, HEIGHT = 320, MAX_TRACE_ENTRIES = 20, MAX_VIOLATIONS = 50;
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
 
-    private Report() { }
+    private TestReport() { }
 
     // ---------------------------------------------------------------- JSON
     static ObjectNode json(TestRun p) {
-        ObjectNode o = Settings.JSON.createObjectNode();
+        ObjectNode o = DispatcherConfig.JSON.createObjectNode();
         o.put("scenario", p.scenario().name()).put("about", p.scenario().about()).put("seed", p.seed());
         o.put("well", p.passed()).put("cut", p.aborted());
         if (p.scriptError() != null) {
@@ -43,12 +43,12 @@
         ArrayNode seconds = o.putArray("seconds");
         p.statistics().seconds().forEach(r -> seconds.addObject().put("asked", r.requests).put("service", rounded(r.servedValueShare())));
         ArrayNode timeline = o.putArray("marks");
-        p.timeline().forEach(m -> timeline.addObject().put("at_ms", m.sinceUs() / 1000).put("what", m.what()));
+        p.timeline().forEach(m -> timeline.addObject().put("at_ms", m.elapsedUs() / 1000).put("what", m.what()));
         ArrayNode broken = o.putArray("violations");
-        p.violations().stream().limit(VIOLATIONS_MOST).forEach(v -> {
+        p.violations().stream().limit(MAX_VIOLATIONS).forEach(v -> {
             ObjectNode b = broken.addObject().put("rule", v.rule().name()).put("at_ms", v.atUs() / 1000).put("what", v.what());
             ArrayNode trace = b.putArray("trace");
-            v.trace().stream().limit(TRACE_MOST).forEach(e -> trace.add(Settings.JSON.valueToTree(e)));
+            v.trace().stream().limit(MAX_TRACE_ENTRIES).forEach(e -> trace.add(DispatcherConfig.JSON.valueToTree(e)));
         });
         o.put("violations_in_all", p.violations().size());
         return o;
@@ -90,22 +90,22 @@
         table(b, "", Map.of("all", p.statistics().all()));
         b.append("<h2>Service by second</h2>").append(image(service(p)));
         b.append("<table><tr><th>second<th>what was done</tr>");
-        p.timeline().forEach(m -> b.append(String.format(Locale.ROOT, "<tr><td>%.2f<td style=\"text-align:left\">%s</tr>", m.sinceUs() / 1e6, text(m.what()))));
+        p.timeline().forEach(m -> b.append(String.format(Locale.ROOT, "<tr><td>%.2f<td style=\"text-align:left\">%s</tr>", m.elapsedUs() / 1e6, text(m.what()))));
         b.append("</table>");
         table(b, "By class", p.statistics().classes());
         table(b, "By tenant", p.statistics().tenants());
         table(b, "By dispatcher", p.statistics().dispatchers());
-        b.append(image(ends(p)));
+        b.append(image(outcomes(p)));
         if (!p.violations().isEmpty()) {
             b.append("<h2>Broken rules</h2>");
-            p.violations().stream().limit(VIOLATIONS_MOST).forEach(v -> b.append("<h3>").append(text(v.toString())).append("</h3>").append(trace(v)));
+            p.violations().stream().limit(MAX_VIOLATIONS).forEach(v -> b.append("<h3>").append(text(v.toString())).append("</h3>").append(trace(v)));
         }
         Files.writeString(file, b.append("</html>"));
     }
 
     private static String trace(Violation v) {
         StringBuilder t = new StringBuilder("<pre>");
-        for (Entry e : v.trace().stream().limit(TRACE_MOST).toList()) {
+        for (Entry e : v.trace().stream().limit(MAX_TRACE_ENTRIES).toList()) {
             t.append(String.format(Locale.ROOT, "%9.3f ms %s %s %s %s %s %s%n", e.atUs() / 1000.0, e.what(), word(e.who()), word(e.whom()), word(e.txn()),
                     e.number() == 0 ? "" : e.number(), word(e.text())));
         }
@@ -151,14 +151,14 @@
             service.add(0.0);
         }
         c.addSeries("service", at, service).setMarker(SeriesMarkers.CIRCLE);
-        for (Script.Mark m : p.timeline()) {
-            AnnotationLine line = new AnnotationLine(m.sinceUs() / 1e6, true, false);
+        for (FaultScript.PerformedStep m : p.timeline()) {
+            AnnotationLine line = new AnnotationLine(m.elapsedUs() / 1e6, true, false);
             c.addAnnotation(line);
         }
         return c;
     }
 
-    private static CategoryChart ends(TestRun p) {
+    private static CategoryChart outcomes(TestRun p) {
         CategoryChart c = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).yAxisTitle("requests").build();
         c.getStyler().setStacked(true);
         List<String> names = p.statistics().dispatchers().isEmpty() ? List.of("none") : List.copyOf(p.statistics().dispatchers().keySet());
--- a/src/main/java/granitefold/standin/ground/TestRun.java
+++ b/src/main/java/granitefold/standin/ground/TestRun.java
@@ -1,6 +1,6 @@
 package granitefold.standin.ground;
 
-import granitefold.standin.history.Checker;
+import granitefold.standin.history.HistoryChecker;
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Violation;
 import java.io.IOException;
@@ -18,26 +18,26 @@
  * @param aborted the play was broken off: figures are those up to then
  * @param injected faults in system calls, by their kind, over all processes
  */
-public record TestRun(Scenario scenario, long seed, RequestStatistics statistics, List<Script.Mark> timeline, List<Violation> violations, String scriptError,
+public record TestRun(Scenario scenario, long seed, RequestStatistics statistics, List<FaultScript.PerformedStep> timeline, List<Violation> violations, String scriptError,
         boolean aborted, List<Entry> history, Map<String, Long> injectedFaults) {
     /** By how much a time limit may be passed: the wire's 50 ms, half a second in which an answer only earns nothing. */
     private static final long SLACK_MS = 550;
 
     /** A play that goes on. */
     public static final class InProgress {
-        private final Ground ground;
-        private final Script script;
+        private final TestBed testBed;
+        private final FaultScript script;
 
-        InProgress(Ground ground) {
-            this.ground = ground;
-            script = new Script(ground);
+        InProgress(TestBed testBed) {
+            this.testBed = testBed;
+            script = new FaultScript(testBed);
         }
 
         /** What there is so far. */
         public TestRun snapshot(boolean aborted) {
-            List<Entry> all = ground.history.sorted();
-            return new TestRun(ground.scenario, ground.seed, ground.clients.statistics, script.timeline(),
-                    Checker.check(ground.scenario.terms(SLACK_MS), all), script.scriptError(), aborted, all, ground.injectedFaults());
+            List<Entry> all = testBed.history.sorted();
+            return new TestRun(testBed.scenario, testBed.seed, testBed.loadGenerator.statistics, script.timeline(),
+                    HistoryChecker.check(testBed.scenario.terms(SLACK_MS), all), script.scriptError(), aborted, all, testBed.injectedFaults());
         }
     }
 
@@ -49,20 +49,20 @@
     /** Plays a scenario from the start of its processes to their end. {@code began}: hears of the play once it is on. */
     public static TestRun run(Scenario scenario, long seed, Path jar, java.util.function.Consumer<InProgress> began)
             throws IOException, InterruptedException {
-        try (Ground ground = new Ground(scenario, seed, jar)) {
-            ground.start();
-            InProgress running = new InProgress(ground);
+        try (TestBed testBed = new TestBed(scenario, seed, jar)) {
+            testBed.start();
+            InProgress running = new InProgress(testBed);
             began.accept(running);
-            ground.clients.begin();
-            running.script.begin();
+            testBed.loadGenerator.start();
+            running.script.start();
             long deadlineMs = scenario.classes().values().stream().mapToLong(Scenario.JobClass::deadlineUs).max().orElse(0) / 1000;
             long seconds = TimeUnit.MICROSECONDS.toSeconds(scenario.lengthUs())
-                    + (scenario.load().retries() + 1) * TimeUnit.MILLISECONDS.toSeconds(deadlineMs + 2 * Clients.LISTENS_MS) + Member.PATIENCE_S;
-            Await.until("the last client's answer", seconds, ground.clients::over, () -> "");
+                    + (scenario.load().retries() + 1) * TimeUnit.MILLISECONDS.toSeconds(deadlineMs + 2 * LoadGenerator.LATE_ANSWER_WAIT_MS) + DispatcherUnderTest.TIMEOUT_S;
+            Polling.until("the last client's answer", seconds, testBed.loadGenerator::finished, () -> "");
             running.script.join();
-            ground.end();
-            for (Member m : ground.members) {
-                m.noteReports();
+            testBed.shutDown();
+            for (DispatcherUnderTest m : testBed.fleet) {
+                m.recordReportedErrors();
             }
             return running.snapshot(false);
         }
--- a/src/main/java/granitefold/standin/history/Told.java
+++ b/src/main/java/granitefold/standin/history/DiscoveryNotifications.java
@@ -13,30 +13,30 @@
  * What counts as told, beside what was: a change that discovery had, and could be asked for, for 6 s on end, whether it arrived or
  * not.
  */
-final class Told {
-    private static final long COUNTS_US = 6_000_000;
+final class DiscoveryNotifications {
+    private static final long DEEMED_NOTIFIED_AFTER_US = 6_000_000;
 
     private record Span(long fromUs, long untilUs) { }
 
     private final List<Entry> all;
     /** Times in which a dispatcher could not reach discovery; of all of them under the empty name. */
-    private final Map<String, List<Span>> out = new HashMap<>();
+    private final Map<String, List<Span>> outages = new HashMap<>();
 
-    Told(List<Entry> all) {
+    DiscoveryNotifications(List<Entry> all) {
         this.all = all;
         Map<String, Long> since = new HashMap<>();
         for (Entry e : all) {
             boolean discovery = e.what() == What.FAULT && (e.who().equals("discovery") || e.who().endsWith(">discovery"));
             if (discovery) {
-                String whose = e.who().equals("discovery") ? "" : e.who().substring(0, e.who().indexOf('>'));
+                String dispatcher = e.who().equals("discovery") ? "" : e.who().substring(0, e.who().indexOf('>'));
                 if (!e.text().equals("none")) {
-                    since.putIfAbsent(whose, e.atUs());
-                } else if (since.containsKey(whose)) {
-                    out.computeIfAbsent(whose, w -> new ArrayList<>()).add(new Span(since.remove(whose), e.atUs()));
+                    since.putIfAbsent(dispatcher, e.atUs());
+                } else if (since.containsKey(dispatcher)) {
+                    outages.computeIfAbsent(dispatcher, w -> new ArrayList<>()).add(new Span(since.remove(dispatcher), e.atUs()));
                 }
             }
         }
-        since.forEach((whose, from) -> out.computeIfAbsent(whose, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
+        since.forEach((dispatcher, from) -> outages.computeIfAbsent(dispatcher, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
     }
 
     /** All that was told, and all that counts so, in the order of time. */
@@ -57,7 +57,7 @@
             Entry next = all.subList(i + 1, all.size()).stream()
                     .filter(n -> n.what() == What.CHANGED && n.whom().equals(e.whom())).findFirst().orElse(null);
             for (String d : dispatchers) {
-                long at = counts(d, e.atUs());
+                long at = deemedNotifiedAt(d, e.atUs());
                 if (at != Long.MAX_VALUE && (next == null || next.atUs() > at)) {
                     found.add(new Entry(at, What.TOLD, d, e.whom(), null, null, null, null, null, 0, e.text()));
                 }
@@ -67,16 +67,16 @@
         return found;
     }
 
-    private long counts(String dispatcher, long changedAt) {
-        long from = changedAt;
-        List<Span> spans = new ArrayList<>(out.getOrDefault("", List.of()));
-        spans.addAll(out.getOrDefault(dispatcher, List.of()));
+    private long deemedNotifiedAt(String dispatcher, long changedAtUs) {
+        long from = changedAtUs;
+        List<Span> spans = new ArrayList<>(outages.getOrDefault("", List.of()));
+        spans.addAll(outages.getOrDefault(dispatcher, List.of()));
         spans.sort(Comparator.comparingLong(Span::fromUs));
         for (Span s : spans) {
-            if (s.untilUs > from && s.fromUs < from + COUNTS_US) {
+            if (s.untilUs > from && s.fromUs < from + DEEMED_NOTIFIED_AFTER_US) {
                 from = s.untilUs;
             }
         }
-        return from > Long.MAX_VALUE - COUNTS_US ? Long.MAX_VALUE : from + COUNTS_US;
+        return from > Long.MAX_VALUE - DEEMED_NOTIFIED_AFTER_US ? Long.MAX_VALUE : from + DEEMED_NOTIFIED_AFTER_US;
     }
 }
--- a/src/main/java/granitefold/standin/history/Checker.java
+++ b/src/main/java/granitefold/standin/history/HistoryChecker.java
@@ -11,16 +11,16 @@
 import java.util.Objects;
 
 /** Looks for broken rules in a whole history. Pure: the same entries give the same verdict. */
-public final class Checker {
+public final class HistoryChecker {
     /** A reject in the last tenth of its client's time, with nothing out for half a second before, was kept back. */
     private static final double LATE_SHARE = 0.1;
     /** The page's slack on the time that an attempt tells. */
-    private static final long OVERSTATED_MS = 150;
-    private static final long IDLE_US = 500_000;
-    private static final long READY_US = 10_000_000;
-    private static final double SLOW_MOST = 0.1;
+    private static final long STATED_TIME_SLACK_MS = 150;
+    private static final long IDLE_BEFORE_REJECT_US = 500_000;
+    private static final long MAX_START_US = 10_000_000;
+    private static final double MAX_SLOW_SHARE = 0.1;
 
-    private final Terms terms;
+    private final RuleTerms terms;
     private final List<Entry> all;
     private final List<Violation> found = new ArrayList<>();
     /** The closings of connections to workers by their openers, in order. */
@@ -31,8 +31,8 @@
     private final Map<String, List<Long>> forwarded = new HashMap<>();
     /** When a client's close was handed on, by its address, in order; a later client may have the same one. */
     private final Map<String, List<Long>> closeForwarded = new HashMap<>();
-    private final Excuses excuses;
-    private final Leavers leavers = new Leavers();
+    private final PermittedViolations permitted;
+    private final DepartedClients departedClients = new DepartedClients();
 
     /**
      * A connection by its worker and its opener's address. A port may be in use towards several workers at once, and be
@@ -44,10 +44,10 @@
         }
     }
 
-    private Checker(Terms terms, List<Entry> all) {
+    private HistoryChecker(RuleTerms terms, List<Entry> all) {
         this.terms = terms;
         this.all = all;
-        excuses = new Excuses(all);
+        permitted = new PermittedViolations(all);
         for (Entry e : all) {
             if (e.what() == What.CLOSED) {
                 closed.computeIfAbsent(new WorkerConnection(e.whom(), e.conn()), c -> new ArrayList<>()).add(e.atUs());
@@ -62,20 +62,20 @@
     }
 
     /** All broken rules, the first one first. {@code sorted}: a whole history in the order of its times. */
-    public static List<Violation> check(Terms terms, List<Entry> sorted) {
-        Checker c = new Checker(terms, sorted);
+    public static List<Violation> check(RuleTerms terms, List<Entry> sorted) {
+        HistoryChecker c = new HistoryChecker(terms, sorted);
         Map<String, List<Entry>> requests = new LinkedHashMap<>();
         for (Entry e : sorted) {
             if (e.txn() != null) {
                 requests.computeIfAbsent(e.txn(), t -> new ArrayList<>()).add(e);
             }
         }
-        requests.values().forEach(c::request);
-        c.keys();
-        c.drains();
-        c.starts();
-        c.found.addAll(c.leavers.found());
-        c.found.addAll(new Quotas(terms).check(sorted));
+        requests.values().forEach(c::checkRequest);
+        c.checkKeys();
+        c.checkDrains();
+        c.checkRestarts();
+        c.found.addAll(c.departedClients.found());
+        c.found.addAll(new QuotaRule(terms).check(sorted));
         for (Entry e : sorted) {
             if (e.what() == What.FELL) {
                 c.broken(Rule.COLD, e, e.who() + " was cold and fell over", List.of(e));
@@ -96,7 +96,7 @@
     }
 
     // ---------------------------------------------------------------- one request
-    private void request(List<Entry> trace) {
+    private void checkRequest(List<Entry> trace) {
         Entry asked = first(trace, What.ASKED);
         if (asked == null) {
             return;
@@ -104,34 +104,34 @@
         answers(asked, trace);
         List<Entry> begun = trace.stream().filter(e -> e.what() == What.BEGUN).toList();
         Entry left = first(trace, What.LEFT);
-        if (left != null && begun.stream().noneMatch(b -> excuses.client(asked, b.atUs()))) {
-            leavers.add(left, goneAt(asked, left), begun, begun.stream().map(this::sentAtTheEarliest).toList(), trace);
+        if (left != null && begun.stream().noneMatch(b -> permitted.coversRequest(asked, b.atUs()))) {
+            departedClients.add(left, closeForwardedAt(asked, left), begun, begun.stream().map(this::sentAtTheEarliest).toList(), trace);
         }
         for (int i = 1; i < begun.size(); i++) {
             Entry before = begun.get(i - 1);
             Entry next = begun.get(i);
             long over = overAt(before, trace);
-            if (sentAt(next) < over - TimeSlack.SEEN_US) {
+            if (sentAt(next) < over - TimeSlack.OBSERVATION_US) {
                 broken(Rule.TWO_OUT, next, asked.txn() + ": an attempt at " + next.who() + " while the one at " + before.who()
                         + " was out for " + (over == Long.MAX_VALUE ? "ever" : (over - sentAt(next)) / 1000 + " ms more"), trace);
             }
         }
-        for (Entry b : terms.judgesToldTime() ? begun : List.<Entry>of()) {
-            long leftMs = asked.number() - (sentAtTheEarliest(b) - handedAt(asked)) / 1000;
-            long slackMs = OVERSTATED_MS + TimeSlack.SEEN_US / 1000;
-            if (b.number() > leftMs + slackMs && !excuses.client(asked, b.atUs())) {
+        for (Entry b : terms.checksStatedTime() ? begun : List.<Entry>of()) {
+            long leftMs = asked.number() - (sentAtTheEarliest(b) - forwardedAt(asked)) / 1000;
+            long slackMs = STATED_TIME_SLACK_MS + TimeSlack.OBSERVATION_US / 1000;
+            if (b.number() > leftMs + slackMs && !permitted.coversRequest(asked, b.atUs())) {
                 broken(Rule.OVERSTATED, b, asked.txn() + ": told " + b.who() + " " + b.number() + " ms, its client had " + leftMs + " ms left", trace);
             }
         }
-        Terms.JobClass c = terms.classes().get(asked.jobClass());
-        Entry ran = begun.stream().filter(b -> !turnedAway(b, trace)).findFirst().orElse(null);
+        RuleTerms.JobClass c = terms.classes().get(asked.jobClass());
+        Entry ran = begun.stream().filter(b -> !wasTurnedAway(b, trace)).findFirst().orElse(null);
         for (Entry b : begun) {
             if (c == null || ran == null || b.atUs() <= ran.atUs()) {
                 continue;
             }
-            if (c.effect() == Terms.Effect.UNSAFE) {
+            if (c.effect() == RuleTerms.Effect.UNSAFE) {
                 broken(Rule.RESENT, b, asked.txn() + ": sent again to " + b.who() + " though it may have run at " + ran.who(), trace);
-            } else if (c.effect() == Terms.Effect.KEYED && sentAt(b) - ran.atUs() > (c.windowMs() + terms.slackMs()) * 1000) {
+            } else if (c.effect() == RuleTerms.Effect.KEYED && sentAt(b) - ran.atUs() > (c.windowMs() + terms.slackMs()) * 1000) {
                 broken(Rule.RESENT, b, asked.txn() + ": sent again to " + b.who() + " " + (b.atUs() - ran.atUs()) / 1000
                         + " ms after it may have run, past its key's window", trace);
             }
@@ -143,7 +143,7 @@
         long dueUs = asked.atUs() + (asked.number() + terms.slackMs()) * 1000;
         Entry end = trace.stream().filter(e -> e.what() == What.UNHEARD || e.what() == What.CUT || e.what() == What.SILENT
                 || e.what() == What.LEFT).findFirst().orElse(null);
-        if (answers.isEmpty() && end != null && end.what() != What.LEFT && !excuses.client(asked, end.atUs())
+        if (answers.isEmpty() && end != null && end.what() != What.LEFT && !permitted.coversRequest(asked, end.atUs())
                 && !(end.what() == What.UNHEARD && first(trace, What.BEGUN) == null && mayNotHaveBeenRead(asked, end))) {
             broken(Rule.LOST, end, asked.txn() + ": " + asked.whom() + " took it and gave no answer (" + end.what() + ")", trace);
         }
@@ -154,7 +154,7 @@
             if (a.number() == 200 && !"made".equals(a.text())) {
                 broken(Rule.MADE_UP, a, asked.txn() + ": answered with what no cocinero made for it", trace);
             }
-            if (a.atUs() > dueUs && !excuses.client(asked, a.atUs())) {
+            if (a.atUs() > dueUs && !permitted.coversRequest(asked, a.atUs())) {
                 broken(Rule.LOST, a, asked.txn() + ": answered " + (a.atUs() - asked.atUs()) / 1000 + " ms after it was asked, "
                         + asked.number() + " were given", trace);
             }
@@ -162,11 +162,11 @@
                 if (terms.retryAfter() && a.text() == null) {
                     broken(Rule.NO_RETRY_AFTER, a, asked.txn() + ": rejected with no Retry-After", trace);
                 }
-                long last = trace.stream().filter(e -> e.what() == What.BEGUN).mapToLong(b -> heardOverAt(b, a, trace)).max()
+                long last = trace.stream().filter(e -> e.what() == What.BEGUN).mapToLong(b -> overAtForDispatcher(b, a, trace)).max()
                         .orElse(asked.atUs());
                 long kept = a.atUs() - Math.max(asked.atUs(), last);
-                if (a.atUs() - asked.atUs() > asked.number() * 1000 * (1 - LATE_SHARE) && kept > IDLE_US
-                        && !excuses.client(asked, a.atUs())) {
+                if (a.atUs() - asked.atUs() > asked.number() * 1000 * (1 - LATE_SHARE) && kept > IDLE_BEFORE_REJECT_US
+                        && !permitted.coversRequest(asked, a.atUs())) {
                     broken(Rule.DELAYED, a, asked.txn() + ": rejected " + kept / 1000 + " ms after anything had happened to it", trace);
                 }
             }
@@ -175,10 +175,10 @@
 
     /** A client sends a request once more that crossed the end of a resting connection; on a new one it does not. */
     private boolean mayNotHaveBeenRead(Entry asked, Entry unheard) {
-        return !"new".equals(unheard.text()) || !terms.seesProcesses() || excuses.newConnection(asked, unheard.atUs());
+        return !"new".equals(unheard.text()) || !terms.recordsProcesses() || permitted.coversNewConnection(asked, unheard.atUs());
     }
 
-    private static boolean turnedAway(Entry begun, List<Entry> trace) {
+    private static boolean wasTurnedAway(Entry begun, List<Entry> trace) {
         Entry end = endOf(begun, trace);
         return end != null && ("returned".equals(end.text()) || "turned away".equals(end.text()));
     }
@@ -202,8 +202,8 @@
     }
 
     /** The same as the dispatcher knows it: what a fault on its way to the cocinero holds back it has not heard. */
-    private long heardOverAt(Entry begun, Entry answered, List<Entry> trace) {
-        if (excuses.way(begun.whom(), begun.who(), begun.atUs(), answered.atUs())) {
+    private long overAtForDispatcher(Entry begun, Entry answered, List<Entry> trace) {
+        if (permitted.edgeFaulty(begun.whom(), begun.who(), begun.atUs(), answered.atUs())) {
             return closedAt(begun);
         }
         return overAt(begun, trace);
@@ -232,9 +232,9 @@
     }
 
     /** When a client's close came to its dispatcher: until then it may have waited for the harness. */
-    private long goneAt(Entry asked, Entry left) {
+    private long closeForwardedAt(Entry asked, Entry left) {
         for (long t : closeForwarded.getOrDefault(String.valueOf(asked.conn()), List.of())) {
-            if (t >= left.atUs() - TimeSlack.SEEN_US) {
+            if (t >= left.atUs() - TimeSlack.OBSERVATION_US) {
                 return Math.max(t, left.atUs());
             }
         }
@@ -242,7 +242,7 @@
     }
 
     /** When a request came to its dispatcher: until then it may have waited for the harness. */
-    private long handedAt(Entry asked) {
+    private long forwardedAt(Entry asked) {
         for (long t : forwarded.getOrDefault(String.valueOf(asked.conn()), List.of())) {
             if (t >= asked.atUs()) {
                 return t;
@@ -256,7 +256,7 @@
     }
 
     // ---------------------------------------------------------------- over all requests
-    private void keys() {
+    private void checkKeys() {
         Map<String, Entry> started = new HashMap<>();
         // by the client's word: whether the key was passed on is a part of the question
         Map<String, String> keyOf = new HashMap<>();
@@ -266,7 +266,7 @@
             }
             if (e.what() == What.STARTED && keyOf.containsKey(e.txn()) && !"repeat".equals(e.text())) {
                 Entry before = started.put(keyOf.get(e.txn()), e);
-                Terms.JobClass c = terms.classes().get(e.jobClass());
+                RuleTerms.JobClass c = terms.classes().get(e.jobClass());
                 if (before != null && c != null && done(before) && e.atUs() - before.atUs() < c.windowMs() * 1000) {
                     broken(Rule.RAN_TWICE, e, "key " + keyOf.get(e.txn()) + " ran at " + before.who() + " and at " + e.who(), List.of(before, e));
                 }
@@ -280,33 +280,33 @@
     }
 
     /** Of the processes after each dispatcher's first: how long they took to serve. */
-    private void starts() {
+    private void checkRestarts() {
         Map<String, Entry> starting = new HashMap<>();
-        Map<String, Integer> lives = new HashMap<>();
+        Map<String, Integer> starts = new HashMap<>();
         List<Entry> slow = new ArrayList<>();
         int restarts = 0;
         for (Entry e : all) {
             if (e.what() != What.PROCESS) {
                 continue;
             }
-            if (e.text().equals("started") && lives.merge(e.who(), 1, Integer::sum) > 1) {
+            if (e.text().equals("started") && starts.merge(e.who(), 1, Integer::sum) > 1) {
                 restarts++;
                 starting.put(e.who(), e);
             } else if (e.text().equals("ready") || e.text().startsWith("not ready")) {
                 Entry from = starting.remove(e.who());
-                if (from != null && (e.text().startsWith("not") || e.atUs() - from.atUs() > READY_US)) {
+                if (from != null && (e.text().startsWith("not") || e.atUs() - from.atUs() > MAX_START_US)) {
                     slow.add(from);
                 }
             }
         }
-        if (slow.size() > SLOW_MOST * restarts) {
+        if (slow.size() > MAX_SLOW_SHARE * restarts) {
             broken(Rule.SLOW_START, slow.get(0), slow.size() + " of " + restarts + " processes took over 10 s to serve", slow);
         }
     }
 
-    private void drains() {
+    private void checkDrains() {
         Map<String, Entry> told = new HashMap<>();
-        List<Entry> inTime = new ArrayList<>(new Told(all).entries());
+        List<Entry> inTime = new ArrayList<>(new DiscoveryNotifications(all).entries());
         all.stream().filter(e -> e.what() == What.BEGUN).forEach(inTime::add);
         inTime.sort(Comparator.comparingLong(Entry::atUs));
         for (Entry e : inTime) {
--- a/src/main/java/granitefold/standin/history/Excuses.java
+++ b/src/main/java/granitefold/standin/history/PermittedViolations.java
@@ -10,18 +10,18 @@
  * Where somebody outside did what excuses a dispatcher: it was killed, stood still, was told to end and then killed, or
  * the edge to its clients was at fault.
  */
-final class Excuses {
+final class PermittedViolations {
     /** A process that was continued first has to work off what came meanwhile. */
-    private static final long AFTER_US = 1_000_000;
+    private static final long CATCH_UP_US = 1_000_000;
 
     private record Span(long fromUs, long untilUs) { }
 
     /** Of a dispatcher: times in which what it owed to clients was out of its hands. */
-    private final Map<String, List<Span>> spans = new HashMap<>();
+    private final Map<String, List<Span>> excused = new HashMap<>();
     /** Of a dispatcher: times in which a new connection may find nobody, or be shut unread for want of room. */
-    private final Map<String, List<Span>> away = new HashMap<>();
+    private final Map<String, List<Span>> unavailable = new HashMap<>();
 
-    Excuses(List<Entry> all) {
+    PermittedViolations(List<Entry> all) {
         Map<String, Long> stopped = new HashMap<>();
         Map<String, Long> faulty = new HashMap<>();
         Map<String, Long> killed = new HashMap<>();
@@ -42,7 +42,7 @@
                     case "stopped" -> stopped.put(e.who(), e.atUs());
                     case "continued" -> {
                         Long since = stopped.remove(e.who());
-                        add(e.who(), since == null ? e.atUs() : since, e.atUs() + AFTER_US);
+                        add(e.who(), since == null ? e.atUs() : since, e.atUs() + CATCH_UP_US);
                     }
                     default -> { }
                 }
@@ -50,20 +50,20 @@
                 String dispatcher = e.who().substring("clients>".length());
                 if (e.text().equals("none")) {
                     Long since = faulty.remove(dispatcher);
-                    add(dispatcher, since == null ? e.atUs() : since, e.atUs() + AFTER_US);
+                    add(dispatcher, since == null ? e.atUs() : since, e.atUs() + CATCH_UP_US);
                 } else {
                     faulty.putIfAbsent(dispatcher, e.atUs());
                 }
             }
         }
-        away(all);
-        ways(all);
+        addUnavailability(all);
+        addEdgeFaults(all);
         stopped.forEach((who, since) -> add(who, since, Long.MAX_VALUE));
         faulty.forEach((who, since) -> add(who, since, Long.MAX_VALUE));
     }
 
     /** A dispatcher is away from the end of its last process until the next one is ready; a crowd of idle clients fills its places. */
-    private void away(List<Entry> all) {
+    private void addUnavailability(List<Entry> all) {
         Map<String, Integer> alive = new HashMap<>();
         Map<String, Long> since = new HashMap<>();
         for (Entry e : all) {
@@ -77,48 +77,48 @@
                 mark(since, e.who(), e, e.text().equals("killed"));
             }
         }
-        since.forEach((who, from) -> away.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
+        since.forEach((who, from) -> unavailable.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
     }
 
     private void mark(Map<String, Long> since, String who, Entry e, boolean begins) {
         if (begins) {
             since.putIfAbsent(who, e.atUs());
         } else if (since.containsKey(who)) {
-            away.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(since.remove(who), e.atUs()));
+            unavailable.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(since.remove(who), e.atUs()));
         }
     }
 
-    private void ways(List<Entry> all) {
+    private void addEdgeFaults(List<Entry> all) {
         Map<String, Long> since = new HashMap<>();
         for (Entry e : all) {
             if (e.what() == What.FAULT && e.who().contains(">")) {
                 mark(since, e.who(), e, !e.text().equals("none"));
             }
         }
-        since.forEach((edge, from) -> away.computeIfAbsent(edge, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
+        since.forEach((edge, from) -> unavailable.computeIfAbsent(edge, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
     }
 
     /** Whether the way from one to another was at fault at some time between two. */
-    boolean way(String from, String to, long sinceUs, long untilUs) {
-        return away.getOrDefault(from + ">" + to, List.of()).stream().anyMatch(s -> s.fromUs <= untilUs && s.untilUs >= sinceUs);
+    boolean edgeFaulty(String from, String to, long sinceUs, long untilUs) {
+        return unavailable.getOrDefault(from + ">" + to, List.of()).stream().anyMatch(s -> s.fromUs <= untilUs && s.untilUs >= sinceUs);
     }
 
     /** Whether something excuses that a new connection ended without an answer, none of its request having been sent on. */
-    boolean newConnection(Entry asked, long untilUs) {
-        return overlaps(away, asked, untilUs);
+    boolean coversNewConnection(Entry asked, long untilUs) {
+        return overlaps(unavailable, asked, untilUs);
     }
 
     private void add(String who, long from, long until) {
-        spans.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, until));
+        excused.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, until));
     }
 
     /** Whether something excuses that a request had no answer in time from when it was asked to a moment. */
-    boolean client(Entry asked, long untilUs) {
-        return overlaps(spans, asked, untilUs);
+    boolean coversRequest(Entry asked, long untilUs) {
+        return overlaps(excused, asked, untilUs);
     }
 
     private static boolean overlaps(Map<String, List<Span>> in, Entry asked, long untilUs) {
         return in.getOrDefault(asked.whom(), List.of()).stream()
-                .anyMatch(s -> s.fromUs <= untilUs + TimeSlack.SEEN_US && s.untilUs >= asked.atUs() - TimeSlack.SEEN_US);
+                .anyMatch(s -> s.fromUs <= untilUs + TimeSlack.OBSERVATION_US && s.untilUs >= asked.atUs() - TimeSlack.OBSERVATION_US);
     }
 }
--- a/src/main/java/granitefold/standin/history/Quotas.java
+++ b/src/main/java/granitefold/standin/history/QuotaRule.java
@@ -13,15 +13,15 @@
  * Tenants' quotas over the whole fleet. A quota binds only under strain: a window is looked at where a tenant that asked for
  * less than its own quota was refused a tenth of it. Another one must not have had much more than its quota then.
  */
-final class Quotas {
+final class QuotaRule {
     private static final long WINDOW_US = 5_000_000;
-    private static final double REFUSED = 0.1;
+    private static final double MIN_REFUSED_SHARE = 0.1;
     /** Counts trail by gossip, and buckets hold some seconds' worth. */
-    private static final double OVER = 1.35;
+    private static final double QUOTA_TOLERANCE = 1.35;
     /** What a bucket holds at the most, in seconds of the quota; it is spent once, and fills again from what a window leaves. */
     private static final double BURST_S = 3;
 
-    private final Terms terms;
+    private final RuleTerms terms;
 
     private static final class Count {
         int asked;
@@ -29,7 +29,7 @@
         int begun;
     }
 
-    Quotas(Terms terms) {
+    QuotaRule(RuleTerms terms) {
         this.terms = terms;
     }
 
@@ -50,15 +50,15 @@
             }
         }
         // what each tenant's bucket may still hold by the end of a starved window; full after any other
-        Map<String, Double> held = new HashMap<>();
+        Map<String, Double> bucketLevel = new HashMap<>();
         windows.forEach((w, counts) -> counts.forEach((tenant, c) -> {
             double quota = quota(tenant);
             boolean starved = counts.entrySet().stream().anyMatch(o -> !o.getKey().equals(tenant)
-                    && o.getValue().asked < quota(o.getKey()) && o.getValue().refused > REFUSED * o.getValue().asked);
+                    && o.getValue().asked < quota(o.getKey()) && o.getValue().refused > MIN_REFUSED_SHARE * o.getValue().asked);
             double full = quota * BURST_S * 1e6 / WINDOW_US;
-            double allowed = OVER * quota + held.getOrDefault((w - 1) + tenant, full);
+            double allowed = QUOTA_TOLERANCE * quota + bucketLevel.getOrDefault((w - 1) + tenant, full);
             if (starved) {
-                held.put(w + tenant, Math.min(full, Math.max(0, allowed - c.begun)));
+                bucketLevel.put(w + tenant, Math.min(full, Math.max(0, allowed - c.begun)));
             }
             if (quota > 0 && starved && c.begun > allowed) {
                 found.add(new Violation(Rule.QUOTA, w * WINDOW_US, tenant + " had " + c.begun + " jobs begun in 5 s, its quota is "
--- a/src/test/java/granitefold/standin/history/CheckerTest.java
+++ b/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What of a history is a dispatcher's doing, and what is the relays' that its connections pass through. */
-class CheckerTest {
+class HistoryCheckerTest {
     private static final long MS = 1_000, DEADLINE_MS = 1_500;
     private static final String CLIENT = "127.0.0.1:1", PEER = "127.0.0.1:2";
-    private static final Terms TERMS = new Terms(Map.of("job", new Terms.JobClass(Terms.Effect.SAFE, 0, DEADLINE_MS)), Map.of(), 2_000, 100,
+    private static final RuleTerms TERMS = new RuleTerms(Map.of("job", new RuleTerms.JobClass(RuleTerms.Effect.SAFE, 0, DEADLINE_MS)), Map.of(), 2_000, 100,
             true, true, true);
 
     private final List<Entry> entries = new ArrayList<>();
@@ -155,7 +155,7 @@
 
     private List<Rule> rules() {
         entries.sort(Comparator.comparingLong(Entry::atUs));
-        return Checker.check(TERMS, entries).stream().map(Violation::rule).toList();
+        return HistoryChecker.check(TERMS, entries).stream().map(Violation::rule).toList();
     }
 
     private void asked(long ms) {
--- a/src/test/java/granitefold/standin/history/QuotasTest.java
+++ b/src/test/java/granitefold/standin/history/QuotaRuleTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What of a quota may be begun in windows of strain one after the other: its bucket is spent once. */
-class QuotasTest {
+class QuotaRuleTest {
     private static final long WINDOW_US = 5_000_000;
     /** 500 a window each; a bucket holds 300, and counts may trail to 675. */
-    private static final Terms TERMS = new Terms(Map.of(), Map.of("in", 100.0, "over", 100.0), 2_000, 100, true, true, true);
+    private static final RuleTerms TERMS = new RuleTerms(Map.of(), Map.of("in", 100.0, "over", 100.0), 2_000, 100, true, true, true);
 
     @Test
     void whatTheBucketsHoldMayBeSpentOnce() {
@@ -51,7 +51,7 @@
     }
 
     private static List<Long> windows(List<Entry> entries) {
-        return new Quotas(TERMS).check(entries).stream().map(v -> v.atUs() / WINDOW_US).toList();
+        return new QuotaRule(TERMS).check(entries).stream().map(v -> v.atUs() / WINDOW_US).toList();
     }
 
     /** A tenant that asks for less than its quota, refused or served, and another that asks for more. */
