--- a/src/main/java/granitefold/standin/ground/DispatcherConfig.java
+++ b/src/main/java/granitefold/standin/ground/DispatcherConfig.java
@@ -39,8 +39,8 @@
         set.putArray("hostTypes").add("m");
         set.put("me", number).put("siblings", s.dispatchers().count()).put("tickMs", TICK_MS);
         set.putObject("rules").put("drainGraceMs", Scenario.DRAIN_GRACE_MS).put("graceToAnswerMs", ANSWER_GRACE_MS)
-                .put("coldFrom", s.workers().spec().coldFrom()).put("coldMs", s.workers().spec().coldUs() / 1000)
-                .put("tipMultiple", s.workers().spec().fallMultiple()).put("fallMs", s.workers().spec().fallUs() / 1000);
+                .put("coldFrom", s.workers().spec().slowStartFrom()).put("coldMs", s.workers().spec().slowStartUs() / 1000)
+                .put("tipMultiple", s.workers().spec().overloadMultiple()).put("fallMs", s.workers().spec().overloadWindowUs() / 1000);
         set.putObject("limits").put("attemptsCap", MAX_ATTEMPTS).put("connectTimeoutMs", CONNECT_TIMEOUT_MS).put("idleCloseMs", IDLE_TIMEOUT_MS)
                 .put("cancelling", true).put("peers", s.dispatchers().gossip()).put("maxRetryAfterMs", RETRY_AFTER_MS);
         return c;
--- a/src/main/java/granitefold/standin/ground/FaultScript.java
+++ b/src/main/java/granitefold/standin/ground/FaultScript.java
@@ -21,7 +21,7 @@
 
     private static final long POLL_INTERVAL_MS = 5;
     private static final double DEFAULT_SLOWDOWN = 3, DEFAULT_LOSS = 0.3;
-    private static final long DEFAULT_DELAY_MS = 50, DEFAULT_DRIP = 2000;
+    private static final long DEFAULT_DELAY_MS = 50, DEFAULT_DRIP_BYTES_PER_S = 2000;
 
     private final TestBed testBed;
     private final ScenarioActions actions;
@@ -137,9 +137,9 @@
         }
         switch (s.action()) {
             case "reset" -> edges(s).forEach(testBed.relays::reset);
-            case "discovery-down" -> testBed.registry.down(true);
-            case "discovery-up" -> testBed.registry.down(false);
-            case "hush" -> testBed.registry.hush();
+            case "discovery-down" -> testBed.registry.setDown(true);
+            case "discovery-up" -> testBed.registry.setDown(false);
+            case "hush" -> testBed.registry.silenceOpenWatches();
             case "rate" -> testBed.loadGenerator.rate(s.amount());
             case "tenant-rate" -> s.targets().forEach(t -> testBed.loadGenerator.tenantRate(t, s.amount()));
             default -> {
@@ -190,12 +190,12 @@
         double a = s.amount();
         return switch (s.action()) {
             case "cut" -> Fault.CUT;
-            case "cut-there" -> Fault.CUT_THERE;
-            case "cut-back" -> Fault.CUT_BACK;
+            case "cut-there" -> Fault.CUT_FORWARD;
+            case "cut-back" -> Fault.CUT_BACKWARD;
             case "refuse" -> Fault.REFUSING;
             case "delay" -> Fault.delayed((long) (a > 0 ? a : DEFAULT_DELAY_MS), (long) (a > 0 ? a : DEFAULT_DELAY_MS));
             case "lose" -> Fault.lossy(a > 0 ? a : DEFAULT_LOSS, DEFAULT_LOSS / 3, DEFAULT_LOSS / 3);
-            case "drip" -> Fault.dripping((long) (a > 0 ? a : DEFAULT_DRIP));
+            case "drip" -> Fault.throttled((long) (a > 0 ? a : DEFAULT_DRIP_BYTES_PER_S));
             case "heal" -> Fault.NONE;
             default -> null;
         };
@@ -209,7 +209,7 @@
         if (!s.groups().isEmpty()) {
             Collection<String> a = s.groups().get(0);
             Collection<String> b = s.groups().get(1);
-            which = e -> e.joins(a, b);
+            which = e -> e.connects(a, b);
         } else {
             which = e -> s.targets().isEmpty() || s.targets().contains(e.from()) || s.targets().contains(e.to());
         }
@@ -217,7 +217,7 @@
     }
 
     private void set(Edge e, Fault f) {
-        testBed.relays.fault(e, f);
+        testBed.relays.setFault(e, f);
         testBed.history.add(What.FAULT, e.toString(), f.equals(Fault.NONE) ? "none" : f.toString());
     }
 }
--- a/src/main/java/granitefold/standin/ground/LoadGenerator.java
+++ b/src/main/java/granitefold/standin/ground/LoadGenerator.java
@@ -1,7 +1,7 @@
 package granitefold.standin.ground;
 
-import granitefold.standin.Exchange;
-import granitefold.standin.Server;
+import granitefold.standin.HttpConnection;
+import granitefold.standin.LoopbackServer;
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
@@ -42,10 +42,10 @@
     private record PlannedRequest(long number, long dueUs, String jobClass, String tenant, long workUs, int sid, double impatience, boolean honoursRetryAfter) { }
 
     private static final class PooledConnection {
-        final Exchange exchange;
+        final HttpConnection exchange;
         final DispatcherUnderTest member;
 
-        PooledConnection(Exchange exchange, DispatcherUnderTest member) {
+        PooledConnection(HttpConnection exchange, DispatcherUnderTest member) {
             this.exchange = exchange;
             this.member = member;
         }
@@ -81,7 +81,7 @@
     /** Begins to ask; ends by itself. */
     void start() {
         startedUs = history.now();
-        Server.daemon(this::schedule, "clients");
+        LoopbackServer.startDaemon(this::schedule, "clients");
     }
 
     /** Microseconds since clients began. */
@@ -213,7 +213,7 @@
                 history.add(new Entry(history.now(), What.REFUSED, "client", null, null, null, request.jobClass, request.tenant, null, 0, null));
                 return new Answer(What.REFUSED, 0, null, null);
             }
-            boolean reused = connection.exchange.first != null;
+            boolean reused = connection.exchange.startLine != null;
             answer = send(connection, request, jobClass, key, "r" + request.number + "-" + attempt + (again > 0 ? "-x" : ""));
             if (answer.what != What.UNHEARD || !reused) {
                 return answer;
@@ -246,7 +246,7 @@
                 return null;
             }
             try {
-                return new PooledConnection(Exchange.open(LoadBalancer.address(m), CONNECT_TIMEOUT_MS), m);
+                return new PooledConnection(HttpConnection.open(LoadBalancer.address(m), CONNECT_TIMEOUT_MS), m);
             } catch (IOException e) {
                 // refused: the front tries the next one
             }
@@ -255,10 +255,10 @@
     }
 
     private Answer send(PooledConnection connection, PlannedRequest request, Scenario.JobClass jobClass, String key, String txn) {
-        Exchange e = connection.exchange;
+        HttpConnection e = connection.exchange;
         long waitMs = request.impatience > 0 ? Math.max(1, (long) (request.impatience * jobClass.deadlineUs() / 1000)) : jobClass.deadlineUs() / 1000;
         String body = txn.length() > MAX_BODY_CHARS ? txn.substring(0, MAX_BODY_CHARS) : txn;
-        boolean fresh = e.first == null;
+        boolean fresh = e.startLine == null;
         What what;
         int status = 0;
         String text = null;
@@ -266,9 +266,9 @@
             String head = "POST /" + request.jobClass + "?sid=" + Integer.toHexString(request.sid) + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + txn + "\r\nX-Org: " + request.tenant
                     + "\r\nX-Remaining-Ms: " + jobClass.deadlineUs() / 1000 + "\r\nX-Estimate: " + request.workUs + "\r\nX-Labels: slots=" + jobClass.slots() + ",memory=1\r\n"
                     + (key == null ? "" : "Idempotency-Key: " + key + "\r\n") + "Content-Length: " + body.length() + "\r\n\r\n" + body;
-            e.head = Map.of();
+            e.headers = Map.of();
             // written down before it is sent: nothing that follows may seem to come first
-            String conn = granitefold.standin.world.Worker.text((java.net.InetSocketAddress) e.socket.getLocalSocketAddress());
+            String conn = granitefold.standin.world.Worker.addressText((java.net.InetSocketAddress) e.socket.getLocalSocketAddress());
             history.add(new Entry(history.now(), What.ASKED, "client", connection.member.name, txn, key, request.jobClass, request.tenant, conn, jobClass.deadlineUs() / 1000, null));
             e.write(head);
             e.socket.setSoTimeout((int) (request.impatience > 0 ? waitMs : waitMs + LATE_ANSWER_WAIT_MS));
@@ -277,17 +277,17 @@
             } else {
                 what = What.ANSWERED;
                 status = e.status();
-                text = status == 200 ? expected(key, txn, body, e.body) ? "made" : "other" : e.head.get("retry-after");
+                text = status == 200 ? expected(key, txn, body, e.body) ? "made" : "other" : e.headers.get("retry-after");
             }
         } catch (SocketTimeoutException silent) {
             what = request.impatience > 0 ? What.LEFT : What.SILENT;
         } catch (IOException broken) {
-            what = e.begun ? What.CUT : What.UNHEARD;
+            what = e.messageStarted ? What.CUT : What.UNHEARD;
         }
         text = what == What.UNHEARD && fresh ? "new" : text;
         history.add(new Entry(history.now(), what, "client", connection.member.name, txn, key, request.jobClass, request.tenant, null, status, text));
         // some connections end for reasons of their own, so that the front can spread them anew
-        boolean keep = what == What.ANSWERED && !"close".equals(e.head.get("connection")) && ThreadLocalRandom.current().nextDouble() >= scenario.load().churnShare();
+        boolean keep = what == What.ANSWERED && !"close".equals(e.headers.get("connection")) && ThreadLocalRandom.current().nextDouble() >= scenario.load().churnShare();
         if (keep) {
             synchronized (idle) {
                 idle.add(connection);
--- a/src/main/java/granitefold/standin/ground/ProcessFaults.java
+++ b/src/main/java/granitefold/standin/ground/ProcessFaults.java
@@ -64,7 +64,7 @@
             case "release" -> restartGracefully(m);
             case "crash" -> crash(m, (long) amount);
             case "crowd" -> openIdleConnections(m);
-            case WRITES_HELD -> m.faults.on(SystemCallFault.HELD_WRITE, (int) amount, (int) MAX_PAUSE_MS);
+            case WRITES_HELD -> m.faults.enable(SystemCallFault.HELD_WRITE, (int) amount, (int) MAX_PAUSE_MS);
             default -> failSystemCalls(SYSTEM_CALL_FAULTS.get(action), m, (int) (amount > 0 ? amount : ALWAYS_PERCENT));
         }
     }
@@ -73,9 +73,9 @@
         if (action.equals("crowd")) {
             closeIdleConnections(m);
         } else if (action.equals(WRITES_HELD)) {
-            m.faults.off(SystemCallFault.HELD_WRITE);
+            m.faults.disable(SystemCallFault.HELD_WRITE);
         } else if (SYSTEM_CALL_FAULTS.containsKey(action)) {
-            m.faults.off(SYSTEM_CALL_FAULTS.get(action));
+            m.faults.disable(SYSTEM_CALL_FAULTS.get(action));
         }
     }
 
@@ -87,7 +87,7 @@
         List<Errno> errors = ERRORS.get(fault);
         int value = errors != null ? errors.get(draw(errors.size())).number() : fault == SystemCallFault.WALL_CLOCK
                 ? (draw(2) == 0 ? 1 : -1) * (1 + draw(HOUR_S)) : 0;
-        m.faults.on(fault, percent, value);
+        m.faults.enable(fault, percent, value);
     }
 
     /** Stands still for a moment that the page allows: it excuses nothing. */
@@ -149,9 +149,9 @@
     private void failAccepts(DispatcherUnderTest m) throws InterruptedException {
         Thread.sleep(draw((int) MAX_ACCEPT_FAULT_DELAY_MS));
         List<Errno> errors = ERRORS.get(SystemCallFault.ACCEPT);
-        m.faults.on(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
+        m.faults.enable(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
         Thread.sleep(MAX_ACCEPT_FAULT_MS / 2 + draw((int) MAX_ACCEPT_FAULT_MS / 2));
-        m.faults.off(SystemCallFault.ACCEPT);
+        m.faults.disable(SystemCallFault.ACCEPT);
     }
 
     /** Killed without a word, and started anew after a while. */
--- a/src/main/java/granitefold/standin/ground/TestBed.java
+++ b/src/main/java/granitefold/standin/ground/TestBed.java
@@ -9,7 +9,7 @@
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
 import granitefold.standin.history.RuleTerms;
-import granitefold.standin.world.KeyWindow;
+import granitefold.standin.world.DeduplicationWindow;
 import granitefold.standin.world.Registry;
 import granitefold.standin.world.Worker;
 import granitefold.standin.world.WorkerSpec;
@@ -52,7 +52,7 @@
     private final Map<String, Worker> workers = new ConcurrentHashMap<>();
     /** Where a dispatcher finds a cocinero. */
     private final Map<String, InetSocketAddress> relayAddresses = new ConcurrentHashMap<>();
-    private final Map<String, KeyWindow> keyWindows = new HashMap<>();
+    private final Map<String, DeduplicationWindow> keyWindows = new HashMap<>();
     private final List<Registry.Agent> agents = new ArrayList<>();
     private final UniformRandomProvider random;
     private int workersCreated;
@@ -86,7 +86,7 @@
         });
         scenario.classes().forEach((name, c) -> {
             if (c.effect() == RuleTerms.Effect.KEYED) {
-                keyWindows.put(name, new KeyWindow(c.keyWindowUs()));
+                keyWindows.put(name, new DeduplicationWindow(c.keyWindowUs()));
             }
         });
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
@@ -106,13 +106,13 @@
 
     private void recordPeerEvent(What what, Edge edge, InetSocketAddress conn, long atNs, long number) {
         if (edge.kind() == Kind.PEER && conn != null) {
-            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.text(conn), number, null));
+            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.addressText(conn), number, null));
         }
     }
 
     private void recordClientEvent(What what, Edge edge, InetSocketAddress opener, long atNs) {
         if (edge.kind() == Kind.CLIENT && opener != null) {
-            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.text(opener), 0, null));
+            history.add(new Entry(history.at(atNs), what, edge.from(), edge.to(), null, null, null, null, Worker.addressText(opener), 0, null));
         }
     }
 
@@ -131,8 +131,8 @@
     Worker addWorker(boolean cold) throws IOException {
         WorkerSpec s = scenario.workers().spec();
         double speed = s.speed() * (1 + scenario.workers().spread() * (2 * random.nextDouble() - 1));
-        Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queue(), s.coldFrom(), s.coldUs(), s.fallMultiple(),
-                s.fallUs(), s.meanWorkUs(), s.keeps(), s.fetchUs()), cold, keyWindows, history, TestBed::dispatcherOf);
+        Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queueLimit(), s.slowStartFrom(), s.slowStartUs(), s.overloadMultiple(),
+                s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), cold, keyWindows, history, TestBed::dispatcherOf);
         workers.put(w.name, w);
         for (DispatcherUnderTest m : fleet) {
             connectWorker(m, w);
@@ -143,7 +143,7 @@
 
     private void connectWorker(DispatcherUnderTest m, Worker w) throws IOException {
         Edge e = edge(Kind.PEER, m.name, w.name);
-        relayAddresses.put(e.toString(), relays.tcp(e, w::at, sourceAddress(m)));
+        relayAddresses.put(e.toString(), relays.openTcp(e, w::socketAddress, sourceAddress(m)));
     }
 
     Worker worker(String name) {
@@ -165,16 +165,16 @@
     private void connectDispatcher(DispatcherUnderTest m) throws IOException {
         Registry.Agent agent = registry.new Agent(m.name, w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)));
         agents.add(agent);
-        InetSocketAddress discovery = relays.tcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::at, sourceAddress(m));
-        m.clientAddress = relays.tcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listenAddress, InetAddress.getLoopbackAddress());
-        m.controlAddress = relays.tcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeperAddress, InetAddress.getLoopbackAddress());
+        InetSocketAddress discovery = relays.openTcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::socketAddress, sourceAddress(m));
+        m.clientAddress = relays.openTcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listenAddress, InetAddress.getLoopbackAddress());
+        m.controlAddress = relays.openTcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeperAddress, InetAddress.getLoopbackAddress());
         m.config().put("listen", DispatcherUnderTest.format(m.listenAddress)).put("discovery", DispatcherUnderTest.format(discovery));
         refreshKnownWorkers(m);
     }
 
     /** What a dispatcher knows of the list when it starts: what there is now. */
     void refreshKnownWorkers(DispatcherUnderTest m) throws IOException {
-        m.config().set("known", DispatcherConfig.JSON.readTree(registry.list(w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)))));
+        m.config().set("known", DispatcherConfig.JSON.readTree(registry.listJson(w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)))));
     }
 
     private void connectSiblings() {
@@ -186,7 +186,7 @@
                 // i sends to the first, which j sees as the second; and back
                 DispatcherUnderTest a = fleet.get(i);
                 DispatcherUnderTest b = fleet.get(j);
-                List<InetSocketAddress> ends = relays.udp(edge(Kind.SIBLING, a.name, b.name), a.siblingAddress, edge(Kind.SIBLING, b.name, a.name), b.siblingAddress);
+                List<InetSocketAddress> ends = relays.openUdp(edge(Kind.SIBLING, a.name, b.name), a.siblingAddress, edge(Kind.SIBLING, b.name, a.name), b.siblingAddress);
                 to[i][j] = ends.get(0);
                 to[j][i] = ends.get(1);
             }
@@ -217,7 +217,7 @@
 
     /** Starts all dispatchers and waits until each serves. */
     public void start() throws IOException, InterruptedException {
-        granitefold.standin.Server.daemon(this::monitorSchedulingDelay, "pulse");
+        granitefold.standin.LoopbackServer.startDaemon(this::monitorSchedulingDelay, "pulse");
         for (DispatcherUnderTest m : fleet) {
             m.start();
         }
@@ -236,7 +236,7 @@
 
     /** It starts, by us or by its keeper: the front takes it in once it serves. */
     void addToBalancerWhenReady(DispatcherUnderTest m) {
-        granitefold.standin.Server.daemon(() -> {
+        granitefold.standin.LoopbackServer.startDaemon(() -> {
             try {
                 m.awaitReady();
                 loadBalancer.add(m);
