--- a/src/main/java/granitefold/standin/ground/DispatcherUnderTest.java
+++ b/src/main/java/granitefold/standin/ground/DispatcherUnderTest.java
@@ -173,7 +173,8 @@
     /** Writes the keeper's configuration and returns its command line. */
     private List<String> keeperCommand() throws IOException {
         Path file = folder.resolve("keeper.conf");
-        Files.writeString(file, "name = " + name + "\nlisten = \"" + format(keeperAddress) + "\"\nfolder = \"" + keeperFolder() + "\"\nconfig = \"" + configFile()
+        Files.writeString(file, "name = " + name + "\nlisten = \"" + format(keeperAddress) + "\"\nfolder = \"" + keeperFolder() + "\"\nconfig = \""
+                + configFile()
                 + "\"\nversion { label = old, jar = \"" + jar.toAbsolutePath() + "\" }\n");
         return List.of("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx48m", "-Xshare:auto", "-jar", jar.toString(), "keep", file.toString());
     }
--- a/src/main/java/granitefold/standin/ground/GroundCommand.java
+++ b/src/main/java/granitefold/standin/ground/GroundCommand.java
@@ -101,10 +101,10 @@
                             s.lengthUs() / 1_000_000);
                     out.flush();
                 }
-                TestRun p = TestRun.run(s, seed + i, jar, r -> running = r);
-                runs.add(p);
-                print(out, p);
-                write(p, runs);
+                TestRun run = TestRun.run(s, seed + i, jar, r -> running = r);
+                runs.add(run);
+                print(out, run);
+                write(run, runs);
             }
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
             if (runs.size() > 1) {
@@ -123,47 +123,48 @@
             TestRun.InProgress r = running;
             if (r != null) {
                 try {
-                    TestRun p = r.snapshot(true);
-                    write(p, List.of(p));
+                    TestRun run = r.snapshot(true);
+                    write(run, List.of(run));
                 } catch (IOException e) {
                     System.err.println("granitefold-standin: cannot write the report: " + e);
                 }
             }
         }
 
-        private void write(TestRun p, List<TestRun> runs) throws IOException {
+        private void write(TestRun run, List<TestRun> runs) throws IOException {
             if (json != null) {
-                Object all = runs.size() == 1 ? TestReport.json(p) : runs.stream().map(TestReport::json).toList();
+                Object all = runs.size() == 1 ? TestReport.json(run) : runs.stream().map(TestReport::json).toList();
                 Files.writeString(json, DispatcherConfig.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(all) + "\n");
             }
             if (html != null) {
-                TestReport.html(p, html);
+                TestReport.html(run, html);
             }
             if (history != null) {
-                History.write(p.history(), history);
+                History.write(run.history(), history);
             }
         }
 
-        private static void print(PrintWriter out, TestRun p) {
-            RequestStatistics.Summary all = p.statistics().all();
+        private static void print(PrintWriter out, TestRun run) {
+            RequestStatistics.Summary all = run.statistics().all();
             out.printf(Locale.ROOT, "  asked %d, service %.3f, in time %d, late %d, rejected %d, failed %d, lost %d, left %d; p50 %.0f ms, p99 %.0f ms%n",
                     all.requests, all.servedValueShare(), all.count(RequestStatistics.Outcome.IN_TIME), all.count(RequestStatistics.Outcome.LATE),
-                    all.count(RequestStatistics.Outcome.REJECTED), all.count(RequestStatistics.Outcome.FAILED), all.count(RequestStatistics.Outcome.LOST),
+                    all.count(RequestStatistics.Outcome.REJECTED), all.count(RequestStatistics.Outcome.FAILED),
+                            all.count(RequestStatistics.Outcome.LOST),
                     all.count(RequestStatistics.Outcome.LEFT), all.latencyMs(50), all.latencyMs(99));
-            if (p.scriptError() != null) {
-                out.println("  the script failed: " + p.scriptError());
+            if (run.scriptError() != null) {
+                out.println("  the script failed: " + run.scriptError());
             }
-            p.violations().stream().limit(5).forEach(v -> out.println("  " + v));
-            out.println(p.violations().isEmpty() ? "  no rule violated" : "  " + p.violations().size() + " rule violations");
+            run.violations().stream().limit(5).forEach(v -> out.println("  " + v));
+            out.println(run.violations().isEmpty() ? "  no rule violated" : "  " + run.violations().size() + " rule violations");
             out.flush();
         }
 
         private static String interval(List<TestRun> runs) {
             SummaryStatistics s = new SummaryStatistics();
-            runs.forEach(p -> s.addValue(p.statistics().all().servedValueShare()));
+            runs.forEach(run -> s.addValue(run.statistics().all().servedValueShare()));
             double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(UPPER_QUANTILE) * s.getStandardDeviation() / Math.sqrt(s.getN());
             return String.format(Locale.ROOT, "service over %d runs: %.3f, 95%% interval %.3f to %.3f; rules violated in %d", s.getN(), s.getMean(),
-                    s.getMean() - half, s.getMean() + half, runs.stream().filter(p -> !p.violations().isEmpty()).count());
+                    s.getMean() - half, s.getMean() + half, runs.stream().filter(run -> !run.violations().isEmpty()).count());
         }
     }
 
@@ -198,7 +199,8 @@
         public Integer call() throws Exception {
             for (String name : scenarios) {
                 Scenario s = Scenario.read(Run.find(name));
-                spec.commandLine().getOut().printf("%s: %s (%d dispatchers, %d workers, %d s, %d steps)%n", s.name(), s.about(), s.dispatchers().count(),
+                spec.commandLine().getOut().printf("%s: %s (%d dispatchers, %d workers, %d s, %d steps)%n", s.name(), s.about(), s.dispatchers()
+                        .count(),
                         s.workers().count(), s.lengthUs() / 1_000_000, s.steps().size() + s.randomSteps().count());
             }
             return 0;
--- a/src/main/java/granitefold/standin/ground/LoadBalancer.java
+++ b/src/main/java/granitefold/standin/ground/LoadBalancer.java
@@ -13,41 +13,41 @@
     static final long TERMINATED_TRAFFIC_US = 300_000;
 
     private static final class Target {
-        final DispatcherUnderTest member;
+        final DispatcherUnderTest dispatcher;
         boolean active;
         long removedAtUs = Long.MAX_VALUE;
 
-        Target(DispatcherUnderTest member) {
-            this.member = member;
+        Target(DispatcherUnderTest dispatcher) {
+            this.dispatcher = dispatcher;
         }
     }
 
     private final List<Target> targets = new ArrayList<>();
     private int nextIndex;
 
-    LoadBalancer(List<DispatcherUnderTest> members) {
-        members.forEach(m -> targets.add(new Target(m)));
+    LoadBalancer(List<DispatcherUnderTest> dispatchers) {
+        dispatchers.forEach(dispatcher -> targets.add(new Target(dispatcher)));
     }
 
-    synchronized void add(DispatcherUnderTest m) {
-        Target target = target(m);
+    synchronized void add(DispatcherUnderTest dispatcher) {
+        Target target = target(dispatcher);
         target.active = true;
         target.removedAtUs = Long.MAX_VALUE;
     }
 
     /** Sends no new connections to a dispatcher from the given time on, because it has failed or is shutting down. */
-    synchronized void removeAt(DispatcherUnderTest m, long atUs) {
-        Target target = target(m);
+    synchronized void removeAt(DispatcherUnderTest dispatcher, long atUs) {
+        Target target = target(dispatcher);
         target.removedAtUs = Math.min(target.removedAtUs, atUs);
     }
 
-    synchronized boolean isActive(DispatcherUnderTest m, long nowUs) {
-        Target target = target(m);
+    synchronized boolean isActive(DispatcherUnderTest dispatcher, long nowUs) {
+        Target target = target(dispatcher);
         return target.active && nowUs < target.removedAtUs;
     }
 
-    private Target target(DispatcherUnderTest m) {
-        return targets.stream().filter(target -> target.member == m).findFirst().orElseThrow();
+    private Target target(DispatcherUnderTest dispatcher) {
+        return targets.stream().filter(target -> target.dispatcher == dispatcher).findFirst().orElseThrow();
     }
 
     /** Returns the dispatcher for the next connection, or null if none is active. */
@@ -59,13 +59,13 @@
                 target.removedAtUs = Long.MAX_VALUE;
             }
             if (target.active) {
-                return target.member;
+                return target.dispatcher;
             }
         }
         return null;
     }
 
-    static InetSocketAddress address(DispatcherUnderTest m) {
-        return m.clientAddress;
+    static InetSocketAddress address(DispatcherUnderTest dispatcher) {
+        return dispatcher.clientAddress;
     }
 }
--- a/src/main/java/granitefold/standin/ground/LoadGenerator.java
+++ b/src/main/java/granitefold/standin/ground/LoadGenerator.java
@@ -43,12 +43,12 @@
             boolean honoursRetryAfter) { }
 
     private static final class PooledConnection {
-        final HttpConnection exchange;
-        final DispatcherUnderTest member;
+        final HttpConnection http;
+        final DispatcherUnderTest dispatcher;
 
-        PooledConnection(HttpConnection exchange, DispatcherUnderTest member) {
-            this.exchange = exchange;
-            this.member = member;
+        PooledConnection(HttpConnection http, DispatcherUnderTest dispatcher) {
+            this.http = http;
+            this.dispatcher = dispatcher;
         }
     }
 
@@ -220,7 +220,7 @@
                 history.add(new Entry(history.now(), What.REFUSED, "client", null, null, null, request.jobClass, request.tenant, null, 0, null));
                 return new Answer(What.REFUSED, 0, null, null);
             }
-            boolean reused = connection.exchange.startLine != null;
+            boolean reused = connection.http.startLine != null;
             answer = send(connection, request, jobClass, key, "r" + request.number + "-" + attempt + (again > 0 ? "-x" : ""));
             if (answer.what != What.UNHEARD || !reused) {
                 return answer;
@@ -239,21 +239,21 @@
                 break;
             }
             try {
-                if (!connection.exchange.closedWithin(1)) {
+                if (!connection.http.closedWithin(1)) {
                     return connection;
                 }
-                connection.exchange.close();
+                connection.http.close();
             } catch (IOException e) {
-                history.add(new Entry(history.now(), What.EXTRA, "client", connection.member.name, null, null, null, null, null, 0, null));
+                history.add(new Entry(history.now(), What.EXTRA, "client", connection.dispatcher.name, null, null, null, null, null, 0, null));
             }
         }
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
-            DispatcherUnderTest m = loadBalancer.next(history.now());
-            if (m == null) {
+            DispatcherUnderTest dispatcher = loadBalancer.next(history.now());
+            if (dispatcher == null) {
                 return null;
             }
             try {
-                return new PooledConnection(HttpConnection.open(LoadBalancer.address(m), CONNECT_TIMEOUT_MS), m);
+                return new PooledConnection(HttpConnection.open(LoadBalancer.address(dispatcher), CONNECT_TIMEOUT_MS), dispatcher);
             } catch (IOException e) {
                 // refused: try the next dispatcher
             }
@@ -262,10 +262,10 @@
     }
 
     private Answer send(PooledConnection connection, PlannedRequest request, Scenario.JobClass jobClass, String key, String txn) {
-        HttpConnection e = connection.exchange;
+        HttpConnection http = connection.http;
         long waitMs = request.impatience > 0 ? Math.max(1, (long) (request.impatience * jobClass.deadlineUs() / 1000)) : jobClass.deadlineUs() / 1000;
         String body = txn.length() > MAX_BODY_CHARS ? txn.substring(0, MAX_BODY_CHARS) : txn;
-        boolean fresh = e.startLine == null;
+        boolean fresh = http.startLine == null;
         What what;
         int status = 0;
         String text = null;
@@ -274,29 +274,30 @@
                     + "\r\nX-Org: " + request.tenant + "\r\nX-Remaining-Ms: " + jobClass.deadlineUs() / 1000 + "\r\nX-Estimate: " + request.workUs
                     + "\r\nX-Labels: slots=" + jobClass.slots() + ",memory=1\r\n"
                     + (key == null ? "" : "Idempotency-Key: " + key + "\r\n") + "Content-Length: " + body.length() + "\r\n\r\n" + body;
-            e.headers = Map.of();
+            http.headers = Map.of();
             // recorded before it is sent, so that no later event has an earlier time
-            String conn = granitefold.standin.world.Worker.addressText((java.net.InetSocketAddress) e.socket.getLocalSocketAddress());
-            history.add(new Entry(history.now(), What.ASKED, "client", connection.member.name, txn, key, request.jobClass, request.tenant, conn,
+            String conn = granitefold.standin.world.Worker.addressText((java.net.InetSocketAddress) http.socket.getLocalSocketAddress());
+            history.add(new Entry(history.now(), What.ASKED, "client", connection.dispatcher.name, txn, key, request.jobClass, request.tenant, conn,
                     jobClass.deadlineUs() / 1000, null));
-            e.write(head);
-            e.socket.setSoTimeout((int) (request.impatience > 0 ? waitMs : waitMs + LATE_ANSWER_WAIT_MS));
-            if (!e.read()) {
+            http.write(head);
+            http.socket.setSoTimeout((int) (request.impatience > 0 ? waitMs : waitMs + LATE_ANSWER_WAIT_MS));
+            if (!http.read()) {
                 what = What.UNHEARD;
             } else {
                 what = What.ANSWERED;
-                status = e.status();
-                text = status == 200 ? expected(key, txn, body, e.body) ? "made" : "other" : e.headers.get("retry-after");
+                status = http.status();
+                text = status == 200 ? expected(key, txn, body, http.body) ? "made" : "other" : http.headers.get("retry-after");
             }
         } catch (SocketTimeoutException silent) {
             what = request.impatience > 0 ? What.LEFT : What.SILENT;
         } catch (IOException broken) {
-            what = e.messageStarted ? What.CUT : What.UNHEARD;
+            what = http.messageStarted ? What.CUT : What.UNHEARD;
         }
         text = what == What.UNHEARD && fresh ? "new" : text;
-        history.add(new Entry(history.now(), what, "client", connection.member.name, txn, key, request.jobClass, request.tenant, null, status, text));
+        history.add(new Entry(history.now(), what, "client", connection.dispatcher.name, txn, key, request.jobClass, request.tenant, null, status,
+                text));
         // a share of the connections is closed, so that the load balancer can redistribute them
-        boolean keep = what == What.ANSWERED && !"close".equals(e.headers.get("connection"))
+        boolean keep = what == What.ANSWERED && !"close".equals(http.headers.get("connection"))
                 && ThreadLocalRandom.current().nextDouble() >= scenario.load().churnShare();
         if (keep) {
             synchronized (idle) {
@@ -304,12 +305,12 @@
             }
         } else {
             try {
-                e.close();
+                http.close();
             } catch (IOException ignored) {
                 // the connection is discarded anyway
             }
         }
-        return new Answer(what, status, text, connection.member.name);
+        return new Answer(what, status, text, connection.dispatcher.name);
     }
 
     /** Returns whether a result is the body in upper case or, for a keyed job, that of an earlier send with the same key. */
--- a/src/main/java/granitefold/standin/ground/Polling.java
+++ b/src/main/java/granitefold/standin/ground/Polling.java
@@ -25,6 +25,7 @@
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
-        throw new IllegalStateException("timed out after " + seconds + " s waiting for: " + what + (lastError == null ? "" : " (" + lastError + ")") + "\n" + diagnostics.get());
+        throw new IllegalStateException("timed out after " + seconds + " s waiting for: " + what + (lastError == null ? "" : " (" + lastError + ")")
+                + "\n" + diagnostics.get());
     }
 }
--- a/src/main/java/granitefold/standin/ground/ProcessFaults.java
+++ b/src/main/java/granitefold/standin/ground/ProcessFaults.java
@@ -58,24 +58,24 @@
     }
 
     /** Applies a fault; {@code amount}: the percentage of system calls, or the milliseconds of a pause. */
-    void start(String action, DispatcherUnderTest m, double amount) throws IOException, InterruptedException {
+    void start(String action, DispatcherUnderTest dispatcher, double amount) throws IOException, InterruptedException {
         switch (action) {
-            case "hold" -> pause(m, amount > 0 ? (long) amount : MAX_PAUSE_MS);
-            case "release" -> restartGracefully(m);
-            case "crash" -> crash(m, (long) amount);
-            case "crowd" -> openIdleConnections(m);
-            case WRITES_HELD -> m.faults.enable(SystemCallFault.HELD_WRITE, (int) amount, (int) MAX_PAUSE_MS);
-            default -> failSystemCalls(SYSTEM_CALL_FAULTS.get(action), m, (int) (amount > 0 ? amount : ALWAYS_PERCENT));
+            case "hold" -> pause(dispatcher, amount > 0 ? (long) amount : MAX_PAUSE_MS);
+            case "release" -> restartGracefully(dispatcher);
+            case "crash" -> crash(dispatcher, (long) amount);
+            case "crowd" -> openIdleConnections(dispatcher);
+            case WRITES_HELD -> dispatcher.faults.enable(SystemCallFault.HELD_WRITE, (int) amount, (int) MAX_PAUSE_MS);
+            default -> failSystemCalls(SYSTEM_CALL_FAULTS.get(action), dispatcher, (int) (amount > 0 ? amount : ALWAYS_PERCENT));
         }
     }
 
-    void stop(String action, DispatcherUnderTest m) throws IOException {
+    void stop(String action, DispatcherUnderTest dispatcher) throws IOException {
         if (action.equals("crowd")) {
-            closeIdleConnections(m);
+            closeIdleConnections(dispatcher);
         } else if (action.equals(WRITES_HELD)) {
-            m.faults.disable(SystemCallFault.HELD_WRITE);
+            dispatcher.faults.disable(SystemCallFault.HELD_WRITE);
         } else if (SYSTEM_CALL_FAULTS.containsKey(action)) {
-            m.faults.disable(SYSTEM_CALL_FAULTS.get(action));
+            dispatcher.faults.disable(SYSTEM_CALL_FAULTS.get(action));
         }
     }
 
@@ -83,114 +83,114 @@
         return random.nextInt(below);
     }
 
-    private void failSystemCalls(SystemCallFault fault, DispatcherUnderTest m, int percent) {
+    private void failSystemCalls(SystemCallFault fault, DispatcherUnderTest dispatcher, int percent) {
         List<Errno> errors = ERRORS.get(fault);
         int value = errors != null ? errors.get(draw(errors.size())).number() : fault == SystemCallFault.WALL_CLOCK
                 ? (draw(2) == 0 ? 1 : -1) * (1 + draw(HOUR_S)) : 0;
-        m.faults.enable(fault, percent, value);
+        dispatcher.faults.enable(fault, percent, value);
     }
 
     /** Pauses a process for a time that the rules must tolerate; it is not recorded, so it permits no violation. */
-    private static void pause(DispatcherUnderTest m, long ms) throws IOException, InterruptedException {
-        DispatcherUnderTest.Incarnation incarnation = m.current();
+    private static void pause(DispatcherUnderTest dispatcher, long ms) throws IOException, InterruptedException {
+        DispatcherUnderTest.Incarnation incarnation = dispatcher.current();
         if (incarnation == null || !incarnation.process.isAlive()) {
             return;
         }
-        m.sendUnrecordedSignal(incarnation, "STOP");
+        dispatcher.sendUnrecordedSignal(incarnation, "STOP");
         Thread.sleep(Math.min(MAX_PAUSE_MS, ms));
-        m.sendUnrecordedSignal(incarnation, "CONT");
+        dispatcher.sendUnrecordedSignal(incarnation, "CONT");
     }
 
     /** Terminates a process amid pauses and a series of signals, kills it at the earliest time the platform may, and restarts it. */
-    private void restartGracefully(DispatcherUnderTest m) throws IOException, InterruptedException {
-        if (!m.lifecycleLock.tryLock()) {
+    private void restartGracefully(DispatcherUnderTest dispatcher) throws IOException, InterruptedException {
+        if (!dispatcher.lifecycleLock.tryLock()) {
             return;
         }
         try {
-            if (!m.alive()) {
+            if (!dispatcher.alive()) {
                 return;
             }
             long terminatedNs = System.nanoTime();
-            testBed.loadBalancer.removeAt(m, testBed.history.now() + LoadBalancer.TERMINATED_TRAFFIC_US);
+            testBed.loadBalancer.removeAt(dispatcher, testBed.history.now() + LoadBalancer.TERMINATED_TRAFFIC_US);
             boolean pausedFirst = draw(2) == 0;
             if (pausedFirst) {
-                m.sendUnrecordedSignal(m.current(), "STOP");
+                dispatcher.sendUnrecordedSignal(dispatcher.current(), "STOP");
             }
-            m.terminate();
+            dispatcher.terminate();
             if (pausedFirst) {
                 Thread.sleep(draw((int) MAX_PAUSE_MS));
-                m.sendUnrecordedSignal(m.current(), "CONT");
+                dispatcher.sendUnrecordedSignal(dispatcher.current(), "CONT");
             }
             if (draw(2) == 0) {
-                failAccepts(m);
+                failAccepts(dispatcher);
             }
             if (draw(2) == 0) {
                 for (String signal : SIGNAL_SERIES) {
-                    m.sendUnrecordedSignal(m.current(), signal);
+                    dispatcher.sendUnrecordedSignal(dispatcher.current(), signal);
                     Thread.sleep(draw((int) MAX_SIGNAL_INTERVAL_MS));
                 }
             }
             long killAtNs = terminatedNs + TimeUnit.MICROSECONDS.toNanos(testBed.scenario.earliestKillUs());
             long pauseAtNs = killAtNs - TimeUnit.MILLISECONDS.toNanos(MAX_PAUSE_MS + 100 + draw(500));
-            if (draw(2) == 0 && pauseAtNs - System.nanoTime() > 0 && !m.awaitExitUntil(pauseAtNs)) {
-                pause(m, draw((int) MAX_PAUSE_MS));
+            if (draw(2) == 0 && pauseAtNs - System.nanoTime() > 0 && !dispatcher.awaitExitUntil(pauseAtNs)) {
+                pause(dispatcher, draw((int) MAX_PAUSE_MS));
             }
-            if (!m.awaitExitUntil(killAtNs)) {
-                m.killAfterGracePeriod();
+            if (!dispatcher.awaitExitUntil(killAtNs)) {
+                dispatcher.killAfterGracePeriod();
             }
-            m.awaitExit(DispatcherUnderTest.TIMEOUT_S);
-            testBed.restart(m);
+            dispatcher.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+            testBed.restart(dispatcher);
         } finally {
-            m.lifecycleLock.unlock();
+            dispatcher.lifecycleLock.unlock();
         }
     }
 
     /** Makes accept fail for a while; new connections still arrive for 0.4 s after SIGTERM. */
-    private void failAccepts(DispatcherUnderTest m) throws InterruptedException {
+    private void failAccepts(DispatcherUnderTest dispatcher) throws InterruptedException {
         Thread.sleep(draw((int) MAX_ACCEPT_FAULT_DELAY_MS));
         List<Errno> errors = ERRORS.get(SystemCallFault.ACCEPT);
-        m.faults.enable(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
+        dispatcher.faults.enable(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
         Thread.sleep(MAX_ACCEPT_FAULT_MS / 2 + draw((int) MAX_ACCEPT_FAULT_MS / 2));
-        m.faults.disable(SystemCallFault.ACCEPT);
+        dispatcher.faults.disable(SystemCallFault.ACCEPT);
     }
 
     /** Kills a process without warning and restarts it after {@code downtimeMs}. */
-    private void crash(DispatcherUnderTest m, long downtimeMs) throws IOException, InterruptedException {
-        if (!m.lifecycleLock.tryLock()) {
+    private void crash(DispatcherUnderTest dispatcher, long downtimeMs) throws IOException, InterruptedException {
+        if (!dispatcher.lifecycleLock.tryLock()) {
             return;
         }
         try {
-            if (m.alive()) {
-                testBed.loadBalancer.removeAt(m, testBed.history.now() + testBed.scenario.dispatchers().failureDetectionUs());
-                m.kill();
-                m.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+            if (dispatcher.alive()) {
+                testBed.loadBalancer.removeAt(dispatcher, testBed.history.now() + testBed.scenario.dispatchers().failureDetectionUs());
+                dispatcher.kill();
+                dispatcher.awaitExit(DispatcherUnderTest.TIMEOUT_S);
                 Thread.sleep(downtimeMs);
-                testBed.restart(m);
+                testBed.restart(dispatcher);
             }
         } finally {
-            m.lifecycleLock.unlock();
+            dispatcher.lifecycleLock.unlock();
         }
     }
 
-    private void openIdleConnections(DispatcherUnderTest m) {
-        testBed.history.add(What.FAULT, "crowd>" + m.name, "idle clients");
+    private void openIdleConnections(DispatcherUnderTest dispatcher) {
+        testBed.history.add(What.FAULT, "crowd>" + dispatcher.name, "idle clients");
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < Math.min(MAX_IDLE_CONNECTIONS, testBed.scenario.dispatchers().sockets()); i++) {
             Socket s = new Socket();
             try {
-                s.connect(m.listenAddress, CONNECT_TIMEOUT_MS);
+                s.connect(dispatcher.listenAddress, CONNECT_TIMEOUT_MS);
                 idle.add(s);
             } catch (IOException e) {
                 break;
             }
         }
-        idleConnections.put(m, idle);
+        idleConnections.put(dispatcher, idle);
     }
 
-    private void closeIdleConnections(DispatcherUnderTest m) throws IOException {
-        for (Socket s : idleConnections.getOrDefault(m, List.of())) {
+    private void closeIdleConnections(DispatcherUnderTest dispatcher) throws IOException {
+        for (Socket s : idleConnections.getOrDefault(dispatcher, List.of())) {
             s.close();
         }
-        testBed.history.add(What.FAULT, "crowd>" + m.name, "none");
+        testBed.history.add(What.FAULT, "crowd>" + dispatcher.name, "none");
     }
 }
--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -61,7 +61,8 @@
         ExecutorService threads = Executors.newFixedThreadPool(parallel);
         PrintWriter out = spec.commandLine().getOut();
         try {
-            Path fresh = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss) : new Patch("core/Phase.java", "/** The program's", "/** Our"));
+            Path fresh = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss)
+                    : new Patch("core/Phase.java", "/** The program's", "/** Our"));
             List<Future<Outcome>> staged = new ArrayList<>();
             List<Future<Outcome>> atOnce = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
@@ -81,7 +82,8 @@
         return 0;
     }
 
-    private Outcome play(long seed, Path fresh, PlanParameters parameters) throws IOException, InterruptedException, granitefold.operator.InvalidFileException {
+    private Outcome play(long seed, Path fresh, PlanParameters parameters) throws IOException, InterruptedException,
+            granitefold.operator.InvalidFileException {
         Scenario s = Scenario.read("rollouts", "for = 600s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = 200\n");
         try (RolloutTestBed r = new RolloutTestBed(s, seed, jar)) {
             r.awaitServed(BASELINE_REQUESTS);
@@ -137,9 +139,11 @@
             out.flush();
         }
         var share = new WilsonScoreInterval().createInterval(staged.size(), stopped, CONFIDENCE);
-        out.printf(Locale.ROOT, "rolled back in %d of %d (95%% interval %.3f to %.3f), after %.1f s on average; %d rule violations%n", stopped, staged.size(),
+        out.printf(Locale.ROOT, "rolled back in %d of %d (95%% interval %.3f to %.3f), after %.1f s on average; %d rule violations%n", stopped,
+                staged.size(),
                 share.getLowerBound(), share.getUpperBound(), seconds.getMean(), broken);
-        out.println("value lost in stages: " + interval(inStages) + (stagedOnly ? "" : "; all at once: " + interval(allAtOnce) + "; saved, paired: " + interval(saved)));
+        out.println("value lost in stages: " + interval(inStages) + (stagedOnly ? "" : "; all at once: " + interval(allAtOnce) + "; saved, paired: "
+                + interval(saved)));
     }
 
     private static String interval(SummaryStatistics s) {
--- a/src/main/java/granitefold/standin/ground/RolloutTestBed.java
+++ b/src/main/java/granitefold/standin/ground/RolloutTestBed.java
@@ -74,8 +74,9 @@
     /** Writes the plan of a rollout to the jar {@code fresh}; {@code name} also names the plan's folder. */
     public void writePlan(String name, Path fresh, PlanParameters parameters) throws IOException {
         StringBuilder b = new StringBuilder("name = " + name + "\nfolder = \"" + folder.resolve(name) + "\"\ndispatchers = [\n");
-        for (DispatcherUnderTest m : testBed.fleet) {
-            b.append("  { name = ").append(m.name).append(", keeper = \"").append(DispatcherUnderTest.format(m.controlAddress)).append("\" }\n");
+        for (DispatcherUnderTest dispatcher : testBed.fleet) {
+            b.append("  { name = ").append(dispatcher.name).append(", keeper = \"").append(DispatcherUnderTest.format(dispatcher.controlAddress))
+                    .append("\" }\n");
         }
         b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"").append(fresh.toAbsolutePath())
                 .append("\" }\nstages = [").append(parameters.stages).append("]\nlook { warm = ").append(ms(parameters.warmupS))
@@ -125,7 +126,8 @@
     /** Waits until the controller's log contains a text. */
     public void awaitLog(String part) throws InterruptedException {
         Path log = folder.resolve("controller-" + (controllers.size() - 1) + ".log");
-        Polling.until("'" + part + "' in the controller's log", 2 * DispatcherUnderTest.TIMEOUT_S, () -> Files.readString(log).contains(part), this::lastLines);
+        Polling.until("'" + part + "' in the controller's log", 2 * DispatcherUnderTest.TIMEOUT_S, () -> Files.readString(log).contains(part),
+                this::lastLines);
     }
 
     public String lastLines() {
@@ -156,8 +158,8 @@
         double took = (testBed.history.now() - startedUs) / 1e6;
         JsonNode s = status();
         List<String> labels = new ArrayList<>();
-        for (DispatcherUnderTest m : testBed.fleet) {
-            labels.add(label(m));
+        for (DispatcherUnderTest dispatcher : testBed.fleet) {
+            labels.add(label(dispatcher));
         }
         Path report = plan.resolveSibling(plan.getFileName().toString().replace(".plan", "")).resolve("report.txt");
         return new Result(p.exitValue(), s.path("state").asText(), s.path("verdict").asText(), s.path("stage").asInt(), labels, took,
@@ -165,8 +167,8 @@
     }
 
     /** Returns the labels of the versions that a dispatcher's processes run, by their command lines, joined with "+". */
-    private String label(DispatcherUnderTest m) {
-        List<String> jars = m.jars();
+    private String label(DispatcherUnderTest dispatcher) {
+        List<String> jars = dispatcher.jars();
         return String.join("+", jars.stream().map(j -> j.equals(jar.toAbsolutePath().toString()) ? "old" : "new").toList());
     }
 
--- a/src/main/java/granitefold/standin/ground/Scenario.java
+++ b/src/main/java/granitefold/standin/ground/Scenario.java
@@ -128,7 +128,8 @@
 
     private static JobClass jobClass(ConfigSection s) {
         JobClass c = new JobClass(s.number("share", 1, 0, 1), s.durationUs("work", 40_000, 0, MINUTE_MS), s.number("spread", 0.8, 0, 5),
-                s.integer("slots", 1, 1, 64), RuleTerms.Effect.valueOf(s.choice("effect", "safe", "safe", "keyed", "unsafe").toUpperCase(java.util.Locale.ROOT)),
+                s.integer("slots", 1, 1, 64), RuleTerms.Effect.valueOf(s.choice("effect", "safe", "safe", "keyed", "unsafe")
+                        .toUpperCase(java.util.Locale.ROOT)),
                 s.durationUs("on-time", 300_000, 1, MINUTE_MS), s.durationUs("deadline", 5_000_000, 10, 5 * MINUTE_MS), s.number("stretch", 2, 0, 100),
                 s.number("worth", 1, 0, 1000), s.durationUs("window", 12_000_000, 100, 5 * MINUTE_MS));
         s.reportUnknownKeys();
@@ -146,7 +147,8 @@
                     s.durationUs("at", 0, 0, 60 * MINUTE_MS), s.string("when", "", "ready NAME, exited NAME or served COUNT",
                             t -> t.matches("(ready|exited) \\S+|served \\d+")),
                     s.strings("to", "names of dispatchers, workers or tenants", t -> t.matches("\\S+")), between,
-                    s.strings("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling", "control").contains(t)),
+                    s.strings("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling", "control")
+                            .contains(t)),
                     s.number("amount", 0, 0, 1e9), s.durationUs("lasts", 0, 0, 60 * MINUTE_MS));
             if (step.action.isEmpty()) {
                 s.reject("do", "a step needs an action");
@@ -161,7 +163,8 @@
     }
 
     private static RandomSteps randomSteps(ConfigSection r) {
-        return new RandomSteps(r.integer("count", 0, 0, 1000), r.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS), r.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
+        return new RandomSteps(r.integer("count", 0, 0, 1000), r.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS),
+                r.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
                 r.strings("of", "one of " + String.join(", ", ACTIONS), ACTIONS::contains), r.durationUs("lasts", 1_000_000, 0, 60 * MINUTE_MS));
     }
 
--- a/src/main/java/granitefold/standin/ground/ScenarioActions.java
+++ b/src/main/java/granitefold/standin/ground/ScenarioActions.java
@@ -66,42 +66,42 @@
             case "kill" -> {
                 // kills all at once; a keeper starts its dispatcher again
                 targets.parallelStream().forEach(DispatcherUnderTest::kill);
-                targets.forEach(m -> testBed.loadBalancer.removeAt(m, now + testBed.scenario.dispatchers().failureDetectionUs()));
+                targets.forEach(dispatcher -> testBed.loadBalancer.removeAt(dispatcher, now + testBed.scenario.dispatchers().failureDetectionUs()));
                 targets.stream().filter(DispatcherUnderTest::hasKeeper).forEach(testBed::addToBalancerWhenReady);
             }
             case "start" -> {
-                for (DispatcherUnderTest m : targets) {
-                    if (m.current() != null && !m.alive() || m.awaitExit(DispatcherUnderTest.TIMEOUT_S)) {
-                        testBed.restart(m);
+                for (DispatcherUnderTest dispatcher : targets) {
+                    if (dispatcher.current() != null && !dispatcher.alive() || dispatcher.awaitExit(DispatcherUnderTest.TIMEOUT_S)) {
+                        testBed.restart(dispatcher);
                     }
                 }
             }
             case "end", "restart" -> {
-                targets.forEach(m -> {
-                    m.terminate();
-                    testBed.loadBalancer.removeAt(m, now + LoadBalancer.TERMINATED_TRAFFIC_US);
+                targets.forEach(dispatcher -> {
+                    dispatcher.terminate();
+                    testBed.loadBalancer.removeAt(dispatcher, now + LoadBalancer.TERMINATED_TRAFFIC_US);
                 });
                 if (action.equals("restart")) {
-                    for (DispatcherUnderTest m : targets) {
-                        m.awaitExit(DispatcherUnderTest.TIMEOUT_S);
-                        testBed.restart(m);
+                    for (DispatcherUnderTest dispatcher : targets) {
+                        dispatcher.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+                        testBed.restart(dispatcher);
                     }
                 }
             }
             case "kill-keeper" -> {
-                for (DispatcherUnderTest m : targets) {
-                    m.killKeeper();
+                for (DispatcherUnderTest dispatcher : targets) {
+                    dispatcher.killKeeper();
                 }
             }
             case "stop", "continue" -> {
-                for (DispatcherUnderTest m : targets) {
-                    m.sendSignal(action.equals("stop") ? "STOP" : "CONT");
+                for (DispatcherUnderTest dispatcher : targets) {
+                    dispatcher.sendSignal(action.equals("stop") ? "STOP" : "CONT");
                 }
             }
             case "reload" -> {
-                for (DispatcherUnderTest m : targets) {
-                    m.writeConfig();
-                    m.sendSignal("HUP");
+                for (DispatcherUnderTest dispatcher : targets) {
+                    dispatcher.writeConfig();
+                    dispatcher.sendSignal("HUP");
                 }
             }
             default -> stateFiles(action, targets, amount);
@@ -111,8 +111,8 @@
     // ---------------------------------------------------------------- stored state of dispatchers that are down
     private void stateFiles(String action, List<DispatcherUnderTest> targets, double amount) throws IOException {
         List<Path> files = new ArrayList<>();
-        for (DispatcherUnderTest m : targets) {
-            files.addAll(files(m.stateFolder()));
+        for (DispatcherUnderTest dispatcher : targets) {
+            files.addAll(files(dispatcher.stateFolder()));
         }
         switch (action) {
             case "state-lost" -> {
@@ -144,13 +144,13 @@
                 }
             }
             case "state-kept" -> {
-                for (DispatcherUnderTest m : targets) {
-                    copy(m.stateFolder(), m.stateFolder().resolveSibling("kept"));
+                for (DispatcherUnderTest dispatcher : targets) {
+                    copy(dispatcher.stateFolder(), dispatcher.stateFolder().resolveSibling("kept"));
                 }
             }
             case "state-back" -> {
-                for (DispatcherUnderTest m : targets) {
-                    copy(m.stateFolder().resolveSibling("kept"), m.stateFolder());
+                for (DispatcherUnderTest dispatcher : targets) {
+                    copy(dispatcher.stateFolder().resolveSibling("kept"), dispatcher.stateFolder());
                 }
             }
             default -> throw new IllegalArgumentException("unknown action " + action);
--- a/src/main/java/granitefold/standin/ground/TestBed.java
+++ b/src/main/java/granitefold/standin/ground/TestBed.java
@@ -91,13 +91,14 @@
         });
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
             String name = "n" + i;
-            fleet.add(new DispatcherUnderTest(name, i, DispatcherConfig.of(scenario, name, i, random.nextLong()), scenario.dispatchers(), folder, jar, history));
+            fleet.add(new DispatcherUnderTest(name, i, DispatcherConfig.of(scenario, name, i, random.nextLong()), scenario.dispatchers(), folder, jar,
+                    history));
         }
         for (int i = 0; i < scenario.workers().count(); i++) {
             addWorker(false);
         }
-        for (DispatcherUnderTest m : fleet) {
-            connectDispatcher(m);
+        for (DispatcherUnderTest dispatcher : fleet) {
+            connectDispatcher(dispatcher);
         }
         connectSiblings();
         loadBalancer = new LoadBalancer(fleet);
@@ -117,8 +118,8 @@
     }
 
     /** Returns the local address of a dispatcher's outgoing connections; workers identify the dispatcher by it. */
-    private static InetAddress sourceAddress(DispatcherUnderTest m) throws IOException {
-        return InetAddress.getByAddress(new byte[] {127, 10, 0, (byte) (m.index + 1)});
+    private static InetAddress sourceAddress(DispatcherUnderTest dispatcher) throws IOException {
+        return InetAddress.getByAddress(new byte[] {127, 10, 0, (byte) (dispatcher.index + 1)});
     }
 
     private static String dispatcherOf(InetSocketAddress from) {
@@ -131,19 +132,20 @@
     Worker addWorker(boolean cold) throws IOException {
         WorkerSpec s = scenario.workers().spec();
         double speed = s.speed() * (1 + scenario.workers().spread() * (2 * random.nextDouble() - 1));
-        Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queueLimit(), s.slowStartFrom(), s.slowStartUs(), s.overloadMultiple(),
+        Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queueLimit(), s.slowStartFrom(), s.slowStartUs(),
+                s.overloadMultiple(),
                 s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), cold, keyWindows, history, TestBed::dispatcherOf);
         workers.put(w.name, w);
-        for (DispatcherUnderTest m : fleet) {
-            connectWorker(m, w);
+        for (DispatcherUnderTest dispatcher : fleet) {
+            connectWorker(dispatcher, w);
         }
         registry.add(w);
         return w;
     }
 
-    private void connectWorker(DispatcherUnderTest m, Worker w) throws IOException {
-        Edge e = edge(Kind.PEER, m.name, w.name);
-        relayAddresses.put(e.toString(), relays.openTcp(e, w::socketAddress, sourceAddress(m)));
+    private void connectWorker(DispatcherUnderTest dispatcher, Worker w) throws IOException {
+        Edge e = edge(Kind.PEER, dispatcher.name, w.name);
+        relayAddresses.put(e.toString(), relays.openTcp(e, w::socketAddress, sourceAddress(dispatcher)));
     }
 
     Worker worker(String name) {
@@ -162,19 +164,21 @@
     }
 
     // ---------------------------------------------------------------- a dispatcher's edges
-    private void connectDispatcher(DispatcherUnderTest m) throws IOException {
-        Registry.Agent agent = registry.new Agent(m.name, w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)));
+    private void connectDispatcher(DispatcherUnderTest dispatcher) throws IOException {
+        Registry.Agent agent = registry.new Agent(dispatcher.name, w -> DispatcherUnderTest.format(relayAddresses.get(dispatcher.name + ">" + w)));
         agents.add(agent);
-        InetSocketAddress discovery = relays.openTcp(edge(Kind.DISCOVERY, m.name, DISCOVERY), agent::socketAddress, sourceAddress(m));
-        m.clientAddress = relays.openTcp(edge(Kind.CLIENT, CLIENTS, m.name), () -> m.listenAddress, InetAddress.getLoopbackAddress());
-        m.controlAddress = relays.openTcp(edge(Kind.CONTROL, CONTROLLER, m.name), () -> m.keeperAddress, InetAddress.getLoopbackAddress());
-        m.config().put("listen", DispatcherUnderTest.format(m.listenAddress)).put("discovery", DispatcherUnderTest.format(discovery));
-        refreshKnownWorkers(m);
+        InetSocketAddress discovery = relays.openTcp(edge(Kind.DISCOVERY, dispatcher.name, DISCOVERY), agent::socketAddress, sourceAddress(dispatcher));
+        dispatcher.clientAddress = relays.openTcp(edge(Kind.CLIENT, CLIENTS, dispatcher.name), () -> dispatcher.listenAddress,
+                InetAddress.getLoopbackAddress());
+        dispatcher.controlAddress = relays.openTcp(edge(Kind.CONTROL, CONTROLLER, dispatcher.name), () -> dispatcher.keeperAddress,
+                InetAddress.getLoopbackAddress());
+        dispatcher.config().put("listen", DispatcherUnderTest.format(dispatcher.listenAddress)).put("discovery", DispatcherUnderTest.format(discovery));
+        refreshKnownWorkers(dispatcher);
     }
 
     /** Writes the current worker list into a dispatcher's configuration, as its initial list. */
-    void refreshKnownWorkers(DispatcherUnderTest m) throws IOException {
-        m.config().set("known", DispatcherConfig.JSON.readTree(registry.listJson(w -> DispatcherUnderTest.format(relayAddresses.get(m.name + ">" + w)))));
+    void refreshKnownWorkers(DispatcherUnderTest dispatcher) throws IOException {
+        dispatcher.config().set("known", DispatcherConfig.JSON.readTree(registry.listJson(w -> DispatcherUnderTest.format(relayAddresses.get(dispatcher.name + ">" + w)))));
     }
 
     private void connectSiblings() {
@@ -186,7 +190,8 @@
                 // a sends to ends.get(0), and its datagrams reach b from ends.get(1); and the other way round
                 DispatcherUnderTest a = fleet.get(i);
                 DispatcherUnderTest b = fleet.get(j);
-                List<InetSocketAddress> ends = relays.openUdp(edge(Kind.SIBLING, a.name, b.name), a.siblingAddress, edge(Kind.SIBLING, b.name, a.name), b.siblingAddress);
+                List<InetSocketAddress> ends = relays.openUdp(edge(Kind.SIBLING, a.name, b.name), a.siblingAddress,
+                        edge(Kind.SIBLING, b.name, a.name), b.siblingAddress);
                 to[i][j] = ends.get(0);
                 to[j][i] = ends.get(1);
             }
@@ -198,7 +203,7 @@
     }
 
     DispatcherUnderTest dispatcher(String name) {
-        return fleet.stream().filter(m -> m.name.equals(name)).findFirst()
+        return fleet.stream().filter(dispatcher -> dispatcher.name.equals(name)).findFirst()
                 .orElseThrow(() -> new IllegalArgumentException("unknown dispatcher " + name));
     }
 
@@ -218,42 +223,42 @@
     /** Starts all dispatchers and waits until each is ready. */
     public void start() throws IOException, InterruptedException {
         granitefold.standin.LoopbackServer.startDaemon(this::monitorSchedulingDelay, "pulse");
-        for (DispatcherUnderTest m : fleet) {
-            m.start();
+        for (DispatcherUnderTest dispatcher : fleet) {
+            dispatcher.start();
         }
-        for (DispatcherUnderTest m : fleet) {
-            m.awaitReady();
-            loadBalancer.add(m);
+        for (DispatcherUnderTest dispatcher : fleet) {
+            dispatcher.awaitReady();
+            loadBalancer.add(dispatcher);
         }
     }
 
     /** Starts a new process of a dispatcher; the load balancer uses it once it is ready. */
-    void restart(DispatcherUnderTest m) throws IOException {
-        refreshKnownWorkers(m);
-        m.start();
-        addToBalancerWhenReady(m);
+    void restart(DispatcherUnderTest dispatcher) throws IOException {
+        refreshKnownWorkers(dispatcher);
+        dispatcher.start();
+        addToBalancerWhenReady(dispatcher);
     }
 
     /** Adds a dispatcher to the load balancer once the process that the test bed or its keeper starts is ready. */
-    void addToBalancerWhenReady(DispatcherUnderTest m) {
+    void addToBalancerWhenReady(DispatcherUnderTest dispatcher) {
         granitefold.standin.LoopbackServer.startDaemon(() -> {
             try {
-                m.awaitReady();
-                loadBalancer.add(m);
+                dispatcher.awaitReady();
+                loadBalancer.add(dispatcher);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IllegalStateException e) {
-                history.add(What.PROCESS, m.name, "not ready: " + e.getMessage().lines().findFirst().orElse(""));
+                history.add(What.PROCESS, dispatcher.name, "not ready: " + e.getMessage().lines().findFirst().orElse(""));
             }
-        }, "await " + m.name);
+        }, "await " + dispatcher.name);
     }
 
     /** Returns how often each kind of system call fault was injected. */
     Map<String, Long> injectedFaults() {
         Map<String, Long> counts = new java.util.TreeMap<>();
-        for (DispatcherUnderTest m : fleet) {
-            for (SystemCallFault fault : m.faults == null ? new SystemCallFault[0] : SystemCallFault.values()) {
-                counts.merge(fault.name(), m.faults.injected(fault), Long::sum);
+        for (DispatcherUnderTest dispatcher : fleet) {
+            for (SystemCallFault fault : dispatcher.faults == null ? new SystemCallFault[0] : SystemCallFault.values()) {
+                counts.merge(fault.name(), dispatcher.faults.injected(fault), Long::sum);
             }
         }
         return counts;
@@ -263,9 +268,9 @@
     void shutDown() throws InterruptedException {
         List<DispatcherUnderTest> alive = fleet.stream().filter(DispatcherUnderTest::alive).toList();
         alive.forEach(DispatcherUnderTest::shutDown);
-        for (DispatcherUnderTest m : alive) {
-            if (!m.awaitAllExited(DispatcherUnderTest.TIMEOUT_S)) {
-                history.add(What.PROCESS, m.name, "crashed: it did not end in " + DispatcherUnderTest.TIMEOUT_S + " s");
+        for (DispatcherUnderTest dispatcher : alive) {
+            if (!dispatcher.awaitAllExited(DispatcherUnderTest.TIMEOUT_S)) {
+                history.add(What.PROCESS, dispatcher.name, "crashed: it did not end in " + DispatcherUnderTest.TIMEOUT_S + " s");
             }
         }
     }
--- a/src/main/java/granitefold/standin/ground/TestReport.java
+++ b/src/main/java/granitefold/standin/ground/TestReport.java
@@ -29,28 +29,28 @@
     private TestReport() { }
 
     // ---------------------------------------------------------------- JSON
-    static ObjectNode json(TestRun p) {
+    static ObjectNode json(TestRun run) {
         ObjectNode o = DispatcherConfig.JSON.createObjectNode();
-        o.put("scenario", p.scenario().name()).put("about", p.scenario().about()).put("seed", p.seed());
-        o.put("well", p.passed()).put("cut", p.aborted());
-        if (p.scriptError() != null) {
-            o.put("script_failed", p.scriptError());
+        o.put("scenario", run.scenario().name()).put("about", run.scenario().about()).put("seed", run.seed());
+        o.put("well", run.passed()).put("cut", run.aborted());
+        if (run.scriptError() != null) {
+            o.put("script_failed", run.scriptError());
         }
-        row(o.putObject("all"), p.statistics().all());
-        rows(o.putObject("classes"), p.statistics().classes());
-        rows(o.putObject("tenants"), p.statistics().tenants());
-        rows(o.putObject("dispatchers"), p.statistics().dispatchers());
+        row(o.putObject("all"), run.statistics().all());
+        rows(o.putObject("classes"), run.statistics().classes());
+        rows(o.putObject("tenants"), run.statistics().tenants());
+        rows(o.putObject("dispatchers"), run.statistics().dispatchers());
         ArrayNode seconds = o.putArray("seconds");
-        p.statistics().seconds().forEach(r -> seconds.addObject().put("asked", r.requests).put("service", rounded(r.servedValueShare())));
+        run.statistics().seconds().forEach(r -> seconds.addObject().put("asked", r.requests).put("service", rounded(r.servedValueShare())));
         ArrayNode timeline = o.putArray("marks");
-        p.timeline().forEach(m -> timeline.addObject().put("at_ms", m.elapsedUs() / 1000).put("what", m.what()));
+        run.timeline().forEach(step -> timeline.addObject().put("at_ms", step.elapsedUs() / 1000).put("what", step.what()));
         ArrayNode broken = o.putArray("violations");
-        p.violations().stream().limit(MAX_VIOLATIONS).forEach(v -> {
+        run.violations().stream().limit(MAX_VIOLATIONS).forEach(v -> {
             ObjectNode b = broken.addObject().put("rule", v.rule().name()).put("at_ms", v.atUs() / 1000).put("what", v.what());
             ArrayNode trace = b.putArray("trace");
             v.trace().stream().limit(MAX_TRACE_ENTRIES).forEach(e -> trace.add(DispatcherConfig.JSON.valueToTree(e)));
         });
-        o.put("violations_in_all", p.violations().size());
+        o.put("violations_in_all", run.violations().size());
         return o;
     }
 
@@ -74,31 +74,33 @@
     }
 
     // ---------------------------------------------------------------- a page
-    static void html(TestRun p, Path file) throws IOException {
+    static void html(TestRun run, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
-        StringBuilder b = new StringBuilder("<!DOCTYPE html><html lang=\"en\"><meta charset=\"utf-8\"><title>").append(text(p.scenario().name()))
+        StringBuilder b = new StringBuilder("<!DOCTYPE html><html lang=\"en\"><meta charset=\"utf-8\"><title>").append(text(run.scenario().name()))
                 .append("</title><style>body{font:15px sans-serif;max-width:940px;margin:2em auto}td,th{padding:2px 10px;text-align:right}"
                         + "td:first-child,th:first-child{text-align:left}.bad{color:#b00}pre{background:#f4f4f4;padding:8px;overflow:auto}</style><h1>")
-                .append(text(p.scenario().name())).append(", seed ").append(p.seed()).append("</h1><p>").append(text(p.scenario().about())).append("</p>");
-        if (p.aborted()) {
+                .append(text(run.scenario().name())).append(", seed ").append(run.seed()).append("</h1><p>").append(text(run.scenario().about()))
+                .append("</p>");
+        if (run.aborted()) {
             b.append("<p class=bad>Interrupted: the results cover the time until the interruption.</p>");
         }
-        if (p.scriptError() != null) {
-            b.append("<p class=bad>The script failed: ").append(text(p.scriptError())).append("</p>");
+        if (run.scriptError() != null) {
+            b.append("<p class=bad>The script failed: ").append(text(run.scriptError())).append("</p>");
         }
-        b.append(p.violations().isEmpty() ? "<p>No rule violated.</p>" : "<p class=bad>" + p.violations().size() + " rule violations.</p>");
-        table(b, "", Map.of("all", p.statistics().all()));
-        b.append("<h2>Service by second</h2>").append(image(service(p)));
+        b.append(run.violations().isEmpty() ? "<p>No rule violated.</p>" : "<p class=bad>" + run.violations().size() + " rule violations.</p>");
+        table(b, "", Map.of("all", run.statistics().all()));
+        b.append("<h2>Service by second</h2>").append(image(service(run)));
         b.append("<table><tr><th>second<th>step</tr>");
-        p.timeline().forEach(m -> b.append(String.format(Locale.ROOT, "<tr><td>%.2f<td style=\"text-align:left\">%s</tr>", m.elapsedUs() / 1e6, text(m.what()))));
+        run.timeline().forEach(step -> b.append(String.format(Locale.ROOT, "<tr><td>%.2f<td style=\"text-align:left\">%s</tr>",
+                step.elapsedUs() / 1e6, text(step.what()))));
         b.append("</table>");
-        table(b, "By class", p.statistics().classes());
-        table(b, "By tenant", p.statistics().tenants());
-        table(b, "By dispatcher", p.statistics().dispatchers());
-        b.append(image(outcomes(p)));
-        if (!p.violations().isEmpty()) {
+        table(b, "By class", run.statistics().classes());
+        table(b, "By tenant", run.statistics().tenants());
+        table(b, "By dispatcher", run.statistics().dispatchers());
+        b.append(image(outcomes(run)));
+        if (!run.violations().isEmpty()) {
             b.append("<h2>Rule violations</h2>");
-            p.violations().stream().limit(MAX_VIOLATIONS).forEach(v -> b.append("<h3>").append(text(v.toString())).append("</h3>").append(trace(v)));
+            run.violations().stream().limit(MAX_VIOLATIONS).forEach(v -> b.append("<h3>").append(text(v.toString())).append("</h3>").append(trace(v)));
         }
         Files.writeString(file, b.append("</html>"));
     }
@@ -127,7 +129,8 @@
         }
         b.append("<th>p50 ms<th>p99 ms</tr>");
         rows.forEach((name, r) -> {
-            b.append("<tr><td>").append(text(name)).append("<td>").append(r.requests).append(String.format(Locale.ROOT, "<td>%.3f", r.servedValueShare()));
+            b.append("<tr><td>").append(text(name)).append("<td>").append(r.requests).append(String.format(Locale.ROOT, "<td>%.3f",
+                    r.servedValueShare()));
             for (RequestStatistics.Outcome e : RequestStatistics.Outcome.values()) {
                 b.append("<td>").append(r.count(e));
             }
@@ -136,12 +139,13 @@
         b.append("</table>");
     }
 
-    private static XYChart service(TestRun p) {
-        XYChart c = new XYChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle("seconds since the start of the load").yAxisTitle("share of value served in time").build();
+    private static XYChart service(TestRun run) {
+        XYChart c = new XYChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle("seconds since the start of the load")
+                .yAxisTitle("share of value served in time").build();
         c.getStyler().setYAxisMin(0.0).setYAxisMax(1.0).setLegendVisible(false).setAnnotationLineColor(new Color(176, 0, 0, 120));
         List<Double> at = new ArrayList<>();
         List<Double> service = new ArrayList<>();
-        List<RequestStatistics.Summary> seconds = p.statistics().seconds();
+        List<RequestStatistics.Summary> seconds = run.statistics().seconds();
         for (int i = 0; i < seconds.size(); i++) {
             at.add(i + 0.5);
             service.add(seconds.get(i).servedValueShare());
@@ -151,20 +155,20 @@
             service.add(0.0);
         }
         c.addSeries("service", at, service).setMarker(SeriesMarkers.CIRCLE);
-        for (FaultScript.PerformedStep m : p.timeline()) {
-            AnnotationLine line = new AnnotationLine(m.elapsedUs() / 1e6, true, false);
+        for (FaultScript.PerformedStep step : run.timeline()) {
+            AnnotationLine line = new AnnotationLine(step.elapsedUs() / 1e6, true, false);
             c.addAnnotation(line);
         }
         return c;
     }
 
-    private static CategoryChart outcomes(TestRun p) {
+    private static CategoryChart outcomes(TestRun run) {
         CategoryChart c = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).yAxisTitle("requests").build();
         c.getStyler().setStacked(true);
-        List<String> names = p.statistics().dispatchers().isEmpty() ? List.of("none") : List.copyOf(p.statistics().dispatchers().keySet());
+        List<String> names = run.statistics().dispatchers().isEmpty() ? List.of("none") : List.copyOf(run.statistics().dispatchers().keySet());
         for (RequestStatistics.Outcome e : RequestStatistics.Outcome.values()) {
             c.addSeries(e.name().toLowerCase(Locale.ROOT).replace('_', ' '), names, names.stream().map(n ->
-                    p.statistics().dispatchers().containsKey(n) ? (Number) p.statistics().dispatchers().get(n).count(e) : 0L).toList());
+                    run.statistics().dispatchers().containsKey(n) ? (Number) run.statistics().dispatchers().get(n).count(e) : 0L).toList());
         }
         return c;
     }
--- a/src/main/java/granitefold/standin/ground/TestRun.java
+++ b/src/main/java/granitefold/standin/ground/TestRun.java
@@ -62,8 +62,8 @@
             Polling.until("the last client's answer", seconds, testBed.loadGenerator::finished, () -> "");
             running.script.join();
             testBed.shutDown();
-            for (DispatcherUnderTest m : testBed.fleet) {
-                m.recordReportedErrors();
+            for (DispatcherUnderTest dispatcher : testBed.fleet) {
+                dispatcher.recordReportedErrors();
             }
             return running.snapshot(false);
         }
--- a/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
+++ b/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
@@ -14,7 +14,8 @@
 class HistoryCheckerTest {
     private static final long MS = 1_000, DEADLINE_MS = 1_500;
     private static final String CLIENT = "127.0.0.1:1", PEER = "127.0.0.1:2";
-    private static final RuleTerms TERMS = new RuleTerms(Map.of("job", new RuleTerms.JobClass(RuleTerms.Effect.SAFE, 0, DEADLINE_MS)), Map.of(), 2_000, 100,
+    private static final RuleTerms TERMS = new RuleTerms(Map.of("job", new RuleTerms.JobClass(RuleTerms.Effect.SAFE, 0, DEADLINE_MS)), Map.of(),
+            2_000, 100,
             true, true, true);
 
     private final List<Entry> entries = new ArrayList<>();
