--- a/src/main/java/granitefold/standin/ground/DispatcherUnderTest.java
+++ b/src/main/java/granitefold/standin/ground/DispatcherUnderTest.java
@@ -62,7 +62,7 @@
             this.jar = jar;
         }
 
-        boolean says(String part) throws IOException {
+        boolean logContains(String part) throws IOException {
             return Files.readString(log).contains(part);
         }
 
--- a/src/main/java/granitefold/standin/ground/GroundCommand.java
+++ b/src/main/java/granitefold/standin/ground/GroundCommand.java
@@ -199,8 +199,8 @@
         public Integer call() throws Exception {
             for (String name : scenarios) {
                 Scenario s = Scenario.read(Run.find(name));
-                spec.commandLine().getOut().printf("%s: %s (%d dispatchers, %d workers, %d s, %d steps)%n", s.name(), s.about(), s.dispatchers()
-                        .count(),
+                spec.commandLine().getOut().printf("%s: %s (%d dispatchers, %d workers, %d s, %d steps)%n", s.name(), s.about(),
+                        s.dispatchers().count(),
                         s.workers().count(), s.lengthUs() / 1_000_000, s.steps().size() + s.randomSteps().count());
             }
             return 0;
--- a/src/main/java/granitefold/standin/ground/LoadGenerator.java
+++ b/src/main/java/granitefold/standin/ground/LoadGenerator.java
@@ -294,8 +294,8 @@
             what = http.messageStarted ? What.CUT : What.UNHEARD;
         }
         text = what == What.UNHEARD && fresh ? "new" : text;
-        history.add(new Entry(history.now(), what, "client", connection.dispatcher.name, txn, key, request.jobClass, request.tenant, null, status,
-                text));
+        history.add(new Entry(history.now(), what, "client", connection.dispatcher.name, txn, key, request.jobClass, request.tenant, null,
+                status, text));
         // a share of the connections is closed, so that the load balancer can redistribute them
         boolean keep = what == What.ANSWERED && !"close".equals(http.headers.get("connection"))
                 && ThreadLocalRandom.current().nextDouble() >= scenario.load().churnShare();
--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -53,7 +53,7 @@
     private CommandSpec spec;
 
     /** One run. {@code lost}: the share of the requested value in the window that the served share before the rollout would have served in addition. */
-    private record Outcome(long seed, Result result, double lost, int broken) { }
+    private record Outcome(long seed, Result result, double lost, int violations) { }
 
     @Override
     public Integer call() throws Exception {
@@ -61,15 +61,15 @@
         ExecutorService threads = Executors.newFixedThreadPool(parallel);
         PrintWriter out = spec.commandLine().getOut();
         try {
-            Path fresh = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss)
+            Path newJar = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss)
                     : new Patch("core/Phase.java", "/** The program's", "/** Our"));
             List<Future<Outcome>> staged = new ArrayList<>();
             List<Future<Outcome>> atOnce = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
                 long seed = first + i;
-                staged.add(threads.submit(() -> play(seed, fresh, PlanParameters.QUICK)));
+                staged.add(threads.submit(() -> runRollout(seed, newJar, PlanParameters.QUICK)));
                 if (!stagedOnly) {
-                    atOnce.add(threads.submit(() -> play(seed, fresh, new PlanParameters("all", 2, 6, 40, 20, false, false, ""))));
+                    atOnce.add(threads.submit(() -> runRollout(seed, newJar, new PlanParameters("all", 2, 6, 40, 20, false, false, ""))));
                 }
             }
             report(out, staged, atOnce);
@@ -82,32 +82,32 @@
         return 0;
     }
 
-    private Outcome play(long seed, Path fresh, PlanParameters parameters) throws IOException, InterruptedException,
+    private Outcome runRollout(long seed, Path newJar, PlanParameters parameters) throws IOException, InterruptedException,
             granitefold.operator.InvalidFileException {
         Scenario s = Scenario.read("rollouts", "for = 600s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = 200\n");
         try (RolloutTestBed r = new RolloutTestBed(s, seed, jar)) {
             r.awaitServed(BASELINE_REQUESTS);
-            int began = (int) (r.elapsedUs() / 1_000_000);
-            r.writePlan("rollout", fresh, parameters);
+            int startS = (int) (r.elapsedUs() / 1_000_000);
+            r.writePlan("rollout", newJar, parameters);
             r.start();
             Result result = r.awaitResult(TIMEOUT_S);
-            r.awaitSecond(began + windowS);
-            int broken = r.finish().size();
-            return new Outcome(seed, result, lost(r.statistics().seconds(), began, windowS), broken);
+            r.awaitSecond(startS + windowS);
+            int violations = r.finish().size();
+            return new Outcome(seed, result, lost(r.statistics().seconds(), startS, windowS), violations);
         }
     }
 
-    private static double lost(List<RequestStatistics.Summary> seconds, int began, int windowS) {
+    private static double lost(List<RequestStatistics.Summary> seconds, int startS, int windowS) {
         double before = 0;
         double asked = 0;
-        for (int i = WARMUP_S; i < began; i++) {
+        for (int i = WARMUP_S; i < startS; i++) {
             before += seconds.get(i).servedValue;
             asked += seconds.get(i).requestedValue;
         }
         double level = before / asked;
         double lost = 0;
         double all = 0;
-        for (int i = began; i < Math.min(seconds.size(), began + windowS); i++) {
+        for (int i = startS; i < Math.min(seconds.size(), startS + windowS); i++) {
             lost += level * seconds.get(i).requestedValue - seconds.get(i).servedValue;
             all += seconds.get(i).requestedValue;
         }
@@ -121,13 +121,13 @@
         SummaryStatistics saved = new SummaryStatistics();
         SummaryStatistics seconds = new SummaryStatistics();
         int stopped = 0;
-        int broken = 0;
+        int violations = 0;
         for (int i = 0; i < staged.size(); i++) {
             Outcome a = staged.get(i).get();
             Outcome b = stagedOnly ? null : atOnce.get(i).get();
             boolean back = a.result.state().equals("RETURNED");
             stopped += back ? 1 : 0;
-            broken += a.broken + (b == null ? 0 : b.broken);
+            violations += a.violations + (b == null ? 0 : b.violations);
             inStages.addValue(a.lost);
             seconds.addValue(a.result.seconds());
             if (b != null) {
@@ -135,13 +135,13 @@
                 saved.addValue(b.lost - a.lost);
             }
             out.printf(Locale.ROOT, "%5d %-10s %5d %8.1f %10.4f %10s %7d  %s%n", a.seed, a.result.state(), a.result.stage(), a.result.seconds(), a.lost,
-                    b == null ? "" : String.format(Locale.ROOT, "%.4f", b.lost), a.broken + (b == null ? 0 : b.broken), a.result.verdict());
+                    b == null ? "" : String.format(Locale.ROOT, "%.4f", b.lost), a.violations + (b == null ? 0 : b.violations), a.result.verdict());
             out.flush();
         }
         var share = new WilsonScoreInterval().createInterval(staged.size(), stopped, CONFIDENCE);
         out.printf(Locale.ROOT, "rolled back in %d of %d (95%% interval %.3f to %.3f), after %.1f s on average; %d rule violations%n", stopped,
                 staged.size(),
-                share.getLowerBound(), share.getUpperBound(), seconds.getMean(), broken);
+                share.getLowerBound(), share.getUpperBound(), seconds.getMean(), violations);
         out.println("value lost in stages: " + interval(inStages) + (stagedOnly ? "" : "; all at once: " + interval(allAtOnce) + "; saved, paired: "
                 + interval(saved)));
     }
--- a/src/main/java/granitefold/standin/ground/RolloutTestBed.java
+++ b/src/main/java/granitefold/standin/ground/RolloutTestBed.java
@@ -71,14 +71,14 @@
         Polling.until("second " + second, second + DispatcherUnderTest.TIMEOUT_S, () -> elapsedUs() >= second * 1_000_000L, this::lastLines);
     }
 
-    /** Writes the plan of a rollout to the jar {@code fresh}; {@code name} also names the plan's folder. */
-    public void writePlan(String name, Path fresh, PlanParameters parameters) throws IOException {
+    /** Writes the plan of a rollout to {@code newJar}; {@code name} also names the plan's folder. */
+    public void writePlan(String name, Path newJar, PlanParameters parameters) throws IOException {
         StringBuilder b = new StringBuilder("name = " + name + "\nfolder = \"" + folder.resolve(name) + "\"\ndispatchers = [\n");
         for (DispatcherUnderTest dispatcher : testBed.fleet) {
             b.append("  { name = ").append(dispatcher.name).append(", keeper = \"").append(DispatcherUnderTest.format(dispatcher.controlAddress))
                     .append("\" }\n");
         }
-        b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"").append(fresh.toAbsolutePath())
+        b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"").append(newJar.toAbsolutePath())
                 .append("\" }\nstages = [").append(parameters.stages).append("]\nlook { warm = ").append(ms(parameters.warmupS))
                 .append(", least = ").append(ms(parameters.minLookS))
                 .append(", most = ").append(ms(parameters.maxLookS)).append(" }\nstep = ").append(ms(parameters.stepS))
--- a/src/main/java/granitefold/standin/ground/TestBed.java
+++ b/src/main/java/granitefold/standin/ground/TestBed.java
@@ -91,8 +91,8 @@
         });
         for (int i = 0; i < scenario.dispatchers().count(); i++) {
             String name = "n" + i;
-            fleet.add(new DispatcherUnderTest(name, i, DispatcherConfig.of(scenario, name, i, random.nextLong()), scenario.dispatchers(), folder, jar,
-                    history));
+            fleet.add(new DispatcherUnderTest(name, i, DispatcherConfig.of(scenario, name, i, random.nextLong()), scenario.dispatchers(),
+                    folder, jar, history));
         }
         for (int i = 0; i < scenario.workers().count(); i++) {
             addWorker(false);
@@ -128,13 +128,12 @@
     }
 
     // ---------------------------------------------------------------- workers and edges
-    /** Adds a worker; {@code cold}: it starts now and is in slow start. */
-    Worker addWorker(boolean cold) throws IOException {
+    /** Adds a worker; {@code slowStart}: it starts now, at reduced speed. */
+    Worker addWorker(boolean slowStart) throws IOException {
         WorkerSpec s = scenario.workers().spec();
         double speed = s.speed() * (1 + scenario.workers().spread() * (2 * random.nextDouble() - 1));
         Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queueLimit(), s.slowStartFrom(), s.slowStartUs(),
-                s.overloadMultiple(),
-                s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), cold, keyWindows, history, TestBed::dispatcherOf);
+                s.overloadMultiple(), s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), slowStart, keyWindows, history, TestBed::dispatcherOf);
         workers.put(w.name, w);
         for (DispatcherUnderTest dispatcher : fleet) {
             connectWorker(dispatcher, w);
@@ -178,7 +177,8 @@
 
     /** Writes the current worker list into a dispatcher's configuration, as its initial list. */
     void refreshKnownWorkers(DispatcherUnderTest dispatcher) throws IOException {
-        dispatcher.config().set("known", DispatcherConfig.JSON.readTree(registry.listJson(w -> DispatcherUnderTest.format(relayAddresses.get(dispatcher.name + ">" + w)))));
+        dispatcher.config().set("known", DispatcherConfig.JSON.readTree(
+                registry.listJson(w -> DispatcherUnderTest.format(relayAddresses.get(dispatcher.name + ">" + w)))));
     }
 
     private void connectSiblings() {
--- a/src/main/java/granitefold/standin/history/HistoryChecker.java
+++ b/src/main/java/granitefold/standin/history/HistoryChecker.java
@@ -120,7 +120,8 @@
             long leftMs = asked.number() - (sentAtTheEarliest(b) - forwardedAt(asked)) / 1000;
             long slackMs = STATED_TIME_SLACK_MS + TimeSlack.OBSERVATION_US / 1000;
             if (b.number() > leftMs + slackMs && !permitted.coversRequest(asked, b.atUs())) {
-                broken(Rule.OVERSTATED, b, asked.txn() + ": told " + b.who() + " " + b.number() + " ms, its client had " + leftMs + " ms left", trace);
+                broken(Rule.OVERSTATED, b, asked.txn() + ": told " + b.who() + " " + b.number() + " ms, its client had " + leftMs + " ms left",
+                        trace);
             }
         }
         RuleTerms.JobClass c = terms.classes().get(asked.jobClass());
@@ -164,10 +165,10 @@
                 }
                 long last = trace.stream().filter(e -> e.what() == What.BEGUN).mapToLong(b -> overAtForDispatcher(b, a, trace)).max()
                         .orElse(asked.atUs());
-                long kept = a.atUs() - Math.max(asked.atUs(), last);
-                if (a.atUs() - asked.atUs() > asked.number() * 1000 * (1 - LATE_SHARE) && kept > IDLE_BEFORE_REJECT_US
+                long heldUs = a.atUs() - Math.max(asked.atUs(), last);
+                if (a.atUs() - asked.atUs() > asked.number() * 1000 * (1 - LATE_SHARE) && heldUs > IDLE_BEFORE_REJECT_US
                         && !permitted.coversRequest(asked, a.atUs())) {
-                    broken(Rule.DELAYED, a, asked.txn() + ": rejected " + kept / 1000 + " ms after its last event", trace);
+                    broken(Rule.DELAYED, a, asked.txn() + ": rejected " + heldUs / 1000 + " ms after its last event", trace);
                 }
             }
         }
--- a/src/main/java/granitefold/standin/history/package-info.java
+++ b/src/main/java/granitefold/standin/history/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What those outside the dispatchers saw (clients, cocineros, relays, whoever sends signals), and a checker of the rules
- * over it. No word of a dispatcher's own is in it.
+ * The history of a test run, recorded outside the dispatchers by clients, workers, relays and the test bed, and a checker of
+ * rules over it. It does not rely on data from the dispatchers, except for errors that their logs report.
  */
 package granitefold.standin.history;
--- a/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
+++ b/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What of a history is a dispatcher's doing, and what is the relays' that its connections pass through. */
+/** Tests that the checker attributes an event to the dispatcher or to the relays between it and its clients and workers. */
 class HistoryCheckerTest {
     private static final long MS = 1_000, DEADLINE_MS = 1_500;
     private static final String CLIENT = "127.0.0.1:1", PEER = "127.0.0.1:2";
@@ -21,7 +21,7 @@
     private final List<Entry> entries = new ArrayList<>();
 
     @Test
-    void anAttemptThatTellsMoreThanIsLeftBreaksTheRule() {
+    void reportsAnAttemptThatStatesMoreTimeThanIsLeft() {
         asked(0);
         forwarded(10);
         attempt(400, 0, DEADLINE_MS - 10);
@@ -29,9 +29,9 @@
         assertEquals(List.of(Rule.OVERSTATED), rules());
     }
 
-    /** The relays, busy with others, read it late; the dispatcher may have sent it long before. */
+    /** A busy relay reads an attempt late; the dispatcher may have sent it long before. */
     @Test
-    void whatTheRelaysReadLateMayHaveBeenSentBefore() {
+    void allowsForAnAttemptThatTheRelayReadLate() {
         asked(0);
         forwarded(10);
         attempt(400, 380, DEADLINE_MS - 10);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anAttemptForAClientThatHasLongGoneBreaksTheRule() {
+    void reportsAnAttemptForADisconnectedClient() {
         asked(0);
         forwarded(10);
         left(100);
@@ -49,9 +49,9 @@
         assertEquals(List.of(Rule.GONE), rules());
     }
 
-    /** The relays, busy with others, had not passed the client's close on. */
+    /** A busy relay forwards the client's close after the attempt was sent. */
     @Test
-    void aCloseThatTheRelaysPassOnLateIsNotKnownBefore() {
+    void allowsForACloseThatTheRelayForwardedLate() {
         asked(0);
         forwarded(10);
         left(100);
@@ -60,9 +60,9 @@
         assertEquals(List.of(), rules());
     }
 
-    /** A later client with the same port closes much later: its close is not the one that counts. */
+    /** The first close after the disconnect counts, not that of a later client with the same port. */
     @Test
-    void anotherClientsCloseFromTheSamePortExcusesNothing() {
+    void ignoresTheCloseOfALaterClientWithTheSamePort() {
         asked(0);
         forwarded(10);
         left(100);
@@ -72,9 +72,9 @@
         assertEquals(List.of(Rule.GONE), rules());
     }
 
-    /** The port of an attempt's connection was in use towards another worker, and that connection closed before. */
+    /** The local port of an attempt's connection was also used for a connection to another worker, which was closed earlier. */
     @Test
-    void theCloseOfAConnectionToAnotherWorkerEndsNoAttempt() {
+    void ignoresTheCloseOfAConnectionToAnotherWorker() {
         closedTo("s1", 20);
         asked(100);
         forwarded(110);
@@ -84,9 +84,9 @@
         assertEquals(List.of(), rules());
     }
 
-    /** The port of an attempt's connection was used before towards the same worker. */
+    /** The local port of an attempt's connection was used before for a connection to the same worker. */
     @Test
-    void theCloseOfAFormerConnectionEndsNoAttempt() {
+    void ignoresTheCloseOfAPreviousConnection() {
         closedTo("s0", 20);
         asked(100);
         forwarded(110);
@@ -96,9 +96,9 @@
         assertEquals(List.of(), rules());
     }
 
-    /** The same fault of the checker hid that the first attempt was still out. */
+    /** Taking the close of a previous connection for the end of an attempt hid that the attempt was still in flight. */
     @Test
-    void aFormerConnectionsCloseDoesNotAllowASecondAttempt() {
+    void reportsASecondAttemptDespiteTheCloseOfAPreviousConnection() {
         closedTo("s0", 20);
         asked(100);
         forwarded(110);
@@ -110,9 +110,9 @@
         assertEquals(List.of(Rule.TWO_OUT), rules());
     }
 
-    /** What goes out on another connection from the same port says nothing of when an attempt was sent. */
+    /** Bytes on another connection from the same port do not change the time at which an attempt was sent. */
     @Test
-    void whatIsSentToAnotherWorkerFromTheSamePortMakesNoAttemptLate() {
+    void ignoresBytesSentToAnotherWorkerFromTheSamePort() {
         asked(0);
         forwarded(10);
         left(100);
@@ -124,16 +124,16 @@
     }
 
     @Test
-    void aRejectThatIsKeptBackBreaksTheRule() {
+    void reportsADelayedReject() {
         asked(100);
         forwarded(110);
         rejected(1_590);
         assertEquals(List.of(Rule.DELAYED), rules());
     }
 
-    /** Under load a process lived on for a while after its kill was asked for. */
+    /** On a busy machine a process runs on for a while after its kill was requested. */
     @Test
-    void aKillExcusesWhatIsOwedUntilTheProcessIsGone() {
+    void permitsLostRequestsFromAKillUntilTheProcessIsGone() {
         process(0, "killed");
         asked(100);
         forwarded(110);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void whatIsOwedAfterAKilledProcessHasGoneIsLost() {
+    void reportsRequestsLostAfterAKilledProcessIsGone() {
         process(0, "killed");
         process(10, "gone");
         asked(100);
@@ -187,7 +187,7 @@
         entries.add(new Entry(ms * MS, What.CLOSED, "n0", worker, null, null, null, null, PEER, 0, null));
     }
 
-    /** An attempt that its worker never answers, sent from the port of all attempts. */
+    /** An attempt that its worker never answers; all attempts are sent from the same port. */
     private void hungAttempt(String worker, long ms) {
         sentTo(worker, ms);
         add(ms, What.BEGUN, worker, "n0", PEER, 0, null);
@@ -205,10 +205,10 @@
         entries.add(new Entry(ms * MS, What.CLOSE_FORWARDED, "clients", "n0", null, null, null, null, CLIENT, 0, null));
     }
 
-    /** Seen at a time, and sent up to so much earlier. */
-    private void attempt(long ms, long earlierMs, long toldMs) {
+    /** An attempt that the relay reads at {@code ms} and the dispatcher sent up to {@code earlierMs} before. */
+    private void attempt(long ms, long earlierMs, long statedMs) {
         entries.add(new Entry(ms * MS, What.SENT, "n0", "s0", null, null, null, null, PEER, earlierMs * MS, null));
-        add(ms, What.BEGUN, "s0", "n0", PEER, toldMs, null);
+        add(ms, What.BEGUN, "s0", "n0", PEER, statedMs, null);
         add(ms + 10, What.ENDED, "s0", "n0", PEER, 0, "done");
     }
 
--- a/src/test/java/granitefold/standin/history/QuotaRuleTest.java
+++ b/src/test/java/granitefold/standin/history/QuotaRuleTest.java
@@ -8,31 +8,31 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What of a quota may be begun in windows of strain one after the other: its bucket is spent once. */
+/** Tests how many jobs a tenant may start in consecutive windows of overload: its token bucket can be spent only once. */
 class QuotaRuleTest {
     private static final long WINDOW_US = 5_000_000;
-    /** 500 a window each; a bucket holds 300, and counts may trail to 675. */
+    /** The quotas are 500 jobs per window; a bucket holds 300, and lagging counts are tolerated up to 675. */
     private static final RuleTerms TERMS = new RuleTerms(Map.of(), Map.of("in", 100.0, "over", 100.0), 2_000, 100, true, true, true);
 
     @Test
-    void whatTheBucketsHoldMayBeSpentOnce() {
+    void bucketCanBeSpentOnce() {
         assertEquals(List.of(1L), broken(true, 900, 800, 600));
     }
 
-    /** The first window refuses nearly all, as processes that just started may: their buckets are full in the second. */
+    /** Nearly all requests of the first window are rejected, as by processes that just started; the bucket is full in the second. */
     @Test
-    void whatWasNotSpentIsStillThere() {
+    void unspentQuotaStaysInTheBucket() {
         assertEquals(List.of(2L), broken(true, 100, 970, 690));
     }
 
     @Test
-    void noQuotaBindsWhileNobodyIsRefused() {
+    void quotaDoesNotApplyWhileNoRequestIsRejected() {
         assertEquals(List.of(), broken(false, 2_000, 2_000, 2_000));
     }
 
-    /** A window without strain fills the bucket. */
+    /** A window without overload refills the bucket. */
     @Test
-    void afterAWindowWithoutStrainTheBucketIsFull() {
+    void bucketIsFullAfterAWindowWithoutOverload() {
         List<Entry> entries = new ArrayList<>();
         window(entries, 0, true, 975);
         window(entries, 1, false, 975);
@@ -41,7 +41,7 @@
         assertEquals(List.of(3L), windows(entries));
     }
 
-    /** The windows that break the rule, of some in which so many of {@code over}'s jobs begin. */
+    /** Returns the windows that violate the rule, given how many jobs of tenant {@code over} start in each. */
     private static List<Long> broken(boolean refused, int... begun) {
         List<Entry> entries = new ArrayList<>();
         for (int w = 0; w < begun.length; w++) {
@@ -54,7 +54,7 @@
         return new QuotaRule(TERMS).check(entries).stream().map(v -> v.atUs() / WINDOW_US).toList();
     }
 
-    /** A tenant that asks for less than its quota, refused or served, and another that asks for more. */
+    /** Adds a window in which one tenant stays below its quota, rejected or served, and another one exceeds it. */
     private static void window(List<Entry> entries, int window, boolean refused, int begun) {
         long at = window * WINDOW_US;
         for (int i = 0; i < 400; i++) {
