--- a/src/main/java/granitefold/standin/ground/DispatcherConfig.java
+++ b/src/main/java/granitefold/standin/ground/DispatcherConfig.java
@@ -15,35 +15,36 @@
     private DispatcherConfig() { }
 
     /** Returns the configuration without addresses; those are set by {@link TestBed} and {@link DispatcherUnderTest}. */
-    static ObjectNode of(Scenario s, String name, int number, long seed) {
-        ObjectNode c = JSON.createObjectNode();
-        c.put("name", name).put("seed", String.format("%016x", seed));
-        c.putObject("limits").put("cores", 1.0).put("memory_mb", s.dispatchers().memoryMb()).put("sockets", s.dispatchers().sockets());
-        ObjectNode set = c.putObject("settings");
-        ArrayNode classes = set.putArray("classes");
-        ObjectNode family = set.putObject("familyInfo").put("tellsStart", true);
+    static ObjectNode of(Scenario scenario, String name, int number, long seed) {
+        ObjectNode config = JSON.createObjectNode();
+        config.put("name", name).put("seed", String.format("%016x", seed));
+        config.putObject("limits").put("cores", 1.0).put("memory_mb", scenario.dispatchers().memoryMb())
+                .put("sockets", scenario.dispatchers().sockets());
+        ObjectNode settings = config.putObject("settings");
+        ArrayNode classes = settings.putArray("classes");
+        ObjectNode family = settings.putObject("familyInfo").put("tellsStart", true);
         ArrayNode stretches = family.putArray("classStretch");
-        s.classes().forEach((key, j) -> {
-            classes.addObject().put("name", key).put("effect", switch (j.effect()) {
+        scenario.classes().forEach((key, jobClass) -> {
+            classes.addObject().put("name", key).put("effect", switch (jobClass.effect()) {
                 case SAFE -> "retryable";
                 case KEYED -> "dedup";
                 case UNSAFE -> "fragile";
-            }).put("group", "all").put("dedupWindowMs", j.effect() == RuleTerms.Effect.KEYED ? j.keyWindowUs() / 1000 : 0)
-                    .put("onTimeMs", j.onTimeUs() / 1000).put("deadlineMs", j.deadlineUs() / 1000).put("points", j.value());
-            stretches.add(j.stretch());
+            }).put("group", "all").put("dedupWindowMs", jobClass.effect() == RuleTerms.Effect.KEYED ? jobClass.keyWindowUs() / 1000 : 0)
+                    .put("onTimeMs", jobClass.onTimeUs() / 1000).put("deadlineMs", jobClass.deadlineUs() / 1000).put("points", jobClass.value());
+            stretches.add(jobClass.stretch());
         });
-        ArrayNode tenants = set.putArray("tenants");
-        s.tenants().forEach((key, t) -> tenants.addObject().put("name", key).put("fraction", t.share())
-                .put("quotaPerS", t.share() * s.capacityPerS()));
-        set.putArray("failureDomains").add("sala");
-        set.putArray("hostTypes").add("m");
-        set.put("me", number).put("siblings", s.dispatchers().count()).put("tickMs", TICK_MS);
-        set.putObject("rules").put("drainGraceMs", Scenario.DRAIN_GRACE_MS).put("graceToAnswerMs", ANSWER_GRACE_MS)
-                .put("coldFrom", s.workers().spec().slowStartFrom()).put("coldMs", s.workers().spec().slowStartUs() / 1000)
-                .put("tipMultiple", s.workers().spec().overloadMultiple()).put("fallMs", s.workers().spec().overloadWindowUs() / 1000);
-        set.putObject("limits").put("attemptsCap", MAX_ATTEMPTS).put("connectTimeoutMs", CONNECT_TIMEOUT_MS).put("idleCloseMs", IDLE_TIMEOUT_MS)
-                .put("cancelling", true).put("peers", s.dispatchers().gossip()).put("maxRetryAfterMs", RETRY_AFTER_MS);
-        return c;
+        ArrayNode tenants = settings.putArray("tenants");
+        scenario.tenants().forEach((key, tenant) -> tenants.addObject().put("name", key).put("fraction", tenant.share())
+                .put("quotaPerS", tenant.share() * scenario.capacityPerS()));
+        settings.putArray("failureDomains").add("sala");
+        settings.putArray("hostTypes").add("m");
+        settings.put("me", number).put("siblings", scenario.dispatchers().count()).put("tickMs", TICK_MS);
+        settings.putObject("rules").put("drainGraceMs", Scenario.DRAIN_GRACE_MS).put("graceToAnswerMs", ANSWER_GRACE_MS)
+                .put("coldFrom", scenario.workers().spec().slowStartFrom()).put("coldMs", scenario.workers().spec().slowStartUs() / 1000)
+                .put("tipMultiple", scenario.workers().spec().overloadMultiple()).put("fallMs", scenario.workers().spec().overloadWindowUs() / 1000);
+        settings.putObject("limits").put("attemptsCap", MAX_ATTEMPTS).put("connectTimeoutMs", CONNECT_TIMEOUT_MS).put("idleCloseMs", IDLE_TIMEOUT_MS)
+                .put("cancelling", true).put("peers", scenario.dispatchers().gossip()).put("maxRetryAfterMs", RETRY_AFTER_MS);
+        return config;
     }
 
     static ArrayNode addresses(List<String> all) {
--- a/src/main/java/granitefold/standin/ground/FaultScript.java
+++ b/src/main/java/granitefold/standin/ground/FaultScript.java
@@ -49,8 +49,8 @@
     void start() {
         List<Scenario.Step> all = new ArrayList<>(testBed.scenario.steps());
         all.addAll(randomSteps());
-        for (Scenario.Step s : all) {
-            Thread t = new Thread(() -> run(s), "step " + s.action());
+        for (Scenario.Step step : all) {
+            Thread t = new Thread(() -> run(step), "step " + step.action());
             t.setDaemon(true);
             threads.add(t);
             t.start();
@@ -65,40 +65,40 @@
     }
 
     private List<Scenario.Step> randomSteps() {
-        Scenario.RandomSteps d = testBed.scenario.randomSteps();
+        Scenario.RandomSteps settings = testBed.scenario.randomSteps();
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(testBed.seed + 2);
         List<Scenario.Step> steps = new ArrayList<>();
-        for (int i = 0; i < d.count() && !d.actions().isEmpty(); i++) {
-            String action = d.actions().get(random.nextInt(d.actions().size()));
+        for (int i = 0; i < settings.count() && !settings.actions().isEmpty(); i++) {
+            String action = settings.actions().get(random.nextInt(settings.actions().size()));
             List<String> names = ScenarioActions.appliesToWorkers(action) ? testBed.registry.workers().stream().map(w -> w.name).toList()
                     : testBed.fleet.stream().map(m -> m.name).toList();
-            steps.add(new Scenario.Step(action, d.fromUs() + (long) (random.nextDouble() * (d.untilUs() - d.fromUs())), "",
-                    List.of(names.get(random.nextInt(names.size()))), List.of(), List.of(), 0, d.durationUs()));
+            steps.add(new Scenario.Step(action, settings.fromUs() + (long) (random.nextDouble() * (settings.untilUs() - settings.fromUs())), "",
+                    List.of(names.get(random.nextInt(names.size()))), List.of(), List.of(), 0, settings.durationUs()));
         }
         return steps;
     }
 
-    private void run(Scenario.Step s) {
+    private void run(Scenario.Step step) {
         try {
-            if (!s.trigger().isEmpty()) {
-                awaitTrigger(s.trigger());
-                Thread.sleep(s.atUs() / 1000);
+            if (!step.trigger().isEmpty()) {
+                awaitTrigger(step.trigger());
+                Thread.sleep(step.atUs() / 1000);
             } else {
-                long wait = s.atUs() - testBed.loadGenerator.elapsedUs();
+                long wait = step.atUs() - testBed.loadGenerator.elapsedUs();
                 Thread.sleep(Math.max(0, wait / 1000));
             }
             if (testBed.loadGenerator.finished()) {
                 return;
             }
-            perform(s);
-            if (s.durationUs() > 0) {
-                Thread.sleep(s.durationUs() / 1000);
-                undo(s);
+            perform(step);
+            if (step.durationUs() > 0) {
+                Thread.sleep(step.durationUs() / 1000);
+                undo(step);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | RuntimeException e) {
-            scriptError = s.action() + " " + s.targets() + ": " + e;
+            scriptError = step.action() + " " + step.targets() + ": " + e;
         }
     }
 
@@ -117,61 +117,61 @@
         }
     }
 
-    private synchronized void record(String what) {
+    private synchronized void recordStep(String what) {
         timeline.add(new PerformedStep(testBed.loadGenerator.elapsedUs(), what));
     }
 
     /** Performs a step immediately and does not undo it. */
-    void performNow(Scenario.Step s) throws IOException, InterruptedException {
-        perform(s);
+    void performNow(Scenario.Step step) throws IOException, InterruptedException {
+        perform(step);
     }
 
     // ---------------------------------------------------------------- actions
-    private void perform(Scenario.Step s) throws IOException, InterruptedException {
-        record(s.action() + (s.targets().isEmpty() ? "" : " " + String.join(" ", s.targets()))
-                + (s.groups().isEmpty() ? "" : " between " + s.groups().get(0) + " and " + s.groups().get(1)));
-        Fault fault = fault(s);
+    private void perform(Scenario.Step step) throws IOException, InterruptedException {
+        recordStep(step.action() + (step.targets().isEmpty() ? "" : " " + String.join(" ", step.targets()))
+                + (step.groups().isEmpty() ? "" : " between " + step.groups().get(0) + " and " + step.groups().get(1)));
+        Fault fault = fault(step);
         if (fault != null) {
-            edges(s).forEach(e -> set(e, fault));
+            edges(step).forEach(e -> set(e, fault));
             return;
         }
-        switch (s.action()) {
-            case "reset" -> edges(s).forEach(testBed.relays::reset);
+        switch (step.action()) {
+            case "reset" -> edges(step).forEach(testBed.relays::reset);
             case "discovery-down" -> testBed.registry.setDown(true);
             case "discovery-up" -> testBed.registry.setDown(false);
             case "hush" -> testBed.registry.silenceOpenWatches();
-            case "rate" -> testBed.loadGenerator.rate(s.amount());
-            case "tenant-rate" -> s.targets().forEach(t -> testBed.loadGenerator.tenantRate(t, s.amount()));
+            case "rate" -> testBed.loadGenerator.rate(step.amount());
+            case "tenant-rate" -> step.targets().forEach(t -> testBed.loadGenerator.tenantRate(t, step.amount()));
             default -> {
-                if (ProcessFaults.handles(s.action())) {
-                    for (String name : s.targets()) {
-                        processFaults.start(s.action(), testBed.dispatcher(name), s.amount());
+                if (ProcessFaults.handles(step.action())) {
+                    for (String name : step.targets()) {
+                        processFaults.start(step.action(), testBed.dispatcher(name), step.amount());
                     }
-                } else if (ScenarioActions.appliesToWorkers(s.action())) {
-                    for (String name : s.targets()) {
+                } else if (ScenarioActions.appliesToWorkers(step.action())) {
+                    for (String name : step.targets()) {
                         Worker w = testBed.worker(name);
                         if (w == null) {
                             throw new IllegalArgumentException("unknown worker " + name);
                         }
-                        actions.worker(s.action(), w, s.amount() > 0 ? s.amount() : DEFAULT_SLOWDOWN);
+                        actions.worker(step.action(), w, step.amount() > 0 ? step.amount() : DEFAULT_SLOWDOWN);
                     }
                 } else {
                     List<DispatcherUnderTest> targets = new ArrayList<>();
-                    s.targets().forEach(name -> targets.add(testBed.dispatcher(name)));
-                    actions.dispatchers(s.action(), targets, s.amount());
+                    step.targets().forEach(name -> targets.add(testBed.dispatcher(name)));
+                    actions.dispatchers(step.action(), targets, step.amount());
                 }
             }
         }
     }
 
-    private void undo(Scenario.Step s) throws IOException, InterruptedException {
-        if (ProcessFaults.handles(s.action())) {
-            for (String name : s.targets()) {
-                processFaults.stop(s.action(), testBed.dispatcher(name));
+    private void undo(Scenario.Step step) throws IOException, InterruptedException {
+        if (ProcessFaults.handles(step.action())) {
+            for (String name : step.targets()) {
+                processFaults.stop(step.action(), testBed.dispatcher(name));
             }
             return;
         }
-        String back = switch (s.action()) {
+        String back = switch (step.action()) {
             case "cut", "cut-there", "cut-back", "delay", "lose", "drip", "refuse" -> "heal";
             case "kill", "end" -> "start";
             case "stop" -> "continue";
@@ -182,13 +182,13 @@
             default -> null;
         };
         if (back != null) {
-            perform(new Scenario.Step(back, 0, "", s.targets(), s.groups(), s.edges(), back.endsWith("rate") ? 1 : 0, 0));
+            perform(new Scenario.Step(back, 0, "", step.targets(), step.groups(), step.edges(), back.endsWith("rate") ? 1 : 0, 0));
         }
     }
 
-    private static Fault fault(Scenario.Step s) {
-        double a = s.amount();
-        return switch (s.action()) {
+    private static Fault fault(Scenario.Step step) {
+        double a = step.amount();
+        return switch (step.action()) {
             case "cut" -> Fault.CUT;
             case "cut-there" -> Fault.CUT_FORWARD;
             case "cut-back" -> Fault.CUT_BACKWARD;
@@ -202,16 +202,16 @@
     }
 
     /** Returns the edges of the step's kinds, or of all kinds, between its two groups or at any of its targets. */
-    private List<Edge> edges(Scenario.Step s) {
-        List<Kind> kinds = s.edges().isEmpty() ? List.of(Kind.values())
-                : s.edges().stream().map(k -> Kind.valueOf(k.toUpperCase(Locale.ROOT))).toList();
+    private List<Edge> edges(Scenario.Step step) {
+        List<Kind> kinds = step.edges().isEmpty() ? List.of(Kind.values())
+                : step.edges().stream().map(k -> Kind.valueOf(k.toUpperCase(Locale.ROOT))).toList();
         Predicate<Edge> which;
-        if (!s.groups().isEmpty()) {
-            Collection<String> a = s.groups().get(0);
-            Collection<String> b = s.groups().get(1);
+        if (!step.groups().isEmpty()) {
+            Collection<String> a = step.groups().get(0);
+            Collection<String> b = step.groups().get(1);
             which = e -> e.connects(a, b);
         } else {
-            which = e -> s.targets().isEmpty() || s.targets().contains(e.from()) || s.targets().contains(e.to());
+            which = e -> step.targets().isEmpty() || step.targets().contains(e.from()) || step.targets().contains(e.to());
         }
         return testBed.edges(kinds, which);
     }
--- a/src/main/java/granitefold/standin/ground/RolloutTestBed.java
+++ b/src/main/java/granitefold/standin/ground/RolloutTestBed.java
@@ -78,7 +78,8 @@
             b.append("  { name = ").append(dispatcher.name).append(", keeper = \"").append(DispatcherUnderTest.format(dispatcher.controlAddress))
                     .append("\" }\n");
         }
-        b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"").append(newJar.toAbsolutePath())
+        b.append("]\nold { label = old, jar = \"").append(jar.toAbsolutePath()).append("\" }\nnew { label = new, jar = \"")
+                .append(newJar.toAbsolutePath())
                 .append("\" }\nstages = [").append(parameters.stages).append("]\nlook { warm = ").append(ms(parameters.warmupS))
                 .append(", least = ").append(ms(parameters.minLookS))
                 .append(", most = ").append(ms(parameters.maxLookS)).append(" }\nstep = ").append(ms(parameters.stepS))
@@ -156,13 +157,13 @@
             throw new IllegalStateException("rollout did not finish within " + seconds + " s\n" + lastLines());
         }
         double took = (testBed.history.now() - startedUs) / 1e6;
-        JsonNode s = status();
+        JsonNode status = status();
         List<String> labels = new ArrayList<>();
         for (DispatcherUnderTest dispatcher : testBed.fleet) {
             labels.add(label(dispatcher));
         }
         Path report = plan.resolveSibling(plan.getFileName().toString().replace(".plan", "")).resolve("report.txt");
-        return new Result(p.exitValue(), s.path("state").asText(), s.path("verdict").asText(), s.path("stage").asInt(), labels, took,
+        return new Result(p.exitValue(), status.path("state").asText(), status.path("verdict").asText(), status.path("stage").asInt(), labels, took,
                 Files.exists(report) ? Files.readString(report) : "");
     }
 
--- a/src/main/java/granitefold/standin/ground/Scenario.java
+++ b/src/main/java/granitefold/standin/ground/Scenario.java
@@ -83,18 +83,18 @@
         return HoconFile.read(name + ".conf", text, s -> read(name, s)).value();
     }
 
-    private static Scenario read(String name, ConfigSection all) {
-        ConfigSection d = all.section("dispatchers");
-        ConfigSection c = all.section("cocineros");
-        ConfigSection l = all.section("load");
-        ConfigSection r = all.section("drawn");
+    private static Scenario read(String name, ConfigSection root) {
+        ConfigSection dispatchers = root.section("dispatchers");
+        ConfigSection workers = root.section("cocineros");
+        ConfigSection load = root.section("load");
+        ConfigSection randomSteps = root.section("drawn");
         Map<String, JobClass> classes = new LinkedHashMap<>();
-        all.named("classes").forEach((key, s) -> classes.put(key, jobClass(s)));
+        root.named("classes").forEach((key, s) -> classes.put(key, jobClass(s)));
         if (classes.isEmpty()) {
             classes.put("ficha", new JobClass(1, 40_000, 0.8, 1, RuleTerms.Effect.SAFE, 300_000, 5_000_000, 2, 1, 12_000_000));
         }
         Map<String, Tenant> tenants = new LinkedHashMap<>();
-        all.named("tenants").forEach((key, s) -> {
+        root.named("tenants").forEach((key, s) -> {
             tenants.put(key, new Tenant(s.number("share", 1, 0, 1), s.number("usage", 1, 0, 100)));
             s.reportUnknownKeys();
         });
@@ -103,69 +103,78 @@
         }
         double meanWork = classes.values().stream().mapToDouble(j -> j.share * j.workUs * j.slots).sum()
                 / classes.values().stream().mapToDouble(JobClass::share).sum();
-        Scenario s = new Scenario(name, all.string("about", "", "a sentence", t -> true), all.durationUs("for", 10_000_000, 500, 60 * MINUTE_MS),
-                new Dispatchers(d.integer("count", 2, 1, MAX_DISPATCHERS), d.integer("memory-mb", 160, 64, 1024),
-                        d.durationUs("front-notice", 1_500_000, 0, MINUTE_MS), d.string("operator", "", "the text of an operators' file", t -> true),
-                        d.bool("state", false), d.bool("beside", false), d.bool("talk", true), d.bool("kept", false),
-                        d.integer("sockets", 1024, 64, 65_536), d.bool("faults", false)),
-                workers(c, meanWork),
-                new Load(l.number("rate", 60, 0.1, 5000), l.integer("retries", 2, 0, 10), l.number("impatient", 0, 0, 1),
-                        l.number("honour", 0.8, 0, 1), l.number("churn", 0.05, 0, 1)),
-                classes, tenants, steps(all), randomSteps(r));
-        for (ConfigSection x : List.of(d, c, l, r, all)) {
-            x.reportUnknownKeys();
+        Scenario s = new Scenario(name, root.string("about", "", "a sentence", t -> true), root.durationUs("for", 10_000_000, 500, 60 * MINUTE_MS),
+                new Dispatchers(dispatchers.integer("count", 2, 1, MAX_DISPATCHERS), dispatchers.integer("memory-mb", 160, 64, 1024),
+                        dispatchers.durationUs("front-notice", 1_500_000, 0, MINUTE_MS), dispatchers.string("operator", "",
+                                "the text of an operators' file", t -> true),
+                        dispatchers.bool("state", false), dispatchers.bool("beside", false), dispatchers.bool("talk", true),
+                                dispatchers.bool("kept", false),
+                        dispatchers.integer("sockets", 1024, 64, 65_536), dispatchers.bool("faults", false)),
+                workers(workers, meanWork),
+                new Load(load.number("rate", 60, 0.1, 5000), load.integer("retries", 2, 0, 10), load.number("impatient", 0, 0, 1),
+                        load.number("honour", 0.8, 0, 1), load.number("churn", 0.05, 0, 1)),
+                classes, tenants, steps(root), randomSteps(randomSteps));
+        for (ConfigSection section : List.of(dispatchers, workers, load, randomSteps, root)) {
+            section.reportUnknownKeys();
         }
         return s;
     }
 
-    private static Workers workers(ConfigSection c, double meanWork) {
-        Workers found = new Workers(c.integer("count", 4, 1, MAX_WORKERS), new WorkerSpec(c.integer("slots", 6, 1, 64), c.number("speed", 1, 0.01, 100),
-                c.integer("queue", 40, 0, 10_000), c.number("cold-from", 0.4, 0.01, 1), c.durationUs("cold-for", 6_000_000, 1, MINUTE_MS),
-                c.number("falls-at", 3, 1, 1000), c.durationUs("falls-within", 2_000_000, 100, MINUTE_MS), meanWork, c.integer("keeps", 0, 0, 10_000),
-                c.durationUs("fetch", 0, 0, MINUTE_MS)), c.number("spread", 0, 0, 0.9));
+    private static Workers workers(ConfigSection section, double meanWork) {
+        Workers found = new Workers(section.integer("count", 4, 1, MAX_WORKERS), new WorkerSpec(section.integer("slots", 6, 1, 64),
+                section.number("speed", 1, 0.01, 100),
+                section.integer("queue", 40, 0, 10_000), section.number("cold-from", 0.4, 0.01, 1),
+                        section.durationUs("cold-for", 6_000_000, 1, MINUTE_MS),
+                section.number("falls-at", 3, 1, 1000), section.durationUs("falls-within", 2_000_000, 100, MINUTE_MS), meanWork,
+                        section.integer("keeps", 0, 0, 10_000),
+                section.durationUs("fetch", 0, 0, MINUTE_MS)), section.number("spread", 0, 0, 0.9));
         return found;
     }
 
-    private static JobClass jobClass(ConfigSection s) {
-        JobClass c = new JobClass(s.number("share", 1, 0, 1), s.durationUs("work", 40_000, 0, MINUTE_MS), s.number("spread", 0.8, 0, 5),
-                s.integer("slots", 1, 1, 64), RuleTerms.Effect.valueOf(s.choice("effect", "safe", "safe", "keyed", "unsafe")
+    private static JobClass jobClass(ConfigSection section) {
+        JobClass jobClass = new JobClass(section.number("share", 1, 0, 1), section.durationUs("work", 40_000, 0, MINUTE_MS),
+                section.number("spread", 0.8, 0, 5),
+                section.integer("slots", 1, 1, 64), RuleTerms.Effect.valueOf(section.choice("effect", "safe", "safe", "keyed", "unsafe")
                         .toUpperCase(java.util.Locale.ROOT)),
-                s.durationUs("on-time", 300_000, 1, MINUTE_MS), s.durationUs("deadline", 5_000_000, 10, 5 * MINUTE_MS), s.number("stretch", 2, 0, 100),
-                s.number("worth", 1, 0, 1000), s.durationUs("window", 12_000_000, 100, 5 * MINUTE_MS));
-        s.reportUnknownKeys();
-        return c;
+                section.durationUs("on-time", 300_000, 1, MINUTE_MS), section.durationUs("deadline", 5_000_000, 10, 5 * MINUTE_MS),
+                        section.number("stretch", 2, 0, 100),
+                section.number("worth", 1, 0, 1000), section.durationUs("window", 12_000_000, 100, 5 * MINUTE_MS));
+        section.reportUnknownKeys();
+        return jobClass;
     }
 
-    private static List<Step> steps(ConfigSection all) {
+    private static List<Step> steps(ConfigSection root) {
         List<Step> steps = new ArrayList<>();
-        for (ConfigSection s : all.sections("steps")) {
+        for (ConfigSection section : root.sections("steps")) {
             List<List<String>> between = new ArrayList<>();
-            for (String group : s.strings("between", "two groups of names, each as \"n0 n1\"", t -> true)) {
+            for (String group : section.strings("between", "two groups of names, each as \"n0 n1\"", t -> true)) {
                 between.add(List.of(group.trim().split("[ ,]+")));
             }
-            Step step = new Step(s.string("do", "", "one of " + String.join(", ", ACTIONS), ACTIONS::contains),
-                    s.durationUs("at", 0, 0, 60 * MINUTE_MS), s.string("when", "", "ready NAME, exited NAME or served COUNT",
+            Step step = new Step(section.string("do", "", "one of " + String.join(", ", ACTIONS), ACTIONS::contains),
+                    section.durationUs("at", 0, 0, 60 * MINUTE_MS), section.string("when", "", "ready NAME, exited NAME or served COUNT",
                             t -> t.matches("(ready|exited) \\S+|served \\d+")),
-                    s.strings("to", "names of dispatchers, workers or tenants", t -> t.matches("\\S+")), between,
-                    s.strings("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling", "control")
+                    section.strings("to", "names of dispatchers, workers or tenants", t -> t.matches("\\S+")), between,
+                    section.strings("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling",
+                            "control")
                             .contains(t)),
-                    s.number("amount", 0, 0, 1e9), s.durationUs("lasts", 0, 0, 60 * MINUTE_MS));
+                    section.number("amount", 0, 0, 1e9), section.durationUs("lasts", 0, 0, 60 * MINUTE_MS));
             if (step.action.isEmpty()) {
-                s.reject("do", "a step needs an action");
+                section.reject("do", "a step needs an action");
             }
             if (!between.isEmpty() && between.size() != 2) {
-                s.reject("between", "takes two groups");
+                section.reject("between", "takes two groups");
             }
-            s.reportUnknownKeys();
+            section.reportUnknownKeys();
             steps.add(step);
         }
         return steps;
     }
 
-    private static RandomSteps randomSteps(ConfigSection r) {
-        return new RandomSteps(r.integer("count", 0, 0, 1000), r.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS),
-                r.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
-                r.strings("of", "one of " + String.join(", ", ACTIONS), ACTIONS::contains), r.durationUs("lasts", 1_000_000, 0, 60 * MINUTE_MS));
+    private static RandomSteps randomSteps(ConfigSection section) {
+        return new RandomSteps(section.integer("count", 0, 0, 1000), section.durationUs("from", 2_000_000, 0, 60 * MINUTE_MS),
+                section.durationUs("until", 6_000_000, 0, 60 * MINUTE_MS),
+                section.strings("of", "one of " + String.join(", ", ACTIONS), ACTIONS::contains),
+                        section.durationUs("lasts", 1_000_000, 0, 60 * MINUTE_MS));
     }
 
     /** Returns the dispatchers' names. */
--- a/src/main/java/granitefold/standin/ground/ScenarioActions.java
+++ b/src/main/java/granitefold/standin/ground/ScenarioActions.java
@@ -32,29 +32,29 @@
         return WORKER_ACTIONS.contains(action);
     }
 
-    void worker(String action, Worker w, double amount) throws IOException {
+    void worker(String action, Worker worker, double amount) throws IOException {
         switch (action) {
-            case "slow" -> w.slowdown(amount);
-            case "hang" -> w.behavior(Behavior.HANGING);
-            case "stick" -> w.behavior(Behavior.STALLED);
-            case "fail" -> w.behavior(Behavior.FAILING);
-            case "truncate" -> w.behavior(Behavior.TRUNCATING);
-            case "break" -> w.behavior(Behavior.RESETTING);
-            case "drain" -> testBed.registry.updateStatus(w, "draining");
-            case "remove" -> testBed.registry.remove(w);
+            case "slow" -> worker.slowdown(amount);
+            case "hang" -> worker.behavior(Behavior.HANGING);
+            case "stick" -> worker.behavior(Behavior.STALLED);
+            case "fail" -> worker.behavior(Behavior.FAILING);
+            case "truncate" -> worker.behavior(Behavior.TRUNCATING);
+            case "break" -> worker.behavior(Behavior.RESETTING);
+            case "drain" -> testBed.registry.updateStatus(worker, "draining");
+            case "remove" -> testBed.registry.remove(worker);
             case "die" -> {
-                w.kill();
-                testBed.registry.remove(w);
+                worker.kill();
+                testBed.registry.remove(worker);
             }
             case "replace" -> {
-                w.kill();
-                testBed.registry.remove(w);
+                worker.kill();
+                testBed.registry.remove(worker);
                 testBed.addWorker(true);
             }
             default -> {
-                w.behavior(Behavior.NORMAL);
-                w.slowdown(1);
-                testBed.registry.updateStatus(w, "up");
+                worker.behavior(Behavior.NORMAL);
+                worker.slowdown(1);
+                testBed.registry.updateStatus(worker, "up");
             }
         }
     }
--- a/src/main/java/granitefold/standin/ground/TestBed.java
+++ b/src/main/java/granitefold/standin/ground/TestBed.java
@@ -133,7 +133,8 @@
         WorkerSpec s = scenario.workers().spec();
         double speed = s.speed() * (1 + scenario.workers().spread() * (2 * random.nextDouble() - 1));
         Worker w = new Worker("s" + workersCreated++, new WorkerSpec(s.slots(), speed, s.queueLimit(), s.slowStartFrom(), s.slowStartUs(),
-                s.overloadMultiple(), s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), slowStart, keyWindows, history, TestBed::dispatcherOf);
+                s.overloadMultiple(), s.overloadWindowUs(), s.meanWorkUs(), s.cachedKeys(), s.fetchUs()), slowStart, keyWindows, history,
+                        TestBed::dispatcherOf);
         workers.put(w.name, w);
         for (DispatcherUnderTest dispatcher : fleet) {
             connectWorker(dispatcher, w);
--- a/src/main/java/granitefold/standin/history/HistoryChecker.java
+++ b/src/main/java/granitefold/standin/history/HistoryChecker.java
@@ -63,35 +63,35 @@
 
     /** Returns all violations in the order of time. {@code sorted}: a complete history in the order of time. */
     public static List<Violation> check(RuleTerms terms, List<Entry> sorted) {
-        HistoryChecker c = new HistoryChecker(terms, sorted);
+        HistoryChecker checker = new HistoryChecker(terms, sorted);
         Map<String, List<Entry>> requests = new LinkedHashMap<>();
         for (Entry e : sorted) {
             if (e.txn() != null) {
                 requests.computeIfAbsent(e.txn(), t -> new ArrayList<>()).add(e);
             }
         }
-        requests.values().forEach(c::checkRequest);
-        c.checkKeys();
-        c.checkDrains();
-        c.checkRestarts();
-        c.found.addAll(c.departedClients.found());
-        c.found.addAll(new QuotaRule(terms).check(sorted));
+        requests.values().forEach(checker::checkRequest);
+        checker.checkKeys();
+        checker.checkDrains();
+        checker.checkRestarts();
+        checker.found.addAll(checker.departedClients.found());
+        checker.found.addAll(new QuotaRule(terms).check(sorted));
         for (Entry e : sorted) {
             if (e.what() == What.FELL) {
-                c.broken(Rule.COLD, e, e.who() + " failed under overload in slow start", List.of(e));
+                checker.report(Rule.COLD, e, e.who() + " failed under overload in slow start", List.of(e));
             } else if (e.what() == What.PROCESS && e.text().startsWith("crashed")) {
-                c.broken(Rule.CRASHED, e, e.who() + " " + e.text(), List.of(e));
+                checker.report(Rule.CRASHED, e, e.who() + " " + e.text(), List.of(e));
             } else if (e.what() == What.PROCESS && e.text().startsWith("reports ")) {
-                c.broken(Rule.SELF_REPORTED, e, e.who() + " " + e.text(), List.of(e));
+                checker.report(Rule.SELF_REPORTED, e, e.who() + " " + e.text(), List.of(e));
             } else if (e.what() == What.EXTRA) {
-                c.broken(Rule.ANSWERED_TWICE, e, e.whom() + " sent more than one answer", List.of(e));
+                checker.report(Rule.ANSWERED_TWICE, e, e.whom() + " sent more than one answer", List.of(e));
             }
         }
-        c.found.sort(Comparator.comparingLong(Violation::atUs));
-        return c.found;
+        checker.found.sort(Comparator.comparingLong(Violation::atUs));
+        return checker.found;
     }
 
-    private void broken(Rule rule, Entry at, String what, List<Entry> trace) {
+    private void report(Rule rule, Entry at, String what, List<Entry> trace) {
         found.add(new Violation(rule, at.atUs(), what, trace));
     }
 
@@ -112,7 +112,7 @@
             Entry next = begun.get(i);
             long over = overAt(before, trace);
             if (sentAt(next) < over - TimeSlack.OBSERVATION_US) {
-                broken(Rule.TWO_OUT, next, asked.txn() + ": an attempt to " + next.who() + " while the one to " + before.who()
+                report(Rule.TWO_OUT, next, asked.txn() + ": an attempt to " + next.who() + " while the one to " + before.who()
                         + " was in flight for " + (over == Long.MAX_VALUE ? "ever" : (over - sentAt(next)) / 1000 + " ms more"), trace);
             }
         }
@@ -120,7 +120,7 @@
             long leftMs = asked.number() - (sentAtTheEarliest(b) - forwardedAt(asked)) / 1000;
             long slackMs = STATED_TIME_SLACK_MS + TimeSlack.OBSERVATION_US / 1000;
             if (b.number() > leftMs + slackMs && !permitted.coversRequest(asked, b.atUs())) {
-                broken(Rule.OVERSTATED, b, asked.txn() + ": told " + b.who() + " " + b.number() + " ms, its client had " + leftMs + " ms left",
+                report(Rule.OVERSTATED, b, asked.txn() + ": told " + b.who() + " " + b.number() + " ms, its client had " + leftMs + " ms left",
                         trace);
             }
         }
@@ -131,9 +131,9 @@
                 continue;
             }
             if (c.effect() == RuleTerms.Effect.UNSAFE) {
-                broken(Rule.RESENT, b, asked.txn() + ": resent to " + b.who() + " although it may have run at " + ran.who(), trace);
+                report(Rule.RESENT, b, asked.txn() + ": resent to " + b.who() + " although it may have run at " + ran.who(), trace);
             } else if (c.effect() == RuleTerms.Effect.KEYED && sentAt(b) - ran.atUs() > (c.windowMs() + terms.slackMs()) * 1000) {
-                broken(Rule.RESENT, b, asked.txn() + ": resent to " + b.who() + " " + (b.atUs() - ran.atUs()) / 1000
+                report(Rule.RESENT, b, asked.txn() + ": resent to " + b.who() + " " + (b.atUs() - ran.atUs()) / 1000
                         + " ms after it may have run, beyond its key's window", trace);
             }
         }
@@ -146,29 +146,29 @@
                 || e.what() == What.LEFT).findFirst().orElse(null);
         if (answers.isEmpty() && end != null && end.what() != What.LEFT && !permitted.coversRequest(asked, end.atUs())
                 && !(end.what() == What.UNHEARD && first(trace, What.BEGUN) == null && mayNotHaveBeenRead(asked, end))) {
-            broken(Rule.LOST, end, asked.txn() + ": " + asked.whom() + " accepted it and sent no answer (" + end.what() + ")", trace);
+            report(Rule.LOST, end, asked.txn() + ": " + asked.whom() + " accepted it and sent no answer (" + end.what() + ")", trace);
         }
         if (answers.size() > 1) {
-            broken(Rule.ANSWERED_TWICE, answers.get(1), asked.txn() + ": answered " + answers.size() + " times", trace);
+            report(Rule.ANSWERED_TWICE, answers.get(1), asked.txn() + ": answered " + answers.size() + " times", trace);
         }
         for (Entry a : answers) {
             if (a.number() == 200 && !"made".equals(a.text())) {
-                broken(Rule.MADE_UP, a, asked.txn() + ": answered with a result that no worker made for it", trace);
+                report(Rule.MADE_UP, a, asked.txn() + ": answered with a result that no worker made for it", trace);
             }
             if (a.atUs() > dueUs && !permitted.coversRequest(asked, a.atUs())) {
-                broken(Rule.LOST, a, asked.txn() + ": answered " + (a.atUs() - asked.atUs()) / 1000 + " ms after it was sent, "
+                report(Rule.LOST, a, asked.txn() + ": answered " + (a.atUs() - asked.atUs()) / 1000 + " ms after it was sent, "
                         + asked.number() + " ms were allowed", trace);
             }
             if (a.number() == 503 || a.number() == 429) {
                 if (terms.retryAfter() && a.text() == null) {
-                    broken(Rule.NO_RETRY_AFTER, a, asked.txn() + ": rejected without Retry-After", trace);
+                    report(Rule.NO_RETRY_AFTER, a, asked.txn() + ": rejected without Retry-After", trace);
                 }
                 long last = trace.stream().filter(e -> e.what() == What.BEGUN).mapToLong(b -> overAtForDispatcher(b, a, trace)).max()
                         .orElse(asked.atUs());
                 long heldUs = a.atUs() - Math.max(asked.atUs(), last);
                 if (a.atUs() - asked.atUs() > asked.number() * 1000 * (1 - LATE_SHARE) && heldUs > IDLE_BEFORE_REJECT_US
                         && !permitted.coversRequest(asked, a.atUs())) {
-                    broken(Rule.DELAYED, a, asked.txn() + ": rejected " + heldUs / 1000 + " ms after its last event", trace);
+                    report(Rule.DELAYED, a, asked.txn() + ": rejected " + heldUs / 1000 + " ms after its last event", trace);
                 }
             }
         }
@@ -269,7 +269,7 @@
                 Entry before = started.put(keyOf.get(e.txn()), e);
                 RuleTerms.JobClass c = terms.classes().get(e.jobClass());
                 if (before != null && c != null && done(before) && e.atUs() - before.atUs() < c.windowMs() * 1000) {
-                    broken(Rule.RAN_TWICE, e, "key " + keyOf.get(e.txn()) + " ran at " + before.who() + " and at " + e.who(), List.of(before, e));
+                    report(Rule.RAN_TWICE, e, "key " + keyOf.get(e.txn()) + " ran at " + before.who() + " and at " + e.who(), List.of(before, e));
                 }
             }
         }
@@ -301,7 +301,7 @@
             }
         }
         if (slow.size() > MAX_SLOW_SHARE * restarts) {
-            broken(Rule.SLOW_START, slow.get(0), slow.size() + " of " + restarts + " processes took over 10 s to become ready", slow);
+            report(Rule.SLOW_START, slow.get(0), slow.size() + " of " + restarts + " processes took over 10 s to become ready", slow);
         }
     }
 
@@ -321,7 +321,7 @@
             } else if (e.what() == What.BEGUN) {
                 Entry drain = notified.get(e.whom() + ">" + e.who());
                 if (drain != null && sentAt(e) - drain.atUs() > (terms.drainGraceMs() + terms.slackMs()) * 1000) {
-                    broken(Rule.DRAIN, e, e.whom() + " sent " + e.txn() + " to " + e.who() + " " + (sentAt(e) - drain.atUs()) / 1000
+                    report(Rule.DRAIN, e, e.whom() + " sent " + e.txn() + " to " + e.who() + " " + (sentAt(e) - drain.atUs()) / 1000
                             + " ms after it was notified: " + drain.text(), List.of(drain, e));
                 }
             }
