--- a/src/main/java/granitefold/core/AvailabilityMonitor.java
+++ b/src/main/java/granitefold/core/AvailabilityMonitor.java
@@ -13,55 +13,55 @@
 import java.util.List;
 
 /**
- * Keeps the availability machine supplied: it counts what comes by, samples at an interval, and publishes the verdict.
- * Where it is off it does nothing.
+ * Feeds the availability state machine: counts answers and attempts, samples resources at an interval, and publishes a status
+ * report. Does nothing if availability reporting is off.
  */
 final class AvailabilityMonitor {
-    /** What was answered longer ago than this counts half and less. */
-    private static final double HALF_US = 1_000_000;
+    /** Half-life of the recent answer and reject counts, in microseconds. */
+    private static final double HALF_LIFE_US = 1_000_000;
 
     private final Reducer reducer;
     private final int connections;
     private final Timers timers;
     private final List<Effect> effects;
-    private AvailabilitySettings set;
-    private AvailabilityStateMachine machine;
+    private AvailabilitySettings settings;
+    private AvailabilityStateMachine stateMachine;
     private AvailabilityStateMachine.State state;
-    private RequestedMode wish = RequestedMode.READY;
+    private RequestedMode requestedMode = RequestedMode.READY;
     private ResourceUsage resources = ResourceUsage.UNKNOWN;
     private long startedAt;
-    private long heardAt;
-    private long listedAt;
+    private long lastUpdateAt;
+    private long lastListAt;
     private boolean confirmed;
-    private int reached;
-    private int missed;
+    private int reachedAttempts;
+    private int unreachableAttempts;
     private long served;
     private long rejected;
     private long failed;
-    /** Answers and rejects of late, fading, and as of when. */
-    private double answers;
-    private double rejects;
-    private long fadedAt;
+    /** Exponentially decayed counts of answers and rejects, and the time of the last decay. */
+    private double recentAnswers;
+    private double recentRejects;
+    private long decayedAt;
 
-    AvailabilityMonitor(AvailabilitySettings set, int connections, Reducer reducer, Timers timers, List<Effect> effects) {
+    AvailabilityMonitor(AvailabilitySettings settings, int connections, Reducer reducer, Timers timers, List<Effect> effects) {
         this.connections = connections;
         this.reducer = reducer;
         this.timers = timers;
         this.effects = effects;
-        retuned(set);
+        settingsChanged(settings);
     }
 
-    /** Other figures from now on. */
-    void retuned(AvailabilitySettings figures) {
-        if (set == null || figures != null) {
-            set = figures;
-            machine = set == null ? null : new AvailabilityStateMachine(set, connections);
+    /** Replaces the settings; {@code null} does not switch reporting off. */
+    void settingsChanged(AvailabilitySettings newSettings) {
+        if (settings == null || newSettings != null) {
+            settings = newSettings;
+            stateMachine = settings == null ? null : new AvailabilityStateMachine(settings, connections);
         }
     }
 
     void opened(long now) {
-        if (machine != null) {
-            startedAt = heardAt = listedAt = fadedAt = now;
+        if (stateMachine != null) {
+            startedAt = lastUpdateAt = lastListAt = decayedAt = now;
             state = AvailabilityStateMachine.State.initial(now);
             sample(now);
         }
@@ -69,88 +69,88 @@
 
     private void sample(long now) {
         effects.add(new Effect.SampleResources());
-        timers.at(now + set.intervalUs(), this::sample);
+        timers.at(now + settings.intervalUs(), this::sample);
     }
 
-    /** Discovery has said something; {@code list}: what it said was a list. */
-    void heard(boolean list, long now) {
-        heardAt = now;
-        // an empty line says that the version told in the request still holds
+    /** Discovery has sent a message; {@code accepted}: it was a list, and was accepted. */
+    void discoveryUpdated(boolean accepted, long now) {
+        lastUpdateAt = now;
+        // an empty line confirms the version named in the request
         confirmed = true;
-        if (list) {
-            listedAt = now;
+        if (accepted) {
+            lastListAt = now;
         }
     }
 
     void answered(FinalAnswer answer, long now) {
-        if (machine == null) {
+        if (stateMachine == null) {
             return;
         }
-        fade(now);
-        answers++;
+        decay(now);
+        recentAnswers++;
         if (answer instanceof FinalAnswer.Served) {
             served++;
         } else if (answer instanceof FinalAnswer.Rejected) {
             rejected++;
-            rejects++;
+            recentRejects++;
         } else {
             failed++;
         }
     }
 
-    void tried(Outcome outcome) {
+    void attemptEnded(Outcome outcome) {
         if (outcome == Outcome.UNREACHABLE) {
-            missed++;
+            unreachableAttempts++;
         } else if (outcome != Outcome.MOOT && outcome != Outcome.CANCELLED && outcome != Outcome.TIMED_OUT) {
-            reached++;
+            reachedAttempts++;
         }
     }
 
-    void sampled(ResourceUsage news, long now) {
-        resources = news;
+    void resourcesSampled(ResourceUsage sampled, long now) {
+        resources = sampled;
         evaluate(now);
     }
 
-    void wished(RequestedMode news, long now) {
-        wish = news;
+    void modeRequested(RequestedMode mode, long now) {
+        requestedMode = mode;
         evaluate(now);
     }
 
-    /** Clients are told to leave: others are there for them, as far as the operator knows. */
-    boolean sendsAway() {
-        return state != null && wish != RequestedMode.READY && !state.status().acceptsTraffic();
+    /** Whether answers close their client connections: the operator has taken this dispatcher out of service, and expects others to serve. */
+    boolean closesClients() {
+        return state != null && requestedMode != RequestedMode.READY && !state.status().acceptsTraffic();
     }
 
-    /** Something of weight has happened, or time has passed. */
+    /** Evaluates the availability state and publishes a report, after an important event or a sample. */
     void evaluate(long now) {
-        if (machine == null || state == null) {
+        if (stateMachine == null || state == null) {
             return;
         }
-        fade(now);
+        decay(now);
         Dispatcher.Pressure pressure = reducer.pressure();
-        double wait = pressure.waitUs() / Math.max(1, pressure.boundUs());
-        double share = rejects / Math.max(1, answers);
-        AvailabilityStateMachine.State next = machine.next(state, new AvailabilitySignals(life(), wish, confirmed, now - Math.max(listedAt, heardAt),
-                now - heardAt, pressure.ready(), reached, missed, share,
-                (double) pressure.refusing() / Math.max(1, pressure.ready()), wait, reducer.clientShare(),
+        double waitRatio = pressure.waitUs() / Math.max(1, pressure.boundUs());
+        double rejectShare = recentRejects / Math.max(1, recentAnswers);
+        AvailabilityStateMachine.State nextState = stateMachine.next(state, new AvailabilitySignals(processPhase(), requestedMode, confirmed,
+                now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, pressure.ready(), reachedAttempts, unreachableAttempts, rejectShare,
+                (double) pressure.refusing() / Math.max(1, pressure.ready()), waitRatio, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
-        log(state.status(), next);
-        state = next;
-        AvailabilityReport verdict = machine.report(state);
-        double perS = answers * Math.log(2) / HALF_US * 1e6;
-        effects.add(new Effect.PublishReport(new StatusReport(verdict, reducer.phase(), wish, reducer.owed(), reducer.clients(),
+        logTransition(state.status(), nextState);
+        state = nextState;
+        AvailabilityReport report = stateMachine.report(state);
+        double answersPerSecond = recentAnswers * Math.log(2) / HALF_LIFE_US * 1e6;
+        effects.add(new Effect.PublishReport(new StatusReport(report, reducer.phase(), requestedMode, reducer.owed(), reducer.clients(),
                 pressure.ready(), reducer.workersDown(), reducer.panic(), confirmed, reducer.listVersion(),
-                now - Math.max(listedAt, heardAt), now - heardAt, wait, share, perS, resources, now - startedAt, served,
-                rejected, failed)));
+                now - Math.max(lastListAt, lastUpdateAt), now - lastUpdateAt, waitRatio, rejectShare, answersPerSecond, resources, now - startedAt,
+                served, rejected, failed)));
     }
 
-    private void log(AvailabilityStatus from, AvailabilityStateMachine.State to) {
-        if (from != to.status()) {
-            effects.add(new Effect.Log(LogEvent.AVAILABILITY, from, to.status(), to.weight(), to.reason()));
+    private void logTransition(AvailabilityStatus previous, AvailabilityStateMachine.State current) {
+        if (previous != current.status()) {
+            effects.add(new Effect.Log(LogEvent.AVAILABILITY, previous, current.status(), current.weight(), current.reason()));
         }
     }
 
-    private ProcessPhase life() {
+    private ProcessPhase processPhase() {
         return switch (reducer.phase()) {
             case STARTING -> ProcessPhase.STARTING;
             case SERVING -> ProcessPhase.SERVING;
@@ -159,10 +159,10 @@
         };
     }
 
-    private void fade(long now) {
-        double left = Math.pow(0.5, (now - fadedAt) / HALF_US);
-        answers *= left;
-        rejects *= left;
-        fadedAt = now;
+    private void decay(long now) {
+        double remaining = Math.pow(0.5, (now - decayedAt) / HALF_LIFE_US);
+        recentAnswers *= remaining;
+        recentRejects *= remaining;
+        decayedAt = now;
     }
 }
--- a/src/main/java/granitefold/core/ModuleActions.java
+++ b/src/main/java/granitefold/core/ModuleActions.java
@@ -3,53 +3,53 @@
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.Outcome;
 
-/** The module's actions. */
+/** Carries out the actions of the decision module. */
 final class ModuleActions implements Dispatcher.Actions {
     private final CoreContext core;
     private final Requests requests;
     private final Attempts attempts;
 
-    ModuleActions(CoreContext parts, Requests requests, Attempts attempts) {
-        core = parts;
+    ModuleActions(CoreContext coreContext, Requests requests, Attempts attempts) {
+        core = coreContext;
         this.requests = requests;
         this.attempts = attempts;
     }
 
     @Override
     public void send(long request, long worker, long waitUs, long startUs) {
-        RequestContext c = requests.get(request);
-        Worker to = core.workers.get(worker);
-        if (c != null && to != null) {
-            attempts.send(c, to, waitUs, startUs);
+        RequestContext context = requests.get(request);
+        Worker target = core.workers.get(worker);
+        if (context != null && target != null) {
+            attempts.send(context, target, waitUs, startUs);
         }
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        RequestContext c = requests.get(request);
-        Attempt t = c == null || attempt >= c.attempts.size() ? null : c.attempts.get(attempt);
-        if (t != null && t.outcome == null) {
-            core.pool.drop(t);
-            attempts.endAfterwards(t, Outcome.CANCELLED);
+        RequestContext context = requests.get(request);
+        Attempt target = context == null || attempt >= context.attempts.size() ? null : context.attempts.get(attempt);
+        if (target != null && target.outcome == null) {
+            core.pool.drop(target);
+            attempts.endDeferred(target, Outcome.CANCELLED);
         }
     }
 
     @Override
-    public void refuse(long request, long retryAfterUs, Dispatcher.Refusal why) {
-        finish(request, new FinalAnswer.Rejected(retryAfterUs, why));
+    public void refuse(long request, long retryAfterUs, Dispatcher.Refusal reason) {
+        finish(request, new FinalAnswer.Rejected(retryAfterUs, reason));
     }
 
     @Override
     public void fail(long request) {
-        RequestContext c = requests.get(request);
-        finish(request, new FinalAnswer.Failed(c != null && core.now >= c.moduleDeadline));
+        RequestContext context = requests.get(request);
+        finish(request, new FinalAnswer.Failed(context != null && core.now >= context.moduleDeadline));
     }
 
     private void finish(long request, FinalAnswer answer) {
-        RequestContext c = requests.get(request);
-        if (c != null && !c.over) {
-            requests.answer(c, answer);
-            requests.forget(c);
+        RequestContext context = requests.get(request);
+        if (context != null && !context.finished) {
+            requests.answer(context, answer);
+            requests.forget(context);
         }
     }
 
@@ -59,12 +59,12 @@
     }
 
     @Override
-    public void sendToSibling(int worker, byte[] message) {
-        core.effects.add(new Effect.SendToSibling(worker, message));
+    public void sendToSibling(int sibling, byte[] message) {
+        core.effects.add(new Effect.SendToSibling(sibling, message));
     }
 
     @Override
     public void watch() {
-        // discovery pushes: the watch is always open
+        // the watch on discovery is always open
     }
 }
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -14,68 +14,71 @@
 import java.util.function.LongConsumer;
 
 /**
- * All state of a dispatcher and all changes to it: an event and the time go in, effects come out. It turns events
- * into the module's and the module's actions into effects, and it keeps the rules that need no decision: one final
- * answer for each request context by its deadline, and never two attempts of one out at once. Not thread-safe.
+ * Holds all state of a dispatcher and changes it: takes an event and the current time, returns effects. It passes events
+ * to the decision module, turns the module's actions into effects, and enforces the rules that need no decision: one final
+ * answer for each request context by its deadline, and at most one running attempt of a context. Not thread-safe.
  */
 public final class Reducer {
-    /** With no worker known, the program starts to serve after this, if discovery has sent no word before. */
-    static final long START_US = 500_000;
+    /** Without a known worker the process starts to serve after this time, unless discovery sends a list earlier. */
+    static final long START_TIMEOUT_US = 500_000;
     /**
-     * The agent of discovery is on this machine and answers at once, and what it has counts as told from the first moment of a
-     * process. So long at the most requests wait for its first word; while discovery is down it has none.
+     * The longest time that requests wait for the first message of discovery. Its agent runs on this machine and answers at once,
+     * and its list binds a process from the start; while discovery is down no message comes.
      */
-    static final long FIRST_WORD_US = 200_000;
-    private static final long SWEEP_US = 500_000;
+    static final long FIRST_LIST_TIMEOUT_US = 200_000;
+    private static final long SWEEP_INTERVAL_US = 500_000;
 
     private final CoreContext core;
     private final Requests requests;
-    private final WorkerRegistry list;
+    private final WorkerRegistry registry;
     private final Attempts attempts;
     private DiscoveryWatch watch;
-    private final ShutdownSchedule ending;
+    private final ShutdownSchedule shutdownSchedule;
     private final Lifecycle lifecycle;
     private final long seed;
     private final SiblingTracker siblings;
-    /** Discovery has spoken, or the wait for its first word is over. */
+    /** Whether discovery has sent its first message, or the wait for it has timed out. */
     private boolean listKnown;
-    /** Requests that came before. */
-    private final Map<Long, Early> early = new LinkedHashMap<>();
+    /** Requests that arrived before {@link #listKnown}, by client. */
+    private final Map<Long, EarlyRequest> early = new LinkedHashMap<>();
     private long wakeAt = Long.MAX_VALUE;
 
-    private record Early(Submission submission, long at) { }
+    private record EarlyRequest(Submission submission, long at) { }
 
-    /** The limits that the settings for the module don't carry. */
+    /** Limits that are not part of the decision module's settings. */
     public record Bounds(int clientConnections, int requests, int workerConnections, long connectTimeoutUs,
             long idleCloseUs) { }
 
+    /** Creates a reducer without optional features. */
     public Reducer(Settings settings, Bounds bounds, long seed) {
         this(settings, bounds, seed, OptionalFeatures.NONE);
     }
 
+    /** Creates a reducer; {@code seed} determines its random choices. */
     public Reducer(Settings settings, Bounds bounds, long seed, OptionalFeatures features) {
         core = new CoreContext(bounds, features.trace());
         core.guard = new ActionGuard(core, settings.classes(), settings.limits().secondCopies());
-        ending = ShutdownSchedule.of(settings.classes());
+        shutdownSchedule = ShutdownSchedule.of(settings.classes());
         this.seed = seed;
         siblings = new SiblingTracker(settings, core.timers, core.effects);
         requests = new Requests(core);
-        lifecycle = new Lifecycle(core, requests, siblings, ending, this::handInEarly);
-        list = new WorkerRegistry(core);
-        attempts = new Attempts(core, requests, list);
-        core.attendance = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
-        core.books = new FiguresPublisher(features.figures(), settings.classes().size(), this, core.timers, core.effects);
+        lifecycle = new Lifecycle(core, requests, siblings, shutdownSchedule, this::submitEarlyRequests);
+        registry = new WorkerRegistry(core);
+        attempts = new Attempts(core, requests, registry);
+        core.availabilityMonitor = new AvailabilityMonitor(features.availability(), bounds.clientConnections(), this, core.timers, core.effects);
+        core.metricsPublisher = new MetricsPublisher(features.metrics(), settings.classes().size(), this, core.timers, core.effects);
         core.health = features.health() == null ? null : new WorkerHealth(features.health(), seed, core.timers, core.effects);
         core.module = new DispatchPolicy(settings, seed, new ModuleActions(core, requests, attempts));
-        core.recollection = features.persistence() == null ? null
+        core.statePersistence = features.persistence() == null ? null
                 : new StatePersistence(features.persistence(), settings.classes(), core.module, core.timers, core.effects);
     }
 
+    /** Returns the current phase of the process. */
     public Phase phase() {
         return lifecycle.phase();
     }
 
-    // ---------------------------------------------------------------- what the dispatcher says of itself
+    // ---------------------------------------------------------------- status
     Dispatcher.Pressure pressure() {
         return core.module.pressure(core.now);
     }
@@ -84,7 +87,7 @@
         return core.module.workerCounts(core.now);
     }
 
-    /** Whether this process can serve, as far as it knows. */
+    /** Whether the process is serving, with the first list of discovery received or given up on. */
     boolean ready() {
         return phase() == Phase.SERVING && listKnown;
     }
@@ -101,9 +104,9 @@
         return requests.owed() + early.size();
     }
 
-    /** So long after the word to end the process ends, whatever is left. */
+    /** Returns the time after the shutdown request at which the process ends at the latest. */
     public long shutdownTimeoutUs() {
-        return ending.exitUs();
+        return shutdownSchedule.shutdownTimeoutUs();
     }
 
     int workersDown() {
@@ -118,17 +121,17 @@
         return watch == null ? 0 : watch.version();
     }
 
-    /** What the module has learned, as of the last event. */
+    /** Returns what the module has learned, as of the last event. */
     public LearnedState learned() {
         return core.module.learned(core.now);
     }
 
-    /** What the event in hand has asked for so far: where taking it in has failed, that is still to be done. */
+    /** Returns the effects of the current event so far. They remain to be performed if {@link #reduce} has thrown. */
     public List<Effect> pendingEffects() {
         return Collections.unmodifiableList(core.effects);
     }
 
-    /** Takes one event in; returns the effects it asks for, in order, in a list that stands until the next call. */
+    /** Processes one event and returns its effects in order, in a list that is valid until the next call. */
     public List<Effect> reduce(Event event, long time) {
         core.now = Math.max(core.now, time);
         core.effects.clear();
@@ -147,8 +150,8 @@
     }
 
     private void settle() {
-        while (!core.afterwards.isEmpty()) {
-            core.afterwards.remove().run();
+        while (!core.deferred.isEmpty()) {
+            core.deferred.remove().run();
         }
     }
 
@@ -159,27 +162,27 @@
             core.trace.clientOpened(e.client());
             core.clients.opened(e.client(), core.now);
         } else if (event instanceof Event.RequestStarted e) {
-            core.clients.begun(e.client(), core.now);
+            core.clients.requestStarted(e.client(), core.now);
         } else if (event instanceof Event.RequestContinued e) {
-            core.clients.heard(e.client(), core.now);
+            core.clients.received(e.client(), core.now);
         } else if (event instanceof Event.RequestArrived e) {
             core.clients.arrived(e.client(), core.now);
             if (listKnown) {
                 requests.arrived(e.client(), e.submission(), core.now - e.unreadUs());
             } else {
-                waitForWord(e.client(), new Early(e.submission(), core.now - e.unreadUs()));
+                holdUntilFirstList(e.client(), new EarlyRequest(e.submission(), core.now - e.unreadUs()));
             }
         } else if (event instanceof Event.AnsweredLocally e) {
             core.clients.answering(e.client(), core.now);
         } else if (event instanceof Event.AnswerWritten e) {
-            core.books.written(e.client());
+            core.metricsPublisher.replyWritten(e.client());
             core.clients.written(e.client(), e.last(), core.now);
         } else if (event instanceof Event.ClientHalfClosed e) {
-            core.clients.shut(e.client(), core.now);
+            core.clients.halfClosed(e.client(), core.now);
         } else if (event instanceof Event.ClientClosed e) {
             core.trace.clientClosed(e.client(), e.reason());
             early.remove(e.client());
-            core.books.closed(e.client());
+            core.metricsPublisher.clientClosed(e.client());
             core.clients.closed(e.client());
             requests.clientGone(e.client());
         } else if (event instanceof Event.WorkerConnected e) {
@@ -187,101 +190,101 @@
         } else if (event instanceof Event.SocketsPolled e && e.connection() == Effect.PollSockets.NO_CONNECTION) {
             listKnown();
         } else if (event instanceof Event.SocketsPolled e && e.connection() == Effect.PollSockets.SHUTDOWN) {
-            lifecycle.looked();
+            lifecycle.socketsPolled();
         } else if (event instanceof Event.SocketsPolled e) {
-            attempts.looked(core.pool.get(e.connection()));
+            attempts.socketsPolled(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestNotSent e) {
             attempts.notSent(core.pool.get(e.connection()));
         } else if (event instanceof Event.RequestWritten e) {
-            core.books.dispatched();
+            core.metricsPublisher.attemptDispatched();
             attempts.written(core.pool.get(e.connection()));
         } else if (event instanceof Event.AttemptUpdated e) {
-            attempts.workerSaid(core.pool.get(e.connection()), e.update());
+            attempts.attemptUpdated(core.pool.get(e.connection()), e.update());
         } else if (event instanceof Event.WorkerAnswerEnded e) {
             attempts.answerEnded(core.pool.get(e.connection()), e.reusable());
         } else if (event instanceof Event.WorkerClosed e) {
             attempts.workerClosed(core.pool.get(e.connection()), e.reason());
         } else if (event instanceof Event.WatchUpdated e) {
-            DiscoveryWatch.ListAcceptance heed = watch.heard(e.list(), !core.workers.isEmpty(), core.now);
-            core.attendance.heard(heed == DiscoveryWatch.ListAcceptance.ALL, core.now);
-            if (heed == DiscoveryWatch.ListAcceptance.ALL) {
-                list.listed(e.list().whole() ? ListUpdate.WHOLE : ListUpdate.CHANGES, e.list());
-            } else if (heed == DiscoveryWatch.ListAcceptance.DRAINS) {
-                list.drained(e.list());
+            DiscoveryWatch.ListAcceptance acceptance = watch.received(e.list(), !core.workers.isEmpty(), core.now);
+            core.availabilityMonitor.discoveryUpdated(acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED, core.now);
+            if (acceptance == DiscoveryWatch.ListAcceptance.ACCEPTED) {
+                registry.listUpdated(e.list().whole() ? ListUpdate.WHOLE : ListUpdate.CHANGES, e.list());
+            } else if (acceptance == DiscoveryWatch.ListAcceptance.DRAINS_ONLY) {
+                registry.applyDrains(e.list());
             }
             listKnown();
         } else if (event instanceof Event.WatchEnded e) {
             watch.ended(e.reason(), core.now);
         } else if (event instanceof Event.DiscoveryAddressChanged e) {
-            watch.move(e.address(), core.now);
+            watch.changeAddress(e.address(), core.now);
         } else if (event instanceof Event.SiblingMessage e) {
-            if (!siblings.heard(e.from(), e.message(), core.now)) {
+            if (!siblings.received(e.from(), e.message(), core.now)) {
                 core.module.messageReceived(core.now, e.from(), e.message());
             }
         } else if (event instanceof Event.ShutdownRequested e) {
-            lifecycle.terminated(e.takenOver());
+            lifecycle.shutdownRequested(e.superseded());
         } else if (event instanceof Event.ListenerClosed e) {
             lifecycle.listenerClosed(e.emptied());
         } else if (event instanceof Event.ResourcesSampled e) {
-            core.attendance.sampled(e.resources(), core.now);
+            core.availabilityMonitor.resourcesSampled(e.resources(), core.now);
         } else if (event instanceof Event.ModeRequested e) {
-            core.attendance.wished(e.mode(), core.now);
+            core.availabilityMonitor.modeRequested(e.mode(), core.now);
         } else if (event instanceof Event.AvailabilitySettingsChanged e) {
-            core.attendance.retuned(e.settings());
-        } else if (event instanceof Event.StateRecovered e && core.recollection != null) {
-            core.recollection.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
+            core.availabilityMonitor.settingsChanged(e.settings());
+        } else if (event instanceof Event.StateRecovered e && core.statePersistence != null) {
+            core.statePersistence.recovered(e.learned(), core.workers.values().stream().map(p -> p.listed).toList(), core.now);
         } else if (event instanceof Event.StateInherited e) {
             core.module.restore(core.now, e.learned());
             core.effects.add(new Effect.Log(LogEvent.HAND_OVER_RECEIVED, e.learned().workers().size(), e.learned().buckets().size()));
         } else if (event instanceof Event.ProbeEnded e && core.health != null) {
-            list.judged(core.health.probed(e.worker(), e.healthy(), e.reason(), core.now));
+            registry.healthChanged(core.health.probed(e.worker(), e.healthy(), e.reason(), core.now));
         }
     }
 
     // ---------------------------------------------------------------- phases
     private void opened(WorkerList known, String discovery) {
         core.module.start(core.now);
-        core.attendance.opened(core.now);
-        list.listed(ListUpdate.SAVED, known);
+        core.availabilityMonitor.opened(core.now);
+        registry.listUpdated(ListUpdate.SAVED, known);
         watch = new DiscoveryWatch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
-            // a start after a planned end or a crash: clients wait for it, and the last list is as good as it was
+            // after a restart clients are waiting, and the saved list is the best one available
             lifecycle.serve();
         }
-        // a busy loop, as after a start, may have it in its sockets by then
-        core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_WORD_US : START_US),
+        // the event loop is busy after a start: the list may have arrived by then but not have been read
+        core.timers.at(core.now + (phase() == Phase.SERVING ? FIRST_LIST_TIMEOUT_US : START_TIMEOUT_US),
                 t -> core.effects.add(new Effect.PollSockets(Effect.PollSockets.NO_CONNECTION)));
         sweep(core.now);
-        core.books.opened(core.now);
-        if (core.recollection != null) {
-            core.recollection.begin(core.now);
+        core.metricsPublisher.opened(core.now);
+        if (core.statePersistence != null) {
+            core.statePersistence.begin(core.now);
         }
         if (core.health != null) {
-            core.health.begin(list::judged, core.workers, core.now);
+            core.health.begin(registry::healthChanged, core.workers, core.now);
         }
     }
 
-    /** There is no better list to be had for now. */
+    /** Starts to serve: the first list has been received, or no better one is available for now. */
     private void listKnown() {
         boolean first = !listKnown;
         listKnown = true;
         lifecycle.serve();
-        handInEarly();
+        submitEarlyRequests();
         if (first) {
-            core.books.publish();
+            core.metricsPublisher.publish();
         }
     }
 
-    private void handInEarly() {
+    private void submitEarlyRequests() {
         early.forEach((client, e) -> requests.arrived(client, e.submission(), e.at()));
         early.clear();
     }
 
-    /** Holds a request until discovery's first word, or until there is only the time left for its answer. */
-    private void waitForWord(long client, Early request) {
+    /** Holds a request until the first list is known, or until only the time to write its answer is left. */
+    private void holdUntilFirstList(long client, EarlyRequest request) {
         early.put(client, request);
-        long until = request.at() + request.submission().remainingUs() - Requests.ANSWER_US;
+        long until = request.at() + request.submission().remainingUs() - Requests.ANSWER_MARGIN_US;
         core.timers.at(Math.max(core.now, until), t -> {
             if (early.remove(client, request)) {
                 requests.arrived(client, request.submission(), request.at());
@@ -291,6 +294,6 @@
 
     private void sweep(long at) {
         core.pool.sweep(core.workers.values(), at);
-        core.timers.at(at + SWEEP_US, this::sweep);
+        core.timers.at(at + SWEEP_INTERVAL_US, this::sweep);
     }
 }
--- a/src/main/java/granitefold/core/WorkerHealth.java
+++ b/src/main/java/granitefold/core/WorkerHealth.java
@@ -17,99 +17,99 @@
 import java.util.stream.Collectors;
 
 /**
- * Drives the health board: its probes become effects, its changes an overlay on discovery's list. A worker that looks
- * dead is shown to the module as draining, so that it gets nothing new; what discovery calls draining or gone stays so.
+ * Drives the health tracker: turns its probes into effects and its changes into an overlay on discovery's list. A worker that
+ * is considered down is shown to the module as draining, so that it gets no new jobs; draining or gone in the list stays so.
  */
 final class WorkerHealth {
-    private final HealthSettings set;
-    private final WorkerHealthTracker board;
+    private final HealthSettings settings;
+    private final WorkerHealthTracker tracker;
     private final Timers timers;
     private final List<Effect> effects;
-    /** What was last decided of workers that are not simply as listed. */
+    /** The last health change of each worker that has had one. */
     private final Map<Long, Change> overlay = new HashMap<>();
-    /** Time limits of the probes that are out. */
-    private final Map<Long, Timers.Timer> limits = new HashMap<>();
-    private Consumer<List<Change>> judge;
+    /** Timeouts of pending probes. */
+    private final Map<Long, Timers.Timer> timeouts = new HashMap<>();
+    private Consumer<List<Change>> onChange;
     private Map<Long, Worker> workers = Map.of();
     private Timers.Timer timer;
     private boolean panic;
 
-    WorkerHealth(HealthSettings set, long seed, Timers timers, List<Effect> effects) {
-        this.set = set;
-        board = new WorkerHealthTracker(set, seed);
+    WorkerHealth(HealthSettings settings, long seed, Timers timers, List<Effect> effects) {
+        this.settings = settings;
+        tracker = new WorkerHealthTracker(settings, seed);
         this.timers = timers;
         this.effects = effects;
     }
 
     void begin(Consumer<List<Change>> changes, Map<Long, Worker> all, long now) {
-        judge = changes;
+        onChange = changes;
         workers = all;
-        tick(now);
+        probeDue(now);
     }
 
-    List<Change> listed(Collection<Worker> all, long now) {
-        Set<Long> ready = all.stream().filter(p -> p.state == State.READY).map(p -> p.id)
+    List<Change> listUpdated(Collection<Worker> all, long now) {
+        Set<Long> ready = all.stream().filter(worker -> worker.state == State.READY).map(worker -> worker.id)
                 .collect(Collectors.toCollection(LinkedHashSet::new));
         overlay.keySet().retainAll(ready);
-        limits.entrySet().removeIf(e -> {
-            boolean left = !ready.contains(e.getKey());
-            if (left) {
+        timeouts.entrySet().removeIf(e -> {
+            boolean removed = !ready.contains(e.getKey());
+            if (removed) {
                 timers.cancel(e.getValue());
                 effects.add(new Effect.CancelProbe(e.getKey()));
             }
-            return left;
+            return removed;
         });
-        return after(board.updateWorkers(ready, now), now);
+        return apply(tracker.updateWorkers(ready, now), now);
     }
 
-    List<Change> probed(long worker, boolean well, String reason, long now) {
-        timers.cancel(limits.remove(worker));
-        return after(board.onProbeResult(worker, well, reason, now), now);
+    List<Change> probed(long worker, boolean healthy, String reason, long now) {
+        timers.cancel(timeouts.remove(worker));
+        return apply(tracker.onProbeResult(worker, healthy, reason, now), now);
     }
 
-    List<Change> tried(long worker, Outcome outcome, long now) {
-        return after(board.onAttemptOutcome(worker, outcome, now), now);
+    List<Change> attemptEnded(long worker, Outcome outcome, long now) {
+        return apply(tracker.onAttemptOutcome(worker, outcome, now), now);
     }
 
     int down() {
-        return board.unhealthyCount();
+        return tracker.unhealthyCount();
     }
 
     boolean panic() {
-        return board.inPanicMode();
+        return tracker.inPanicMode();
     }
 
-    /** How a listed worker is shown to the module. */
-    Dispatcher.Worker seen(Dispatcher.Worker listed) {
-        Change c = listed.state() == State.READY ? overlay.get(listed.id()) : null;
-        if (c == null) {
+    /** Returns a listed worker as it is shown to the module. */
+    Dispatcher.Worker withOverlay(Dispatcher.Worker listed) {
+        Change change = listed.state() == State.READY ? overlay.get(listed.id()) : null;
+        if (change == null) {
             return listed;
         }
-        return new Dispatcher.Worker(listed.id(), listed.size(), c.usable() ? State.READY : State.DRAINING,
-                Math.max(listed.startedAtUs(), c.recoveredAt()), listed.zone(), listed.cell(), listed.kind());
+        return new Dispatcher.Worker(listed.id(), listed.size(), change.usable() ? State.READY : State.DRAINING,
+                Math.max(listed.startedAtUs(), change.recoveredAt()), listed.zone(), listed.cell(), listed.kind());
     }
 
-    private List<Change> after(List<Change> changes, long now) {
-        changes.forEach(c -> overlay.put(c.worker(), c));
-        if (board.inPanicMode() != panic) {
-            panic = board.inPanicMode();
+    private List<Change> apply(List<Change> changes, long now) {
+        changes.forEach(change -> overlay.put(change.worker(), change));
+        if (tracker.inPanicMode() != panic) {
+            panic = tracker.inPanicMode();
             if (panic) {
-                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, board.unhealthyCount(), board.workerCount()));
+                effects.add(new Effect.Log(LogEvent.WORKER_PANIC, tracker.unhealthyCount(), tracker.workerCount()));
             }
         }
-        if (judge != null) {
+        if (onChange != null) {
             schedule(now);
         }
         return changes;
     }
 
-    private void tick(long now) {
-        judge.accept(after(board.expireEjections(now), now));
-        for (long id : board.takeDueProbes(now)) {
+    private void probeDue(long now) {
+        onChange.accept(apply(tracker.expireEjections(now), now));
+        for (long id : tracker.takeDueProbes(now)) {
             effects.add(new Effect.StartProbe(id, workers.get(id).address));
-            limits.put(id, timers.at(now + set.timeoutUs(), t -> {
+            timeouts.put(id, timers.at(now + settings.timeoutUs(), t -> {
                 effects.add(new Effect.CancelProbe(id));
-                judge.accept(probed(id, false, "no answer in time", t));
+                onChange.accept(probed(id, false, "no answer in time", t));
             }));
         }
         schedule(now);
@@ -117,7 +117,7 @@
 
     private void schedule(long now) {
         timers.cancel(timer);
-        long at = board.nextWakeUpAt(now);
-        timer = at == Long.MAX_VALUE ? null : timers.at(at, this::tick);
+        long at = tracker.nextWakeUpAt(now);
+        timer = at == Long.MAX_VALUE ? null : timers.at(at, this::probeDue);
     }
 }
--- a/src/main/java/granitefold/wire/LoadMetrics.java
+++ b/src/main/java/granitefold/wire/LoadMetrics.java
@@ -18,6 +18,6 @@
         return String.format(Locale.ROOT, "TEXT cpu_utilization=%.3f, mem_utilization=%.3f, application_utilization=%.3f,"
                 + " rps_fractional=%.1f, eps=%.1f, named_metrics.weight=%d, named_metrics.owed=%d",
                 Math.max(0, report.resources().cpuShare()), report.resources().heapShare(), report.waitRatio(), report.answersPerSecond(),
-                report.answersPerSecond() * report.rejectShare(), report.verdict().weightPercent(), report.owed());
+                report.answersPerSecond() * report.rejectShare(), report.availability().weightPercent(), report.owed());
     }
 }
--- a/src/main/java/granitefold/wire/StatusReportJson.java
+++ b/src/main/java/granitefold/wire/StatusReportJson.java
@@ -23,12 +23,12 @@
             generator.writeStartObject();
             generator.writeNumberField("version", VERSION);
             generator.writeStringField("name", name);
-            generator.writeStringField("standing", silent ? "SILENT" : report == null ? "STARTING" : report.verdict().status().name());
+            generator.writeStringField("standing", silent ? "SILENT" : report == null ? "STARTING" : report.availability().status().name());
             if (report != null) {
-                generator.writeNumberField("weight", silent ? 0 : report.verdict().weightPercent());
-                generator.writeNumberField("maxconn", silent ? 0 : report.verdict().maxConnections());
-                generator.writeStringField("reason", silent ? "the loop is silent" : report.verdict().reason());
-                generator.writeBooleanField("impaired", report.verdict().impaired());
+                generator.writeNumberField("weight", silent ? 0 : report.availability().weightPercent());
+                generator.writeNumberField("maxconn", silent ? 0 : report.availability().maxConnections());
+                generator.writeStringField("reason", silent ? "the loop is silent" : report.availability().reason());
+                generator.writeBooleanField("impaired", report.availability().impaired());
                 generator.writeStringField("phase", report.phase().name());
                 generator.writeStringField("wish", report.requestedMode().name());
                 generator.writeNumberField("owed", report.owed());
