--- a/src/main/java/granitefold/standin/ground/ProcessFaults.java
+++ b/src/main/java/granitefold/standin/ground/ProcessFaults.java
@@ -101,7 +101,7 @@
         dispatcher.sendUnrecordedSignal(incarnation, "CONT");
     }
 
-    /** Terminates a process amid pauses and a series of signals, kills it at the earliest time the platform may, and restarts it. */
+    /** Terminates a process amid pauses and signals, kills it if it still runs when the platform may first do so, and restarts it. */
     private void restartGracefully(DispatcherUnderTest dispatcher) throws IOException, InterruptedException {
         if (!dispatcher.lifecycleLock.tryLock()) {
             return;
--- a/src/main/java/granitefold/standin/ground/Scenario.java
+++ b/src/main/java/granitefold/standin/ground/Scenario.java
@@ -105,10 +105,10 @@
                 / classes.values().stream().mapToDouble(JobClass::share).sum();
         Scenario s = new Scenario(name, root.string("about", "", "a sentence", t -> true), root.durationUs("for", 10_000_000, 500, 60 * MINUTE_MS),
                 new Dispatchers(dispatchers.integer("count", 2, 1, MAX_DISPATCHERS), dispatchers.integer("memory-mb", 160, 64, 1024),
-                        dispatchers.durationUs("front-notice", 1_500_000, 0, MINUTE_MS), dispatchers.string("operator", "",
-                                "the text of an operators' file", t -> true),
+                        dispatchers.durationUs("front-notice", 1_500_000, 0, MINUTE_MS),
+                        dispatchers.string("operator", "", "the text of an operators' file", t -> true),
                         dispatchers.bool("state", false), dispatchers.bool("beside", false), dispatchers.bool("talk", true),
-                                dispatchers.bool("kept", false),
+                        dispatchers.bool("kept", false),
                         dispatchers.integer("sockets", 1024, 64, 65_536), dispatchers.bool("faults", false)),
                 workers(workers, meanWork),
                 new Load(load.number("rate", 60, 0.1, 5000), load.integer("retries", 2, 0, 10), load.number("impatient", 0, 0, 1),
@@ -154,9 +154,8 @@
                     section.durationUs("at", 0, 0, 60 * MINUTE_MS), section.string("when", "", "ready NAME, exited NAME or served COUNT",
                             t -> t.matches("(ready|exited) \\S+|served \\d+")),
                     section.strings("to", "names of dispatchers, workers or tenants", t -> t.matches("\\S+")), between,
-                    section.strings("edges", "client, peer, discovery, sibling, control", t -> List.of("client", "peer", "discovery", "sibling",
-                            "control")
-                            .contains(t)),
+                    section.strings("edges", "client, peer, discovery, sibling, control",
+                            t -> List.of("client", "peer", "discovery", "sibling", "control").contains(t)),
                     section.number("amount", 0, 0, 1e9), section.durationUs("lasts", 0, 0, 60 * MINUTE_MS));
             if (step.action.isEmpty()) {
                 section.reject("do", "a step needs an action");
