--- a/src/test/java/granitefold/real/EndingsIT.java
+++ b/src/test/java/granitefold/real/EndingsIT.java
@@ -12,176 +12,176 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A planned end, and what is still owed to whom at each of its instants. */
+/** Graceful shutdown: what each client still receives in each of its phases. */
 public class EndingsIT extends RealTest {
     @Test
-    public void aPlannedEndFinishesWhatIsOpen() throws Exception {
-        start(a);
+    public void gracefulShutdownFinishesOpenRequests() throws Exception {
+        start(workerA);
         Exchange early = send("/ficha?sid=1", "t1", "");
-        Exchange served = a.accept().answer("started");
-        Exchange idle = resting();
-        Exchange stuck = send("/once", "t2", "");
-        a.accept().answer("started");
-        // begun before the signal and ended after it: no machine is too slow for that
+        Exchange openAttempt = workerA.accept().startAnswer("started");
+        Exchange idle = idleConnection();
+        Exchange unanswered = send("/once", "t2", "");
+        workerA.accept().startAnswer("started");
+        // Started before the signal and completed after it, which works on slow machines too.
         String raw = request("/ficha?sid=1", "t3", TIME, "soup");
         Exchange late = program.client().write(raw.substring(0, 30));
         program.process.toHandle().destroy();
         program.awaitLog("phase: DRAINING");
         late.write(raw.substring(30));
-        Exchange worker = a.accept();
-        worker.answer("done").end();
-        assertEquals(late.status(), 200);
-        // whoever has a connection goes on using it
+        Exchange worker = workerA.accept();
+        worker.startAnswer("done").endAnswer();
+        assertEquals(late.readStatus(), 200);
+        // A client keeps using the connection that it has.
         late.write(request("/ficha?sid=1", "t4", TIME, "salt"));
-        nextAttempt(worker).answer("done").end();
-        assertEquals(late.status() + late.body, "200made salt");
-        served.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(early.status(), 200);
+        nextAttempt(worker).startAnswer("done").endAnswer();
+        assertEquals(late.readStatus() + late.body, "200made salt");
+        openAttempt.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(early.readStatus(), 200);
         program.awaitLog("phase: FINISHING");
-        assertTrue(idle.closed());
-        assertEquals(stuck.status(), 500);
-        awaitEnd();
+        assertTrue(idle.awaitClose());
+        assertEquals(unanswered.readStatus(), 500);
+        awaitExit();
     }
 
     @Test
-    public void aHangUpDuringAPlannedEndDoesNotDisturbIt() throws Exception {
-        start(a);
+    public void sighupDuringGracefulShutdownHasNoEffect() throws Exception {
+        start(workerA);
         Exchange client = send("/ficha?sid=1", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: DRAINING");
         program.moveDiscovery();
         program.signal("HUP");
-        program.watch(list(2, false));
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
+        program.acceptWatch(list(2, false));
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
-        awaitEnd();
+        awaitExit();
     }
 
     /**
-     * The platform kills a process so much the earlier as its classes' deadlines are short; ends were timed for the longest, so
-     * that a worker that hung just then cost its client the answer.
+     * The platform's kill comes earlier where the classes' deadlines are short. Guards against a shutdown timed for the longest
+     * deadline: a client whose worker hangs during the shutdown got no answer before the kill.
      */
     @Test
-    public void withShortDeadlinesTheEndComesBeforeTheKill() throws Exception {
-        deadlines(500);
-        start(a);
+    public void shortDeadlinesShortenTheShutdown() throws Exception {
+        useDeadlines(500);
+        start(workerA);
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
-        Exchange idle = resting();
+        workerA.accept().startAnswer("started");
+        Exchange idle = idleConnection();
         program.signal("TERM");
-        assertEquals(client.status(), 500);
-        assertTrue(idle.closed());
+        assertEquals(client.readStatus(), 500);
+        assertTrue(idle.awaitClose());
         idle.close();
         client.close();
-        awaitEnd();
+        awaitExit();
         long ms = between("phase: DRAINING", "phase: STOPPED").toMillis();
-        // 1.2 s are given; for 3 s and more it would take 3.5
-        assertTrue(ms < 2_500, "it took " + ms + " ms");
+        // The kill comes after 1.2 s; with deadlines of 3 s and more the shutdown takes 3.5 s.
+        assertTrue(ms < 2_500, "the shutdown took " + ms + " ms");
     }
 
-    /** Who halts over unread bytes resets the connection, and the answer that is still on its way goes with it. */
+    /** Guards against exiting with unread bytes: that resets the connection and destroys an answer still in transit. */
     @Test
-    public void whoSendsOnAcrossTheLastAnswerStillReadsItsEnd() throws Exception {
-        deadlines(500);
-        start(a);
+    public void clientThatKeepsSendingStillReadsTheWholeLastAnswer() throws Exception {
+        useDeadlines(500);
+        start(workerA);
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
+        workerA.accept().startAnswer("started");
         program.signal("TERM");
         Thread sender = new Thread(() -> {
             try {
                 while (!Thread.currentThread().isInterrupted()) {
                     client.write("x");
-                    // more than 128 KiB ahead of an answer would be a flood
+                    // More than 128 KiB ahead of an answer counts as a flood.
                     Thread.sleep(0, 200_000);
                 }
             } catch (IOException | InterruptedException e) {
-                // it is over
+                // The connection was closed or the test has ended.
             }
         });
         sender.start();
-        assertEquals(client.status(), 500);
-        assertEquals(client.in.read(), -1, "an end, and no reset");
-        assertTrue(program.process.isAlive(), "it waits for us");
+        assertEquals(client.readStatus(), 500);
+        assertEquals(client.input.read(), -1, "the connection must end without a reset");
+        assertTrue(program.process.isAlive(), "the process must wait for the client to close");
         sender.interrupt();
         sender.join();
         client.close();
-        awaitEnd();
+        awaitExit();
     }
 
-    /** Only its close was seen, and no answer. */
+    /** Guards against closing a connection with a partial request without an answer. */
     @Test
-    public void whoHasSentHalfARequestIsToldAtTheEnd() throws Exception {
-        deadlines(500);
-        start(a);
+    public void partialRequestIsRejectedAtShutdown() throws Exception {
+        useDeadlines(500);
+        start(workerA);
         String raw = request("/ficha", "t1", TIME, "soup");
         program.signal("TERM");
         program.awaitLog("phase: DRAINING");
         Exchange client = program.client().write(raw.substring(0, raw.length() - 1));
-        assertEquals(client.status(), 503);
-        // the rest comes too late, and is not sent on
+        assertEquals(client.readStatus(), 503);
+        // The rest arrives too late and is not forwarded.
         client.write(raw.substring(raw.length() - 1));
-        assertEquals(client.in.read(), -1);
+        assertEquals(client.input.read(), -1);
         client.close();
-        awaitEnd();
-        assertFalse(called(a));
+        awaitExit();
+        assertFalse(hasPendingConnection(workerA));
     }
 
-    /** Some clients rest until they are ended, and send just then. */
+    /** A client that was idle sends a request just after its connection was shut down. */
     @Test
-    public void aRequestThatCrossesTheShutdownIsNotSentOn() throws Exception {
-        deadlines(500);
-        start(a);
-        Exchange client = resting();
+    public void requestSentAfterTheConnectionWasShutDownIsNotForwarded() throws Exception {
+        useDeadlines(500);
+        start(workerA);
+        Exchange client = idleConnection();
         program.signal("TERM");
-        assertTrue(client.closed(), "shut");
+        assertTrue(client.awaitClose(), "the connection was not shut down");
         client.write(request("/ficha", "t1", TIME, "soup"));
-        assertEquals(client.restOrReset(), "");
+        assertEquals(client.readToEndOrReset(), "");
         client.close();
-        awaitEnd();
-        assertFalse(called(a));
+        awaitExit();
+        assertFalse(hasPendingConnection(workerA));
     }
 
     /**
-     * Their last words are read for as long as the process may live: who halts at once resets what crosses it. Then it ends
-     * all the same, since what is told from then on is of no use to anybody.
+     * Data in transit is read until the closing timeout, since an immediate exit resets connections with unread data. Clients
+     * that stay connected do not delay the exit beyond it.
      */
     @Test
-    public void clientsThatNeverCloseAreReadOutButDoNotKeepItFromEnding() throws Exception {
-        deadlines(2_000);
-        start(a);
-        Exchange rests = resting();
+    public void unreadDataIsDrainedButOpenClientsDoNotPreventExit() throws Exception {
+        useDeadlines(2_000);
+        start(workerA);
+        Exchange idle = idleConnection();
         Exchange client = send("/once", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         program.signal("TERM");
         program.awaitLog("phase: FINISHING");
-        assertTrue(rests.closed(), "shut");
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
-        assertEquals(client.in.read(), -1, "shut");
-        awaitEnd();
+        assertTrue(idle.awaitClose(), "the connection was not shut down");
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
+        assertEquals(client.input.read(), -1, "the connection was not shut down");
+        awaitExit();
         long ms = between("phase: CLOSING", "phase: STOPPED").toMillis();
-        // 0.35 s by its own clock; none where it halts at once
-        assertTrue(ms >= 20, "it halted " + ms + " ms after its last answer");
+        // The closing timeout is 0.35 s; an immediate exit takes no time.
+        assertTrue(ms >= 20, "the process exited " + ms + " ms after its last answer");
     }
 
-    /** Whoever is ended to make room for another has just sent a first byte: a bare close might cross the rest of its request. */
+    /** A client closed to make room for another gets a 503, since a close without an answer could cross the rest of its request. */
     @Test
-    public void whoIsEndedToMakeRoomIsToldSo() throws Exception {
+    public void clientClosedToMakeRoomGetsAnAnswer() throws Exception {
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
-        start(a);
-        List<Exchange> begun = new ArrayList<>();
+        start(workerA);
+        List<Exchange> partial = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            begun.add(program.client().write("P"));
+            partial.add(program.client().write("P"));
         }
         int rejected = 0;
-        for (Exchange e : begun) {
-            int status = e.status();
-            // those who are left run out of time
-            assertTrue(status == 503 || status == 408, "told " + status);
+        for (Exchange e : partial) {
+            int status = e.readStatus();
+            // The remaining ones are timed out.
+            assertTrue(status == 503 || status == 408, "unexpected status " + status);
             rejected += status == 503 ? 1 : 0;
         }
-        assertTrue(rejected > 0, "some made room");
+        assertTrue(rejected > 0, "no client was closed to make room");
     }
 }
--- a/src/test/java/granitefold/real/KeptWorkerIT.java
+++ b/src/test/java/granitefold/real/KeptWorkerIT.java
@@ -10,100 +10,100 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Kept connections to workers, and what may come on them between two requests. */
+/** Idle connections to workers, and unexpected events on them between two requests. */
 public class KeptWorkerIT extends RealTest {
     private static final String TURNED_AWAY = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** What a selector finds at once it hands out in any order: each order comes up in so many rounds. */
+    /** A selector returns simultaneous events in any order; this many rounds cover each order. */
     private static final int ROUNDS = 10;
 
-    /** Sends one job after the other, each time with something having happened on all kept connections as the process stood still. */
-    private void betweenTwoRequests(Happening what) throws Exception {
-        start(a);
-        List<Exchange> kept = new ArrayList<>();
+    /** Sends pairs of jobs; between the two, while the process is paused, an event happens on all worker connections. */
+    private void eventBetweenTwoRequests(ConnectionEvent event) throws Exception {
+        start(workerA);
+        List<Exchange> workerConnections = new ArrayList<>();
         for (int i = 0; i < ROUNDS; i++) {
             Exchange client = program.client().write(request("/once", "k" + i, TIME, "soup"));
-            Exchange first = nextAttempt(kept.toArray(Exchange[]::new));
-            first.answerWhole("done");
-            assertEquals(client.status(), 200);
-            if (!kept.contains(first)) {
-                kept.add(first);
+            Exchange first = nextAttempt(workerConnections.toArray(Exchange[]::new));
+            first.answerAndEnd("done");
+            assertEquals(client.readStatus(), 200);
+            if (!workerConnections.contains(first)) {
+                workerConnections.add(first);
             }
-            standStill();
+            pauseProcess();
             client.write(request("/once", "t" + i, TIME, "salt"));
-            for (Exchange e : kept) {
-                what.to(e);
+            for (Exchange e : workerConnections) {
+                event.apply(e);
             }
-            goOn();
-            Exchange second = a.accept();
-            assertEquals(second.head.get("x-txn"), "t" + i, "on a new connection");
-            second.answerWhole("done");
-            assertEquals(client.status() + client.body, "200made salt");
-            for (Exchange e : kept) {
-                assertTrue(e.socket.isClosed() || e.closed(), "and nothing was sent on the others");
+            resumeProcess();
+            Exchange second = workerA.accept();
+            assertEquals(second.headers.get("x-txn"), "t" + i, "the second job must use a new connection");
+            second.answerAndEnd("done");
+            assertEquals(client.readStatus() + client.body, "200made salt");
+            for (Exchange e : workerConnections) {
+                assertTrue(e.socket.isClosed() || e.awaitClose(), "data was sent on another connection");
             }
-            kept = new ArrayList<>(List.of(second));
+            workerConnections = new ArrayList<>(List.of(second));
         }
     }
 
-    private interface Happening {
-        void to(Exchange kept) throws IOException;
+    private interface ConnectionEvent {
+        void apply(Exchange workerConnections) throws IOException;
     }
 
     /**
-     * A second answer to the first request stood in the socket when the second one was written. Its status says that nothing ran,
-     * so that a job that must not run twice was sent to another worker while it ran at this one.
+     * Guards against taking a second answer to the first request, already in the socket, for the answer to the second request:
+     * it says that nothing ran, so a job that must not run twice was sent to another worker while it ran at this one.
      */
     @Test
-    public void wordsOutOfTurnAreNotTheNextRequestsAnswer() throws Exception {
-        betweenTwoRequests(e -> e.write(TURNED_AWAY));
+    public void unexpectedDataIsNotTheNextRequestsAnswer() throws Exception {
+        eventBetweenTwoRequests(e -> e.write(TURNED_AWAY));
     }
 
-    /** The worker's end is found before anything is written: the job surely never ran there, and goes to a new connection. */
+    /** The worker's close is detected before anything is written, so the job cannot have run there and uses a new connection. */
     @Test
-    public void aKeptConnectionThatHasEndedIsNotWrittenTo() throws Exception {
-        betweenTwoRequests(Exchange::close);
+    public void closedIdleConnectionIsNotWrittenTo() throws Exception {
+        eventBetweenTwoRequests(Exchange::close);
     }
 
-    /** Half a line, or a line about another request, at the moment of the close is no result, and an unsafe job is not sent again. */
+    /** A partial line or a line about another request before the close is no result, and an unsafe job is not sent again. */
     @Test
-    public void halfALineAtTheCloseIsNoResult() throws Exception {
-        start(a);
+    public void partialLineAtTheCloseIsNoResult() throws Exception {
+        start(workerA);
         String whole = "{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}";
         String other = whole.replace("t1", "t0");
-        for (String said : new String[] {whole, whole.substring(0, 20), other + "\n"}) {
+        for (String answer : new String[] {whole, whole.substring(0, 20), other + "\n"}) {
             Exchange client = program.client().write(request("/once", "t1", TIME, "soup"));
-            Exchange e = a.accept();
-            e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(said.length()) + "\r\n" + said + "\r\n");
+            Exchange e = workerA.accept();
+            e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(answer.length()) + "\r\n" + answer + "\r\n");
             e.close();
-            assertEquals(client.status(), 500, said);
+            assertEquals(client.readStatus(), 500, answer);
         }
-        assertFalse(called(a), "nothing was sent again");
+        assertFalse(hasPendingConnection(workerA), "the job was sent again");
     }
 
-    /** An answer that never ends holds its client no longer than its time, and its connection is not used again. */
+    /** An answer that never ends delays the client at most until its deadline, and its connection is not reused. */
     @Test
-    public void anAnswerThatNeverEndsIsGivenUp() throws Exception {
-        start(a);
+    public void answerThatNeverEndsIsAbandonedAtTheDeadline() throws Exception {
+        start(workerA);
         Exchange client = program.client().write(request("/once", "t1", "X-Remaining-Ms: 400\r\n", "soup"));
-        Exchange e = a.accept();
+        Exchange e = workerA.accept();
         e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"id");
-        assertEquals(client.status(), 504);
-        assertTrue(e.closed());
-        assertFalse(called(a));
+        assertEquals(client.readStatus(), 504);
+        assertTrue(e.awaitClose());
+        assertFalse(hasPendingConnection(workerA));
     }
 
-    /** One of many requests on workers ends with its client: the others' attempts go on. */
+    /** When a client closes only its own attempt is cancelled; the attempts of others continue. */
     @Test
-    public void aClientThatLeavesTakesNoOtherAttemptAlong() throws Exception {
-        start(a);
-        Exchange leaves = send("/ficha", "t1", "");
-        Exchange one = a.accept().answer("started");
-        Exchange stays = send("/ficha", "t2", "");
-        Exchange two = a.accept().answer("started");
-        leaves.close();
-        assertTrue(one.closed());
-        two.lines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(stays.status() + stays.body, "200made");
+    public void closedClientDoesNotCancelOtherAttempts() throws Exception {
+        start(workerA);
+        Exchange closingClient = send("/ficha", "t1", "");
+        Exchange firstAttempt = workerA.accept().startAnswer("started");
+        Exchange stayingClient = send("/ficha", "t2", "");
+        Exchange secondAttempt = workerA.accept().startAnswer("started");
+        closingClient.close();
+        assertTrue(firstAttempt.awaitClose());
+        secondAttempt.writeLines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(stayingClient.readStatus() + stayingClient.body, "200made");
     }
 }
--- a/src/test/java/granitefold/real/RealProgram.java
+++ b/src/test/java/granitefold/real/RealProgram.java
@@ -17,55 +17,55 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The real program, started by the deploy file's {@code run}, with discovery, workers and clients played by the test
- * over loopback. Nothing sleeps: whoever waits, waits for the other side's word, at most {@link #PATIENCE_S}.
+ * The built program as a process, started by the deploy file's {@code run}; the test acts as discovery, workers and clients
+ * over loopback. There are no fixed sleeps: each wait is for an event and times out after {@link #TIMEOUT_S}.
  */
 final class RealProgram implements Closeable {
-    static final int PATIENCE_S = 30;
-    /** In the environment of a start: a jar to run instead of the deploy file's command. */
-    static final String JAR = "GRANITEFOLD_TEST_JAR";
+    static final int TIMEOUT_S = 30;
+    /** Environment variable that names a jar to run instead of the deploy file's command. */
+    static final String JAR_VARIABLE = "GRANITEFOLD_TEST_JAR";
     private static final InetAddress HOST = InetAddress.getLoopbackAddress();
 
     final List<String> log = new ArrayList<>();
     final Process process;
     private final Map<String, String> config = new HashMap<>();
-    private final Path file = Files.createTempFile("config", ".json");
-    private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    private final Path configurationFile = Files.createTempFile("config", ".json");
+    private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
     private ServerSocket discovery = listen();
     private final List<Closeable> opened = new ArrayList<>();
     private InetSocketAddress address;
 
-    /** The operator's file, where there is one. */
-    final Path operator;
+    /** The operator's file; null without one. */
+    final Path operatorFile;
 
-    /** Starts with these workers known; the fields replace or join those of the configuration. */
+    /** Starts with these known workers; {@code fields} are added to the configuration or replace its fields. */
     RealProgram(Map<String, String> fields, Worker... workers) throws IOException {
         this(null, fields, workers);
     }
 
-    /** The same with an operator's file of this text. */
+    /** Starts with an operator's file of this text as well; null for none. */
     RealProgram(String operatorText, Map<String, String> fields, Worker... workers) throws IOException {
         this(operatorText, Map.of(), fields, workers);
     }
 
-    /** The same with these variables in its environment. */
+    /** Starts with these environment variables as well. */
     RealProgram(String operatorText, Map<String, String> environment, Map<String, String> fields, Worker... workers) throws IOException {
         config.put("name", "\"n0\"");
-        config.put("listen", "\"" + text(HOST, 0) + "\"");
-        config.put("discovery", "\"" + text(HOST, discovery.getLocalPort()) + "\"");
+        config.put("listen", "\"" + hostAndPort(HOST, 0) + "\"");
+        config.put("discovery", "\"" + hostAndPort(HOST, discovery.getLocalPort()) + "\"");
         config.put("seed", "\"8c1f30d27a5be964\"");
         config.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024}");
         config.put("known", list(1, true, workers));
         config.put("settings", settings("\"attemptsCap\":4,\"connectTimeoutMs\":5000,\"idleCloseMs\":60000"));
         config.putAll(fields);
-        Files.writeString(file, json());
-        operator = operatorText == null ? null : Files.createTempFile("operator", ".conf");
-        if (operator != null) {
-            Files.writeString(operator, operatorText);
-            operator.toFile().deleteOnExit();
+        Files.writeString(configurationFile, json());
+        operatorFile = operatorText == null ? null : Files.createTempFile("operator", ".conf");
+        if (operatorFile != null) {
+            Files.writeString(operatorFile, operatorText);
+            operatorFile.toFile().deleteOnExit();
         }
-        process = launch(file, operator, environment);
-        Thread reader = new Thread(() -> process.inputReader().lines().forEach(lines::add));
+        process = launch(configurationFile, operatorFile, environment);
+        Thread reader = new Thread(() -> process.inputReader().lines().forEach(unreadLines::add));
         reader.setDaemon(true);
         reader.start();
     }
@@ -76,44 +76,44 @@
         return json + "}";
     }
 
-    /** Moves discovery to another address, and names it in the configuration. */
+    /** Moves discovery to another address and writes it to the configuration file. */
     void moveDiscovery() throws IOException {
         discovery.close();
         discovery = listen();
-        config.put("discovery", "\"" + text(HOST, discovery.getLocalPort()) + "\"");
-        Files.writeString(file, json());
+        config.put("discovery", "\"" + hostAndPort(HOST, discovery.getLocalPort()) + "\"");
+        Files.writeString(configurationFile, json());
     }
 
     void breakConfiguration() throws IOException {
-        Files.writeString(file, json().substring(1));
+        Files.writeString(configurationFile, json().substring(1));
     }
 
     void signal(String name) throws IOException {
         new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid()).inheritIO().start();
     }
 
-    /** Starts the program on a configuration as it is. */
-    static Process launchOn(String config) throws IOException {
-        Path file = Files.createTempFile("config", ".json");
-        Files.writeString(file, config);
-        return launch(file, null, Map.of());
+    /** Starts the program with exactly this configuration. */
+    static Process launchWithConfiguration(String config) throws IOException {
+        Path configurationFile = Files.createTempFile("config", ".json");
+        Files.writeString(configurationFile, config);
+        return launch(configurationFile, null, Map.of());
     }
 
-    private static Process launch(Path file, Path operator, Map<String, String> environment) throws IOException {
-        file.toFile().deleteOnExit();
-        String run = environment.containsKey(JAR) ? "exec java -jar " + environment.get(JAR) + " serve" : run();
-        ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", run + (operator == null ? "" : " --operator " + operator))
+    private static Process launch(Path configurationFile, Path operatorFile, Map<String, String> environment) throws IOException {
+        configurationFile.toFile().deleteOnExit();
+        String command = environment.containsKey(JAR_VARIABLE) ? "exec java -jar " + environment.get(JAR_VARIABLE) + " serve" : runCommand();
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command + (operatorFile == null ? "" : " --operator " + operatorFile))
                 .redirectErrorStream(true);
-        b.environment().put("LB_CONFIG", file.toString());
-        b.environment().putAll(environment);
-        return b.start();
+        builder.environment().put("LB_CONFIG", configurationFile.toString());
+        builder.environment().putAll(environment);
+        return builder.start();
     }
 
-    /** The deploy file's command. */
-    static String run() throws IOException {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
+    /** Returns the deploy file's {@code run} command. */
+    static String runCommand() throws IOException {
+        String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
                 .findFirst().orElseThrow();
-        return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'));
+        return command.substring(command.indexOf('"') + 1, command.lastIndexOf('"'));
     }
 
     static String settings(String limits) {
@@ -121,30 +121,30 @@
     }
 
     static String list(long index, boolean whole, Worker... workers) {
-        StringBuilder b = new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
-        for (Worker p : workers) {
-            b.append(b.charAt(b.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(p.name)
-                    .append("\",\"address\":\"").append(text(HOST, p.server.getLocalPort())).append("\",\"status\":\"")
-                    .append(p.status).append("\",\"weight\":1.0,\"since_ms\":0,\"zone\":\"a\",\"type\":\"m\"}");
+        StringBuilder json = new StringBuilder("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[");
+        for (Worker worker : workers) {
+            json.append(json.charAt(json.length() - 1) == '[' ? "" : ",").append("{\"name\":\"").append(worker.name)
+                    .append("\",\"address\":\"").append(hostAndPort(HOST, worker.server.getLocalPort())).append("\",\"status\":\"")
+                    .append(worker.status).append("\",\"weight\":1.0,\"since_ms\":0,\"zone\":\"a\",\"type\":\"m\"}");
         }
-        return b + "]}";
+        return json + "]}";
     }
 
-    private static String text(InetAddress host, int port) {
+    private static String hostAndPort(InetAddress host, int port) {
         return host.getHostAddress() + ":" + port;
     }
 
     private static ServerSocket listen() throws IOException {
         ServerSocket s = new ServerSocket(0, 50, HOST);
-        s.setSoTimeout(PATIENCE_S * 1000);
+        s.setSoTimeout(TIMEOUT_S * 1000);
         return s;
     }
 
-    /** Waits for a line of the log that holds a text. */
+    /** Waits for a new log line that contains a text, and returns it. */
     String awaitLog(String part) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        for (String line = lines.poll(PATIENCE_S, TimeUnit.SECONDS); line != null;
-                line = lines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        for (String line = unreadLines.poll(TIMEOUT_S, TimeUnit.SECONDS); line != null;
+                line = unreadLines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) {
             log.add(line);
             if (line.contains(part)) {
                 return line;
@@ -153,7 +153,7 @@
         throw new AssertionError("no '" + part + "' in the log:\n" + String.join("\n", log));
     }
 
-    /** The same for a line that may have come already. */
+    /** Returns a log line that contains a text, waiting for it if it has not been read yet. */
     String hasLogged(String part) throws InterruptedException {
         for (String line : log) {
             if (line.contains(part)) {
@@ -163,50 +163,50 @@
         return awaitLog(part);
     }
 
-    /** Takes in what the log has by now. */
+    /** Adds the lines logged so far to {@link #log}. */
     void drainLog() {
-        lines.drainTo(log);
+        unreadLines.drainTo(log);
     }
 
-    /** Accepts the next watch on discovery and answers with these lines. */
-    Exchange watch(String... list) throws IOException {
-        Exchange e = keep(new Exchange(discovery.accept()));
+    /** Accepts the next discovery watch and answers with these lines. */
+    Exchange acceptWatch(String... list) throws IOException {
+        Exchange e = closeAtEnd(new Exchange(discovery.accept()));
         e.read();
         e.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        e.lines(list);
+        e.writeLines(list);
         return e;
     }
 
-    /** Accepts the first watch, tells that nothing changed, and waits until the program serves. */
-    Exchange serving() throws IOException, InterruptedException {
+    /** Accepts the first discovery watch, reports no change, and waits until the program serves. */
+    Exchange awaitServing() throws IOException, InterruptedException {
         address = addressIn(" listening on ");
-        Exchange watch = watch(list(1, false));
+        Exchange watch = acceptWatch(list(1, false));
         awaitLog("phase: SERVING");
         return watch;
     }
 
-    /** The address at the end of a line of the log that holds a text. */
+    /** Waits for a log line that contains a text, and returns the address at its end. */
     InetSocketAddress addressIn(String part) throws InterruptedException {
         String line = awaitLog(part);
         return new InetSocketAddress(HOST, Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim()));
     }
 
-    /** A new connection to an address, from one of loopback's own where it is named. */
+    /** Opens a connection, from the given loopback address if it is not null. */
     Exchange connect(InetSocketAddress to, String from) throws IOException {
         Socket s = new Socket();
         if (from != null) {
             s.bind(new InetSocketAddress(from, 0));
         }
-        s.connect(to, PATIENCE_S * 1000);
-        return keep(new Exchange(s));
+        s.connect(to, TIMEOUT_S * 1000);
+        return closeAtEnd(new Exchange(s));
     }
 
-    /** A new client connection. */
+    /** Opens a new client connection. */
     Exchange client() throws IOException {
         return connect(address, null);
     }
 
-    private Exchange keep(Exchange e) {
+    private Exchange closeAtEnd(Exchange e) {
         opened.add(e);
         return e;
     }
@@ -225,7 +225,7 @@
         discovery.close();
     }
 
-    /** A worker that does what the test says. */
+    /** A worker controlled by the test. */
     static final class Worker implements Closeable {
         final String name;
         final ServerSocket server = listen();
@@ -235,19 +235,19 @@
             this.name = name;
         }
 
-        /** From now on takes every connection; each request is answered at once, with {@code states} of a job. */
+        /** Accepts every connection from now on and answers each request at once with these job states; with none, closes. */
         void serve(String... states) {
-            daemon(() -> {
+            startDaemon(() -> {
                 while (true) {
                     Exchange e = new Exchange(server.accept());
-                    daemon(() -> {
+                    startDaemon(() -> {
                         while (e.read() != null) {
                             if (states.length == 0) {
                                 e.close();
-                            } else if (e.first.startsWith("GET ")) {
+                            } else if (e.firstLine.startsWith("GET ")) {
                                 e.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                             } else {
-                                e.answer(states).end();
+                                e.startAnswer(states).endAnswer();
                             }
                         }
                     });
@@ -255,23 +255,23 @@
             });
         }
 
-        private interface Talk {
-            void go() throws IOException;
+        private interface IoTask {
+            void run() throws IOException;
         }
 
-        private static void daemon(Talk talk) {
+        private static void startDaemon(IoTask task) {
             Thread thread = new Thread(() -> {
                 try {
-                    talk.go();
+                    task.run();
                 } catch (IOException e) {
-                    // the test is over, or the program has gone
+                    // The test or the program has ended.
                 }
             });
             thread.setDaemon(true);
             thread.start();
         }
 
-        /** The next connection, with the request that it brings. */
+        /** Accepts the next connection and reads its request. */
         Exchange accept() throws IOException {
             Exchange e = new Exchange(server.accept());
             e.read();
--- a/src/test/java/granitefold/real/StoppingNodeIT.java
+++ b/src/test/java/granitefold/real/StoppingNodeIT.java
@@ -15,11 +15,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Requests that a stopping process had taken, with faults just then: each is answered before the process ends. */
+/** Graceful shutdown under faults: every request that the stopping process received is answered before it exits. */
 public class StoppingNodeIT extends FaultTest {
-    private static final long DEADLINE_MS = 3_000, KILLED_MS = DEADLINE_MS + 700, HELD_MS = 150, START_MS = 500;
+    private static final long DEADLINE_MS = 3_000, KILL_AFTER_MS = DEADLINE_MS + 700, PAUSE_MS = 150, START_DELAY_MS = 500;
 
-    /** Sends SIGTERM; from then on the platform's time up to its kill runs. */
+    /** Sends SIGTERM and returns the time in nanoseconds; the platform kills the process a fixed time after it. */
     private long terminate() throws Exception {
         long at = System.nanoTime();
         signal(program.process, "TERM");
@@ -27,159 +27,159 @@
     }
 
     private static void assertFinal(int status) {
-        assertTrue(status == 200 || status == 500 || status == 503, "answered " + status);
+        assertTrue(status == 200 || status == 500 || status == 503, "unexpected status " + status);
     }
 
     private void killAt(long fromNs) throws Exception {
-        sleepUntil(fromNs, KILLED_MS);
+        sleepUntil(fromNs, KILL_AFTER_MS);
         program.process.destroyForcibly();
     }
 
     @DataProvider
-    public Object[][] failing() {
+    public Object[][] acceptErrors() {
         return new Object[][] {{Errno.ENFILE}, {Errno.EINTR}, {Errno.ECONNABORTED}};
     }
 
-    /** The listener was closed over its queue when a call of accept failed, or was interrupted, while it was emptied. */
-    @Test(dataProvider = "failing")
-    public void aQueuedRequestIsAnsweredThoughAcceptFailsAsTheListenerCloses(Errno error) throws Exception {
-        deadlines(DEADLINE_MS);
+    /** Guards against closing the listener with connections still queued, after accept failed or was interrupted while emptying the queue. */
+    @Test(dataProvider = "acceptErrors")
+    public void queuedRequestIsAnsweredWhenAcceptFailsWhileTheListenerCloses(Errno error) throws Exception {
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         terminate();
         program.awaitLog("phase: DRAINING");
         faults.enable(SystemCallFault.ACCEPT, error);
         Exchange client = send("/ficha", "t1", "");
         sleepUntil(System.nanoTime(), DEADLINE_MS + 300);
-        assertTrue(faults.injected(SystemCallFault.ACCEPT) > 0, "no call of accept has failed");
+        assertTrue(faults.injected(SystemCallFault.ACCEPT) > 0, "no accept call has failed");
         faults.disable(SystemCallFault.ACCEPT);
-        assertFinal(client.status());
-        awaitEnd();
+        assertFinal(client.readStatus());
+        awaitExit();
     }
 
-    /** The loop stood still in a call of accept that the JDK repeated, until the kill. */
+    /** Guards against the event loop blocking until the kill in an accept call that the JDK retries on ECONNABORTED. */
     @Test
-    public void whatWasTakenIsAnsweredThoughEveryAcceptIsAbortedUntilTheKill() throws Exception {
-        deadlines(DEADLINE_MS);
+    public void acceptedRequestIsAnsweredBeforeTheKillWhenEveryAcceptIsAborted() throws Exception {
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
+        workerA.accept().startAnswer("started");
         faults.enable(SystemCallFault.ACCEPT, Errno.ECONNABORTED);
         program.client();
         while (faults.injected(SystemCallFault.ACCEPT) == 0) {
             Thread.onSpinWait();
         }
-        long told = terminate();
-        assertFinal(client.status());
-        assertTrue(System.nanoTime() - told < KILLED_MS * 1_000_000, "the answer came after the kill");
+        long terminatedAtNs = terminate();
+        assertFinal(client.readStatus());
+        assertTrue(System.nanoTime() - terminatedAtNs < KILL_AFTER_MS * 1_000_000, "the answer arrived after the kill");
     }
 
-    /** After a pause all of an end's timers fired in one turn, and the process halted before it had looked into its sockets. */
+    /** Guards against exiting without reading the sockets when all shutdown timers expire in one loop iteration after a pause. */
     @Test
-    public void aRequestThatCameDuringAPauseIsAnsweredBeforeTheEnd() throws Exception {
-        deadlines(DEADLINE_MS);
-        start(a);
-        long told = terminate();
+    public void requestReceivedDuringAPauseIsAnsweredBeforeExit() throws Exception {
+        useDeadlines(DEADLINE_MS);
+        start(workerA);
+        long terminatedAtNs = terminate();
         program.awaitLog("phase: DRAINING");
-        standStill();
+        pauseProcess();
         Exchange client = send("/ficha", "t1", "");
-        sleepUntil(told, DEADLINE_MS + 350);
-        goOn();
-        assertFinal(client.status());
-        awaitEnd();
+        sleepUntil(terminatedAtNs, DEADLINE_MS + 350);
+        resumeProcess();
+        assertFinal(client.readStatus());
+        awaitExit();
     }
 
-    /** Held up when it is told and once more as it answers: the last answers came after the kill. */
+    /** Guards against last answers after the kill when the process is paused at SIGTERM and again during its writes. */
     @Test
-    public void theLastAnswersComeBeforeTheKillThoughTheProcessIsHeldUp() throws Exception {
-        deadlines(DEADLINE_MS);
+    public void lastAnswersAreSentBeforeTheKillWhenTheProcessIsDelayed() throws Exception {
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/once", "t1", "");
-        a.accept().answer("started");
-        standStill();
-        long told = terminate();
-        sleepUntil(told, HELD_MS);
-        goOn();
-        faults.enable(SystemCallFault.HELD_WRITE, 100, (int) HELD_MS);
+        workerA.accept().startAnswer("started");
+        pauseProcess();
+        long terminatedAtNs = terminate();
+        sleepUntil(terminatedAtNs, PAUSE_MS);
+        resumeProcess();
+        faults.enable(SystemCallFault.HELD_WRITE, 100, (int) PAUSE_MS);
         Thread killer = new Thread(() -> {
             try {
-                killAt(told);
+                killAt(terminatedAtNs);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
         killer.start();
-        assertEquals(client.status(), 500);
+        assertEquals(client.readStatus(), 500);
         killer.join();
     }
 
-    /** A connection that was never used is not shut under the request that it is about to bring. */
+    /** A connection that has not carried a request yet is not closed while its first request is on the way. */
     @Test
-    public void aNewConnectionsFirstRequestIsAnsweredToTheEnd() throws Exception {
-        deadlines(DEADLINE_MS);
-        start(a);
-        long told = terminate();
-        // a client that says nothing for 2.8 s is a bad one
-        sleepUntil(told, DEADLINE_MS - 1_000);
+    public void firstRequestOfANewConnectionIsAnsweredDuringShutdown() throws Exception {
+        useDeadlines(DEADLINE_MS);
+        start(workerA);
+        long terminatedAtNs = terminate();
+        // A client that sends nothing for 2.8 s is timed out.
+        sleepUntil(terminatedAtNs, DEADLINE_MS - 1_000);
         Exchange client = program.client();
         program.awaitLog("phase: FINISHING");
         client.write(request("/ficha", "t1", TIME, "soup"));
-        assertFinal(client.status());
+        assertFinal(client.readStatus());
     }
 
-    /** More signals than one, of several kinds, in any order. */
+    /** SIGHUP, SIGTERM and SIGINT in quick succession. */
     @Test
-    public void signalsInSeriesLoseNothing() throws Exception {
-        deadlines(DEADLINE_MS);
-        start(a);
+    public void repeatedSignalsLoseNoRequest() throws Exception {
+        useDeadlines(DEADLINE_MS);
+        start(workerA);
         Exchange client = send("/ficha", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         for (String name : new String[] {"HUP", "TERM", "HUP", "TERM", "INT", "HUP", "TERM"}) {
             signal(program.process, name);
         }
         program.awaitLog("phase: DRAINING");
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status(), 200);
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
-        awaitEnd();
+        awaitExit();
     }
 
-    /** An end's times are spans: no step of the wall clock shortens or lengthens them. */
+    /** The shutdown timers use monotonic time: a step of the wall clock neither shortens nor lengthens them. */
     @Test
-    public void aSteppedWallClockDoesNotEndItEarly() throws Exception {
-        deadlines(DEADLINE_MS);
+    public void wallClockStepDoesNotShortenTheShutdown() throws Exception {
+        useDeadlines(DEADLINE_MS);
         startWithFaults();
         Exchange client = send("/ficha", "t1", "");
-        Exchange worker = a.accept().answer("started");
+        Exchange worker = workerA.accept().startAnswer("started");
         terminate();
         program.awaitLog("phase: DRAINING");
         faults.enable(SystemCallFault.WALL_CLOCK, 100, 3600);
         Exchange late = send("/ficha", "t2", "");
-        Exchange second = a.accept().answer("started");
+        Exchange second = workerA.accept().startAnswer("started");
         faults.enable(SystemCallFault.WALL_CLOCK, 100, -3600);
-        worker.lines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        second.lines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").end();
-        assertEquals(client.status() + late.status(), 400);
+        worker.writeLines("{\"id\":\"t1\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        second.writeLines("{\"id\":\"t2\",\"from\":\"p\",\"state\":\"done\",\"result\":\"made\"}").endAnswer();
+        assertEquals(client.readStatus() + late.readStatus(), 400);
         client.close();
         late.close();
-        awaitEnd();
+        awaitExit();
     }
 
-    /** Told to end before its selector ran, the process broke off with a client in the listener's queue. */
+    /** Guards against dropping a client in the listener's queue when SIGTERM arrives before the selector thread runs. */
     @Test
-    public void aTermDuringTheStartStillAnswersWhoHasConnected() throws Exception {
-        deadlines(DEADLINE_MS);
+    public void sigtermDuringStartupStillAnswersConnectedClients() throws Exception {
+        useDeadlines(DEADLINE_MS);
         Path folder = Files.createTempDirectory("start");
         Path jar = PatchedJar.build(Path.of("target/granitefold.jar"), folder, "slow-start", new PatchedJar.Patch("net/EventLoop.java",
-                "        selectorThread.start();", "        Thread.sleep(" + START_MS + ");\n        selectorThread.start();"));
-        program = new RealProgram(null, Map.of(RealProgram.JAR, jar.toString()), fields, a);
+                "        selectorThread.start();", "        Thread.sleep(" + START_DELAY_MS + ");\n        selectorThread.start();"));
+        program = new RealProgram(null, Map.of(RealProgram.JAR_VARIABLE, jar.toString()), fields, workerA);
         Exchange client = program.connect(program.addressIn(" listening on "), null);
         client.write(request("/ficha", "t1", TIME, "soup"));
         terminate();
-        Exchange worker = a.accept();
-        worker.answer("done").end();
-        assertEquals(client.status(), 200);
+        Exchange worker = workerA.accept();
+        worker.startAnswer("done").endAnswer();
+        assertEquals(client.readStatus(), 200);
         client.close();
-        awaitEnd();
+        awaitExit();
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
         }
