--- a/src/main/java/granitefold/standin/history/HistoryChecker.java
+++ b/src/main/java/granitefold/standin/history/HistoryChecker.java
@@ -101,45 +101,46 @@
         if (asked == null) {
             return;
         }
-        answers(asked, trace);
-        List<Entry> begun = trace.stream().filter(e -> e.what() == What.BEGUN).toList();
+        checkAnswers(asked, trace);
+        List<Entry> attempts = trace.stream().filter(e -> e.what() == What.BEGUN).toList();
         Entry left = first(trace, What.LEFT);
-        if (left != null && begun.stream().noneMatch(b -> permitted.coversRequest(asked, b.atUs()))) {
-            departedClients.add(left, closeForwardedAt(asked, left), begun, begun.stream().map(this::sentAtTheEarliest).toList(), trace);
+        if (left != null && attempts.stream().noneMatch(attempt -> permitted.coversRequest(asked, attempt.atUs()))) {
+            departedClients.add(left, closeForwardedAt(asked, left), attempts, attempts.stream().map(this::sentAtTheEarliest).toList(), trace);
         }
-        for (int i = 1; i < begun.size(); i++) {
-            Entry before = begun.get(i - 1);
-            Entry next = begun.get(i);
-            long over = overAt(before, trace);
-            if (sentAt(next) < over - TimeSlack.OBSERVATION_US) {
+        for (int i = 1; i < attempts.size(); i++) {
+            Entry before = attempts.get(i - 1);
+            Entry next = attempts.get(i);
+            long overAtUs = overAt(before, trace);
+            if (sentAt(next) < overAtUs - TimeSlack.OBSERVATION_US) {
                 report(Rule.TWO_OUT, next, asked.txn() + ": an attempt to " + next.who() + " while the one to " + before.who()
-                        + " was in flight for " + (over == Long.MAX_VALUE ? "ever" : (over - sentAt(next)) / 1000 + " ms more"), trace);
+                        + " was in flight for " + (overAtUs == Long.MAX_VALUE ? "ever" : (overAtUs - sentAt(next)) / 1000 + " ms more"), trace);
             }
         }
-        for (Entry b : terms.checksStatedTime() ? begun : List.<Entry>of()) {
-            long leftMs = asked.number() - (sentAtTheEarliest(b) - forwardedAt(asked)) / 1000;
+        for (Entry attempt : terms.checksStatedTime() ? attempts : List.<Entry>of()) {
+            long leftMs = asked.number() - (sentAtTheEarliest(attempt) - forwardedAt(asked)) / 1000;
             long slackMs = STATED_TIME_SLACK_MS + TimeSlack.OBSERVATION_US / 1000;
-            if (b.number() > leftMs + slackMs && !permitted.coversRequest(asked, b.atUs())) {
-                report(Rule.OVERSTATED, b, asked.txn() + ": told " + b.who() + " " + b.number() + " ms, its client had " + leftMs + " ms left",
-                        trace);
+            if (attempt.number() > leftMs + slackMs && !permitted.coversRequest(asked, attempt.atUs())) {
+                report(Rule.OVERSTATED, attempt, asked.txn() + ": told " + attempt.who() + " " + attempt.number() + " ms, its client had "
+                        + leftMs + " ms left", trace);
             }
         }
-        RuleTerms.JobClass c = terms.classes().get(asked.jobClass());
-        Entry ran = begun.stream().filter(b -> !wasTurnedAway(b, trace)).findFirst().orElse(null);
-        for (Entry b : begun) {
-            if (c == null || ran == null || b.atUs() <= ran.atUs()) {
+        RuleTerms.JobClass jobClass = terms.classes().get(asked.jobClass());
+        Entry firstRun = attempts.stream().filter(attempt -> !wasTurnedAway(attempt, trace)).findFirst().orElse(null);
+        for (Entry attempt : attempts) {
+            if (jobClass == null || firstRun == null || attempt.atUs() <= firstRun.atUs()) {
                 continue;
             }
-            if (c.effect() == RuleTerms.Effect.UNSAFE) {
-                report(Rule.RESENT, b, asked.txn() + ": resent to " + b.who() + " although it may have run at " + ran.who(), trace);
-            } else if (c.effect() == RuleTerms.Effect.KEYED && sentAt(b) - ran.atUs() > (c.windowMs() + terms.slackMs()) * 1000) {
-                report(Rule.RESENT, b, asked.txn() + ": resent to " + b.who() + " " + (b.atUs() - ran.atUs()) / 1000
+            if (jobClass.effect() == RuleTerms.Effect.UNSAFE) {
+                report(Rule.RESENT, attempt, asked.txn() + ": resent to " + attempt.who() + " although it may have run at " + firstRun.who(), trace);
+            } else if (jobClass.effect() == RuleTerms.Effect.KEYED
+                    && sentAt(attempt) - firstRun.atUs() > (jobClass.windowMs() + terms.slackMs()) * 1000) {
+                report(Rule.RESENT, attempt, asked.txn() + ": resent to " + attempt.who() + " " + (attempt.atUs() - firstRun.atUs()) / 1000
                         + " ms after it may have run, beyond its key's window", trace);
             }
         }
     }
 
-    private void answers(Entry asked, List<Entry> trace) {
+    private void checkAnswers(Entry asked, List<Entry> trace) {
         List<Entry> answers = trace.stream().filter(e -> e.what() == What.ANSWERED).toList();
         long dueUs = asked.atUs() + (asked.number() + terms.slackMs()) * 1000;
         Entry end = trace.stream().filter(e -> e.what() == What.UNHEARD || e.what() == What.CUT || e.what() == What.SILENT
