--- a/src/main/java/granitefold/standin/ground/ProcessFaults.java
+++ b/src/main/java/granitefold/standin/ground/ProcessFaults.java
@@ -11,18 +11,18 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** What is done to a dispatcher's process from below and outside: system calls, pauses, planned ends with a kill, idle crowds. */
+/** Faults of a dispatcher process: failing system calls, pauses, graceful shutdowns with a final kill, and floods of idle connections. */
 final class ProcessFaults {
-    /** The page's bound of how long a process may be held up. */
-    private static final long HELD_MS = 150;
+    /** The longest pause of a process that the rules have to tolerate. */
+    private static final long MAX_PAUSE_MS = 150;
     private static final int HOUR_S = 3600;
-    private static final long ACCEPTS_FAIL_FROM_MS = 400, ACCEPTS_FAIL_MS = 300;
-    private static final double ALWAYS = 100;
-    private static final int CROWD = 400, CONNECT_MS = 200;
-    private static final String[] SERIES = {"HUP", "TERM", "HUP", "INT", "TERM", "HUP"};
-    private static final long SERIES_STEP_MS = 120;
+    private static final long MAX_ACCEPT_FAULT_DELAY_MS = 400, MAX_ACCEPT_FAULT_MS = 300;
+    private static final double ALWAYS_PERCENT = 100;
+    private static final int MAX_IDLE_CONNECTIONS = 400, CONNECT_TIMEOUT_MS = 200;
+    private static final String[] SIGNAL_SERIES = {"HUP", "TERM", "HUP", "INT", "TERM", "HUP"};
+    private static final long MAX_SIGNAL_INTERVAL_MS = 120;
 
-    private static final Map<String, SystemCallFault> CALLS = Map.ofEntries(
+    private static final Map<String, SystemCallFault> SYSTEM_CALL_FAULTS = Map.ofEntries(
             Map.entry("accept-fails", SystemCallFault.ACCEPT),
             Map.entry("socket-fails", SystemCallFault.SOCKET),
             Map.entry("connect-fails", SystemCallFault.CONNECT),
@@ -44,38 +44,38 @@
             SystemCallFault.STORAGE_WRITE, List.of(Errno.ENOSPC, Errno.EIO),
             SystemCallFault.STORAGE_SYNC, List.of(Errno.EIO, Errno.ENOSPC));
 
-    private final Ground ground;
-    private final Map<Member, List<Socket>> crowds = new java.util.concurrent.ConcurrentHashMap<>();
+    private final TestBed testBed;
+    private final Map<DispatcherUnderTest, List<Socket>> idleConnections = new java.util.concurrent.ConcurrentHashMap<>();
     private final Random random;
 
-    ProcessFaults(Ground ground) {
-        this.ground = ground;
-        random = new Random(ground.seed);
+    ProcessFaults(TestBed testBed) {
+        this.testBed = testBed;
+        random = new Random(testBed.seed);
     }
 
-    static boolean knows(String action) {
-        return CALLS.containsKey(action) || List.of("hold", "release", "crash", "crowd", WRITES_HELD).contains(action);
+    static boolean handles(String action) {
+        return SYSTEM_CALL_FAULTS.containsKey(action) || List.of("hold", "release", "crash", "crowd", WRITES_HELD).contains(action);
     }
 
-    /** {@code amount}: of system calls how many in a hundred, of pauses the milliseconds. */
-    void begin(String action, Member m, double amount) throws IOException, InterruptedException {
+    /** Applies a fault; {@code amount}: the percentage of system calls, or the milliseconds of a pause. */
+    void start(String action, DispatcherUnderTest dispatcher, double amount) throws IOException, InterruptedException {
         switch (action) {
-            case "hold" -> hold(m, amount > 0 ? (long) amount : HELD_MS);
-            case "release" -> release(m);
-            case "crash" -> crash(m, (long) amount);
-            case "crowd" -> crowd(m);
-            case WRITES_HELD -> m.faults.enable(SystemCallFault.HELD_WRITE, (int) amount, (int) HELD_MS);
-            default -> call(CALLS.get(action), m, (int) (amount > 0 ? amount : ALWAYS));
+            case "hold" -> pause(dispatcher, amount > 0 ? (long) amount : MAX_PAUSE_MS);
+            case "release" -> restartGracefully(dispatcher);
+            case "crash" -> crash(dispatcher, (long) amount);
+            case "crowd" -> openIdleConnections(dispatcher);
+            case WRITES_HELD -> dispatcher.faults.enable(SystemCallFault.HELD_WRITE, (int) amount, (int) MAX_PAUSE_MS);
+            default -> failSystemCalls(SYSTEM_CALL_FAULTS.get(action), dispatcher, (int) (amount > 0 ? amount : ALWAYS_PERCENT));
         }
     }
 
-    void end(String action, Member m) throws IOException {
+    void stop(String action, DispatcherUnderTest dispatcher) throws IOException {
         if (action.equals("crowd")) {
-            disperse(m);
+            closeIdleConnections(dispatcher);
         } else if (action.equals(WRITES_HELD)) {
-            m.faults.disable(SystemCallFault.HELD_WRITE);
-        } else if (CALLS.containsKey(action)) {
-            m.faults.disable(CALLS.get(action));
+            dispatcher.faults.disable(SystemCallFault.HELD_WRITE);
+        } else if (SYSTEM_CALL_FAULTS.containsKey(action)) {
+            dispatcher.faults.disable(SYSTEM_CALL_FAULTS.get(action));
         }
     }
 
@@ -83,114 +83,114 @@
         return random.nextInt(below);
     }
 
-    private void call(SystemCallFault fault, Member m, int percent) {
+    private void failSystemCalls(SystemCallFault fault, DispatcherUnderTest dispatcher, int percent) {
         List<Errno> errors = ERRORS.get(fault);
         int value = errors != null ? errors.get(draw(errors.size())).number() : fault == SystemCallFault.WALL_CLOCK
                 ? (draw(2) == 0 ? 1 : -1) * (1 + draw(HOUR_S)) : 0;
-        m.faults.enable(fault, percent, value);
+        dispatcher.faults.enable(fault, percent, value);
     }
 
-    /** Stands still for a moment that the page allows: it excuses nothing. */
-    private static void hold(Member m, long ms) throws IOException, InterruptedException {
-        Member.Life life = m.life();
-        if (life == null || !life.process.isAlive()) {
+    /** Pauses a process for a time that the rules must tolerate; it is not recorded, so it permits no violation. */
+    private static void pause(DispatcherUnderTest dispatcher, long ms) throws IOException, InterruptedException {
+        DispatcherUnderTest.Incarnation incarnation = dispatcher.current();
+        if (incarnation == null || !incarnation.process.isAlive()) {
             return;
         }
-        m.quietSignal(life, "STOP");
-        Thread.sleep(Math.min(HELD_MS, ms));
-        m.quietSignal(life, "CONT");
+        dispatcher.sendUnrecordedSignal(incarnation, "STOP");
+        Thread.sleep(Math.min(MAX_PAUSE_MS, ms));
+        dispatcher.sendUnrecordedSignal(incarnation, "CONT");
     }
 
-    /** Told to end, with signals in series and pauses, killed when the platform may, and started anew. */
-    private void release(Member m) throws IOException, InterruptedException {
-        if (!m.lifeCycle.tryLock()) {
+    /** Terminates a process amid pauses and signals, kills it if it still runs when the platform may first do so, and restarts it. */
+    private void restartGracefully(DispatcherUnderTest dispatcher) throws IOException, InterruptedException {
+        if (!dispatcher.lifecycleLock.tryLock()) {
             return;
         }
         try {
-            if (!m.alive()) {
+            if (!dispatcher.alive()) {
                 return;
             }
-            long told = System.nanoTime();
-            ground.front.outAt(m, ground.history.now() + Front.TOLD_US);
-            boolean heldFirst = draw(2) == 0;
-            if (heldFirst) {
-                m.quietSignal(m.life(), "STOP");
+            long terminatedNs = System.nanoTime();
+            testBed.loadBalancer.removeAt(dispatcher, testBed.history.now() + LoadBalancer.TERMINATED_TRAFFIC_US);
+            boolean pausedFirst = draw(2) == 0;
+            if (pausedFirst) {
+                dispatcher.sendUnrecordedSignal(dispatcher.current(), "STOP");
             }
-            m.terminate();
-            if (heldFirst) {
-                Thread.sleep(draw((int) HELD_MS));
-                m.quietSignal(m.life(), "CONT");
+            dispatcher.terminate();
+            if (pausedFirst) {
+                Thread.sleep(draw((int) MAX_PAUSE_MS));
+                dispatcher.sendUnrecordedSignal(dispatcher.current(), "CONT");
             }
             if (draw(2) == 0) {
-                failAccepts(m);
+                failAccepts(dispatcher);
             }
             if (draw(2) == 0) {
-                for (String signal : SERIES) {
-                    m.quietSignal(m.life(), signal);
-                    Thread.sleep(draw((int) SERIES_STEP_MS));
+                for (String signal : SIGNAL_SERIES) {
+                    dispatcher.sendUnrecordedSignal(dispatcher.current(), signal);
+                    Thread.sleep(draw((int) MAX_SIGNAL_INTERVAL_MS));
                 }
             }
-            long killAt = told + TimeUnit.MICROSECONDS.toNanos(ground.scenario.killedAfterUs());
-            long holdAt = killAt - TimeUnit.MILLISECONDS.toNanos(HELD_MS + 100 + draw(500));
-            if (draw(2) == 0 && holdAt - System.nanoTime() > 0 && !m.awaitExitUntil(holdAt)) {
-                hold(m, draw((int) HELD_MS));
+            long killAtNs = terminatedNs + TimeUnit.MICROSECONDS.toNanos(testBed.scenario.earliestKillUs());
+            long pauseAtNs = killAtNs - TimeUnit.MILLISECONDS.toNanos(MAX_PAUSE_MS + 100 + draw(500));
+            if (draw(2) == 0 && pauseAtNs - System.nanoTime() > 0 && !dispatcher.awaitExitUntil(pauseAtNs)) {
+                pause(dispatcher, draw((int) MAX_PAUSE_MS));
             }
-            if (!m.awaitExitUntil(killAt)) {
-                m.killAfterItsTime();
+            if (!dispatcher.awaitExitUntil(killAtNs)) {
+                dispatcher.killAfterGracePeriod();
             }
-            m.awaitExit(Member.PATIENCE_S);
-            ground.restart(m);
+            dispatcher.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+            testBed.restart(dispatcher);
         } finally {
-            m.lifeCycle.unlock();
+            dispatcher.lifecycleLock.unlock();
         }
     }
 
-    /** New connections still come for 0.4 s after the word to end: for a while they cannot be accepted. */
-    private void failAccepts(Member m) throws InterruptedException {
-        Thread.sleep(draw((int) ACCEPTS_FAIL_FROM_MS));
+    /** Makes accept fail for a while; new connections still arrive for 0.4 s after SIGTERM. */
+    private void failAccepts(DispatcherUnderTest dispatcher) throws InterruptedException {
+        Thread.sleep(draw((int) MAX_ACCEPT_FAULT_DELAY_MS));
         List<Errno> errors = ERRORS.get(SystemCallFault.ACCEPT);
-        m.faults.enable(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
-        Thread.sleep(ACCEPTS_FAIL_MS / 2 + draw((int) ACCEPTS_FAIL_MS / 2));
-        m.faults.disable(SystemCallFault.ACCEPT);
+        dispatcher.faults.enable(SystemCallFault.ACCEPT, errors.get(draw(errors.size())));
+        Thread.sleep(MAX_ACCEPT_FAULT_MS / 2 + draw((int) MAX_ACCEPT_FAULT_MS / 2));
+        dispatcher.faults.disable(SystemCallFault.ACCEPT);
     }
 
-    /** Killed without a word, and started anew after a while. */
-    private void crash(Member m, long awayMs) throws IOException, InterruptedException {
-        if (!m.lifeCycle.tryLock()) {
+    /** Kills a process without warning and restarts it after {@code downtimeMs}. */
+    private void crash(DispatcherUnderTest dispatcher, long downtimeMs) throws IOException, InterruptedException {
+        if (!dispatcher.lifecycleLock.tryLock()) {
             return;
         }
         try {
-            if (m.alive()) {
-                ground.front.outAt(m, ground.history.now() + ground.scenario.dispatchers().noticeUs());
-                m.kill();
-                m.awaitExit(Member.PATIENCE_S);
-                Thread.sleep(awayMs);
-                ground.restart(m);
+            if (dispatcher.alive()) {
+                testBed.loadBalancer.removeAt(dispatcher, testBed.history.now() + testBed.scenario.dispatchers().failureDetectionUs());
+                dispatcher.kill();
+                dispatcher.awaitExit(DispatcherUnderTest.TIMEOUT_S);
+                Thread.sleep(downtimeMs);
+                testBed.restart(dispatcher);
             }
         } finally {
-            m.lifeCycle.unlock();
+            dispatcher.lifecycleLock.unlock();
         }
     }
 
-    private void crowd(Member m) {
-        ground.history.add(What.FAULT, "crowd>" + m.name, "idle clients");
+    private void openIdleConnections(DispatcherUnderTest dispatcher) {
+        testBed.history.add(What.FAULT, "crowd>" + dispatcher.name, "idle clients");
         List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < Math.min(CROWD, ground.scenario.dispatchers().sockets()); i++) {
+        for (int i = 0; i < Math.min(MAX_IDLE_CONNECTIONS, testBed.scenario.dispatchers().sockets()); i++) {
             Socket s = new Socket();
             try {
-                s.connect(m.listen, CONNECT_MS);
+                s.connect(dispatcher.listenAddress, CONNECT_TIMEOUT_MS);
                 idle.add(s);
             } catch (IOException e) {
                 break;
             }
         }
-        crowds.put(m, idle);
+        idleConnections.put(dispatcher, idle);
     }
 
-    private void disperse(Member m) throws IOException {
-        for (Socket s : crowds.getOrDefault(m, List.of())) {
+    private void closeIdleConnections(DispatcherUnderTest dispatcher) throws IOException {
+        for (Socket s : idleConnections.getOrDefault(dispatcher, List.of())) {
             s.close();
         }
-        ground.history.add(What.FAULT, "crowd>" + m.name, "none");
+        testBed.history.add(What.FAULT, "crowd>" + dispatcher.name, "none");
     }
 }
--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -25,34 +25,35 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Rollouts of a version that refuses a share of all requests, with processes: how often it is stopped, at which stage, after how long, and
- * what is lost of the worth asked for, against changing all at once and leaving it so. Both ways see the same requests, seed by seed.
+ * Measures rollouts of a version that rejects a share of all requests, with real processes: how often the rollout is rolled back, at
+ * which stage and after how long, and the share of requested value that is lost, compared with changing all dispatchers at once without
+ * rollback. Both strategies receive the same requests for each seed.
  */
-@Command(name = "rollouts", mixinStandardHelpOptions = true, description = "Roll a version that refuses a share of requests, in stages and all at once.")
+@Command(name = "rollouts", mixinStandardHelpOptions = true, description = "Roll out a version that rejects a share of requests, in stages and all at once.")
 final class RolloutExperiment implements Callable<Integer> {
-    private static final long PATIENCE_S = 240;
-    private static final double SURE = 0.95, TWO_SIDES = 0.975;
-    private static final int SETTLED_S = 2, BEFORE_REQUESTS = 1500;
+    private static final long TIMEOUT_S = 240;
+    private static final double CONFIDENCE = 0.95, UPPER_QUANTILE = 0.975;
+    private static final int WARMUP_S = 2, BASELINE_REQUESTS = 1500;
 
-    @Option(names = "--loss", defaultValue = "0.05", description = "Share that the new version refuses; 0 rolls a version against itself (${DEFAULT-VALUE}).")
+    @Option(names = "--loss", defaultValue = "0.05", description = "Share that the new version rejects; 0: an equivalent version (${DEFAULT-VALUE}).")
     private double loss;
-    @Option(names = "--seeds", defaultValue = "10", description = "Plays of each way (${DEFAULT-VALUE}).")
+    @Option(names = "--seeds", defaultValue = "10", description = "Runs of each strategy (${DEFAULT-VALUE}).")
     private int seeds;
     @Option(names = "--first", defaultValue = "1", description = "First seed (${DEFAULT-VALUE}).")
     private long first;
-    @Option(names = "--parallel", defaultValue = "2", description = "Plays at a time (${DEFAULT-VALUE}).")
+    @Option(names = "--parallel", defaultValue = "2", description = "Concurrent runs (${DEFAULT-VALUE}).")
     private int parallel;
-    @Option(names = "--window", defaultValue = "90", description = "Seconds after the rollout's start over which losses are added up (${DEFAULT-VALUE}).")
+    @Option(names = "--window", defaultValue = "90", description = "Seconds after the rollout's start over which losses count (${DEFAULT-VALUE}).")
     private int windowS;
-    @Option(names = "--staged-only", description = "Do not play the change of all at once.")
+    @Option(names = "--staged-only", description = "Skip the change of all at once.")
     private boolean stagedOnly;
     @Option(names = "--jar", defaultValue = "target/granitefold.jar", description = "The old version (${DEFAULT-VALUE}).")
     private Path jar;
     @Spec
     private CommandSpec spec;
 
-    /** One play. {@code lost}: of the worth asked for in the window, what the level before would have served. */
-    private record Outcome(long seed, Result result, double lost, int broken) { }
+    /** One run. {@code lost}: the share of the requested value in the window that the served share before the rollout would have served in addition. */
+    private record Outcome(long seed, Result result, double lost, int violations) { }
 
     @Override
     public Integer call() throws Exception {
@@ -60,14 +61,15 @@
         ExecutorService threads = Executors.newFixedThreadPool(parallel);
         PrintWriter out = spec.commandLine().getOut();
         try {
-            Path fresh = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss) : new Patch("core/Phase.java", "/** The program's", "/** Our"));
+            Path newJar = PatchedJar.build(jar, folder, "fresh", loss > 0 ? PatchedJar.rejectShare(loss)
+                    : new Patch("core/Phase.java", "/** The program's", "/** Our"));
             List<Future<Outcome>> staged = new ArrayList<>();
             List<Future<Outcome>> atOnce = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
                 long seed = first + i;
-                staged.add(threads.submit(() -> play(seed, fresh, PlanParameters.QUICK)));
+                staged.add(threads.submit(() -> runRollout(seed, newJar, PlanParameters.QUICK)));
                 if (!stagedOnly) {
-                    atOnce.add(threads.submit(() -> play(seed, fresh, new PlanParameters("all", 2, 6, 40, 20, false, false, ""))));
+                    atOnce.add(threads.submit(() -> runRollout(seed, newJar, new PlanParameters("all", 2, 6, 40, 20, false, false, ""))));
                 }
             }
             report(out, staged, atOnce);
@@ -80,31 +82,32 @@
         return 0;
     }
 
-    private Outcome play(long seed, Path fresh, PlanParameters parameters) throws IOException, InterruptedException, granitefold.operator.InvalidFileException {
+    private Outcome runRollout(long seed, Path newJar, PlanParameters parameters) throws IOException, InterruptedException,
+            granitefold.operator.InvalidFileException {
         Scenario s = Scenario.read("rollouts", "for = 600s, dispatchers { count = 4, kept = true }, cocineros { count = 5, slots = 8 }, load.rate = 200\n");
         try (RolloutTestBed r = new RolloutTestBed(s, seed, jar)) {
-            r.awaitServed(BEFORE_REQUESTS);
-            int began = (int) (r.sinceUs() / 1_000_000);
-            r.writePlan("rollout", fresh, parameters);
+            r.awaitServed(BASELINE_REQUESTS);
+            int startS = (int) (r.elapsedUs() / 1_000_000);
+            r.writePlan("rollout", newJar, parameters);
             r.start();
-            Result result = r.awaitResult(PATIENCE_S);
-            r.awaitSecond(began + windowS);
-            int broken = r.finish().size();
-            return new Outcome(seed, result, lost(r.statistics().seconds(), began, windowS), broken);
+            Result result = r.awaitResult(TIMEOUT_S);
+            r.awaitSecond(startS + windowS);
+            int violations = r.finish().size();
+            return new Outcome(seed, result, lost(r.statistics().seconds(), startS, windowS), violations);
         }
     }
 
-    private static double lost(List<RequestStatistics.Summary> seconds, int began, int windowS) {
+    private static double lost(List<RequestStatistics.Summary> seconds, int startS, int windowS) {
         double before = 0;
         double asked = 0;
-        for (int i = SETTLED_S; i < began; i++) {
+        for (int i = WARMUP_S; i < startS; i++) {
             before += seconds.get(i).servedValue;
             asked += seconds.get(i).requestedValue;
         }
         double level = before / asked;
         double lost = 0;
         double all = 0;
-        for (int i = began; i < Math.min(seconds.size(), began + windowS); i++) {
+        for (int i = startS; i < Math.min(seconds.size(), startS + windowS); i++) {
             lost += level * seconds.get(i).requestedValue - seconds.get(i).servedValue;
             all += seconds.get(i).requestedValue;
         }
@@ -118,13 +121,13 @@
         SummaryStatistics saved = new SummaryStatistics();
         SummaryStatistics seconds = new SummaryStatistics();
         int stopped = 0;
-        int broken = 0;
+        int violations = 0;
         for (int i = 0; i < staged.size(); i++) {
             Outcome a = staged.get(i).get();
             Outcome b = stagedOnly ? null : atOnce.get(i).get();
             boolean back = a.result.state().equals("RETURNED");
             stopped += back ? 1 : 0;
-            broken += a.broken + (b == null ? 0 : b.broken);
+            violations += a.violations + (b == null ? 0 : b.violations);
             inStages.addValue(a.lost);
             seconds.addValue(a.result.seconds());
             if (b != null) {
@@ -132,20 +135,22 @@
                 saved.addValue(b.lost - a.lost);
             }
             out.printf(Locale.ROOT, "%5d %-10s %5d %8.1f %10.4f %10s %7d  %s%n", a.seed, a.result.state(), a.result.stage(), a.result.seconds(), a.lost,
-                    b == null ? "" : String.format(Locale.ROOT, "%.4f", b.lost), a.broken + (b == null ? 0 : b.broken), a.result.verdict());
+                    b == null ? "" : String.format(Locale.ROOT, "%.4f", b.lost), a.violations + (b == null ? 0 : b.violations), a.result.verdict());
             out.flush();
         }
-        var share = new WilsonScoreInterval().createInterval(staged.size(), stopped, SURE);
-        out.printf(Locale.ROOT, "went back in %d of %d (95%% interval %.3f to %.3f), after %.1f s on the mean; rules broken %d times%n", stopped, staged.size(),
-                share.getLowerBound(), share.getUpperBound(), seconds.getMean(), broken);
-        out.println("worth lost in stages: " + interval(inStages) + (stagedOnly ? "" : "; all at once: " + interval(allAtOnce) + "; saved, paired: " + interval(saved)));
+        var share = new WilsonScoreInterval().createInterval(staged.size(), stopped, CONFIDENCE);
+        out.printf(Locale.ROOT, "rolled back in %d of %d (95%% interval %.3f to %.3f), after %.1f s on average; %d rule violations%n", stopped,
+                staged.size(),
+                share.getLowerBound(), share.getUpperBound(), seconds.getMean(), violations);
+        out.println("value lost in stages: " + interval(inStages) + (stagedOnly ? "" : "; all at once: " + interval(allAtOnce) + "; saved, paired: "
+                + interval(saved)));
     }
 
     private static String interval(SummaryStatistics s) {
         if (s.getN() < 2) {
             return String.format(Locale.ROOT, "%.4f", s.getMean());
         }
-        double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(TWO_SIDES) * s.getStandardDeviation() / Math.sqrt(s.getN());
+        double half = new TDistribution(s.getN() - 1.0).inverseCumulativeProbability(UPPER_QUANTILE) * s.getStandardDeviation() / Math.sqrt(s.getN());
         return String.format(Locale.ROOT, "%.4f (%.4f to %.4f)", s.getMean(), s.getMean() - half, s.getMean() + half);
     }
 }
--- a/src/main/java/granitefold/standin/ground/TestRun.java
+++ b/src/main/java/granitefold/standin/ground/TestRun.java
@@ -1,6 +1,6 @@
 package granitefold.standin.ground;
 
-import granitefold.standin.history.Checker;
+import granitefold.standin.history.HistoryChecker;
 import granitefold.standin.history.Entry;
 import granitefold.standin.history.Violation;
 import java.io.IOException;
@@ -10,59 +10,60 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One play of a scenario and what came of it.
+ * One run of a scenario and its results.
  *
- * @param timeline what was done, and when
- * @param violations broken rules, the first one first
- * @param scriptError what went wrong with the script itself, or null
- * @param aborted the play was broken off: figures are those up to then
- * @param injected faults in system calls, by their kind, over all processes
+ * @param timeline the steps performed, with their times
+ * @param violations violations of rules, in the order of time
+ * @param scriptError the error that stopped a step of the fault script, or null
+ * @param aborted whether the run was interrupted; the results then cover the time until the interruption
+ * @param injectedFaults the number of injected system call faults by kind, over all processes
  */
-public record TestRun(Scenario scenario, long seed, RequestStatistics statistics, List<Script.Mark> timeline, List<Violation> violations, String scriptError,
-        boolean aborted, List<Entry> history, Map<String, Long> injectedFaults) {
-    /** By how much a time limit may be passed: the wire's 50 ms, half a second in which an answer only earns nothing. */
+public record TestRun(Scenario scenario, long seed, RequestStatistics statistics, List<FaultScript.PerformedStep> timeline,
+        List<Violation> violations, String scriptError, boolean aborted, List<Entry> history, Map<String, Long> injectedFaults) {
+    /** Tolerance of time limits: 50 ms for transmission, and half a second in which a late answer merely has no value. */
     private static final long SLACK_MS = 550;
 
-    /** A play that goes on. */
+    /** A run that is still going on. */
     public static final class InProgress {
-        private final Ground ground;
-        private final Script script;
+        private final TestBed testBed;
+        private final FaultScript script;
 
-        InProgress(Ground ground) {
-            this.ground = ground;
-            script = new Script(ground);
+        InProgress(TestBed testBed) {
+            this.testBed = testBed;
+            script = new FaultScript(testBed);
         }
 
-        /** What there is so far. */
+        /** Returns the results so far. */
         public TestRun snapshot(boolean aborted) {
-            List<Entry> all = ground.history.sorted();
-            return new TestRun(ground.scenario, ground.seed, ground.clients.statistics, script.timeline(),
-                    Checker.check(ground.scenario.terms(SLACK_MS), all), script.scriptError(), aborted, all, ground.injectedFaults());
+            List<Entry> all = testBed.history.sorted();
+            return new TestRun(testBed.scenario, testBed.seed, testBed.loadGenerator.statistics, script.timeline(),
+                    HistoryChecker.check(testBed.scenario.terms(SLACK_MS), all), script.scriptError(), aborted, all, testBed.injectedFaults());
         }
     }
 
-    /** Whether no rule was broken and the script could be played. */
+    /** Returns whether no rule was violated and the fault script ran without an error. */
     public boolean passed() {
         return violations.isEmpty() && scriptError == null;
     }
 
-    /** Plays a scenario from the start of its processes to their end. {@code began}: hears of the play once it is on. */
+    /** Runs a scenario from the start of its processes to their shutdown. {@code began} receives the run once the processes are ready. */
     public static TestRun run(Scenario scenario, long seed, Path jar, java.util.function.Consumer<InProgress> began)
             throws IOException, InterruptedException {
-        try (Ground ground = new Ground(scenario, seed, jar)) {
-            ground.start();
-            InProgress running = new InProgress(ground);
+        try (TestBed testBed = new TestBed(scenario, seed, jar)) {
+            testBed.start();
+            InProgress running = new InProgress(testBed);
             began.accept(running);
-            ground.clients.begin();
-            running.script.begin();
+            testBed.loadGenerator.start();
+            running.script.start();
             long deadlineMs = scenario.classes().values().stream().mapToLong(Scenario.JobClass::deadlineUs).max().orElse(0) / 1000;
             long seconds = TimeUnit.MICROSECONDS.toSeconds(scenario.lengthUs())
-                    + (scenario.load().retries() + 1) * TimeUnit.MILLISECONDS.toSeconds(deadlineMs + 2 * Clients.LISTENS_MS) + Member.PATIENCE_S;
-            Await.until("the last client's answer", seconds, ground.clients::over, () -> "");
+                    + (scenario.load().retries() + 1) * TimeUnit.MILLISECONDS.toSeconds(deadlineMs + 2 * LoadGenerator.LATE_ANSWER_WAIT_MS)
+                    + DispatcherUnderTest.TIMEOUT_S;
+            Polling.until("the last client's answer", seconds, testBed.loadGenerator::finished, () -> "");
             running.script.join();
-            ground.end();
-            for (Member m : ground.members) {
-                m.noteReports();
+            testBed.shutDown();
+            for (DispatcherUnderTest dispatcher : testBed.fleet) {
+                dispatcher.recordReportedErrors();
             }
             return running.snapshot(false);
         }
--- a/src/main/java/granitefold/standin/history/Excuses.java
+++ b/src/main/java/granitefold/standin/history/PermittedViolations.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * Where somebody outside did what excuses a dispatcher: it was killed, stood still, was told to end and then killed, or
- * the edge to its clients was at fault.
+ * The spans in which injected faults permit a dispatcher to break rules: it was killed or stopped, was unavailable, or the edge to
+ * its clients was faulty.
  */
-final class Excuses {
-    /** A process that was continued first has to work off what came meanwhile. */
-    private static final long AFTER_US = 1_000_000;
+final class PermittedViolations {
+    /** A continued process needs this long to process its backlog. */
+    private static final long CATCH_UP_US = 1_000_000;
 
     private record Span(long fromUs, long untilUs) { }
 
-    /** Of a dispatcher: times in which what it owed to clients was out of its hands. */
-    private final Map<String, List<Span>> spans = new HashMap<>();
-    /** Of a dispatcher: times in which a new connection may find nobody, or be shut unread for want of room. */
-    private final Map<String, List<Span>> away = new HashMap<>();
+    /** For each dispatcher, the spans in which it may fail to answer accepted requests. */
+    private final Map<String, List<Span>> excused = new HashMap<>();
+    /** For each dispatcher, the spans in which new connections may fail or be closed unread; for each edge, the spans of its faults. */
+    private final Map<String, List<Span>> unavailable = new HashMap<>();
 
-    Excuses(List<Entry> all) {
+    PermittedViolations(List<Entry> all) {
         Map<String, Long> stopped = new HashMap<>();
         Map<String, Long> faulty = new HashMap<>();
         Map<String, Long> killed = new HashMap<>();
@@ -33,7 +33,7 @@
                         killed.putIfAbsent(e.who(), e.atUs());
                     }
                     case "exited", "gone" -> {
-                        // the signal takes effect some time after it was asked for
+                        // the signal takes effect with a delay
                         Long since = killed.remove(e.who());
                         if (since != null) {
                             add(e.who(), since, e.atUs());
@@ -42,7 +42,7 @@
                     case "stopped" -> stopped.put(e.who(), e.atUs());
                     case "continued" -> {
                         Long since = stopped.remove(e.who());
-                        add(e.who(), since == null ? e.atUs() : since, e.atUs() + AFTER_US);
+                        add(e.who(), since == null ? e.atUs() : since, e.atUs() + CATCH_UP_US);
                     }
                     default -> { }
                 }
@@ -50,20 +50,20 @@
                 String dispatcher = e.who().substring("clients>".length());
                 if (e.text().equals("none")) {
                     Long since = faulty.remove(dispatcher);
-                    add(dispatcher, since == null ? e.atUs() : since, e.atUs() + AFTER_US);
+                    add(dispatcher, since == null ? e.atUs() : since, e.atUs() + CATCH_UP_US);
                 } else {
                     faulty.putIfAbsent(dispatcher, e.atUs());
                 }
             }
         }
-        away(all);
-        ways(all);
+        addUnavailability(all);
+        addEdgeFaults(all);
         stopped.forEach((who, since) -> add(who, since, Long.MAX_VALUE));
         faulty.forEach((who, since) -> add(who, since, Long.MAX_VALUE));
     }
 
-    /** A dispatcher is away from the end of its last process until the next one is ready; a crowd of idle clients fills its places. */
-    private void away(List<Entry> all) {
+    /** A dispatcher is unavailable from the exit of its last process until the next is ready, and while idle connections fill its limit. */
+    private void addUnavailability(List<Entry> all) {
         Map<String, Integer> alive = new HashMap<>();
         Map<String, Long> since = new HashMap<>();
         for (Entry e : all) {
@@ -77,48 +77,48 @@
                 mark(since, e.who(), e, e.text().equals("killed"));
             }
         }
-        since.forEach((who, from) -> away.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
+        since.forEach((who, from) -> unavailable.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
     }
 
     private void mark(Map<String, Long> since, String who, Entry e, boolean begins) {
         if (begins) {
             since.putIfAbsent(who, e.atUs());
         } else if (since.containsKey(who)) {
-            away.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(since.remove(who), e.atUs()));
+            unavailable.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(since.remove(who), e.atUs()));
         }
     }
 
-    private void ways(List<Entry> all) {
+    private void addEdgeFaults(List<Entry> all) {
         Map<String, Long> since = new HashMap<>();
         for (Entry e : all) {
             if (e.what() == What.FAULT && e.who().contains(">")) {
                 mark(since, e.who(), e, !e.text().equals("none"));
             }
         }
-        since.forEach((edge, from) -> away.computeIfAbsent(edge, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
+        since.forEach((edge, from) -> unavailable.computeIfAbsent(edge, w -> new ArrayList<>()).add(new Span(from, Long.MAX_VALUE)));
     }
 
-    /** Whether the way from one to another was at fault at some time between two. */
-    boolean way(String from, String to, long sinceUs, long untilUs) {
-        return away.getOrDefault(from + ">" + to, List.of()).stream().anyMatch(s -> s.fromUs <= untilUs && s.untilUs >= sinceUs);
+    /** Returns whether an edge was faulty at some time in the interval. */
+    boolean edgeFaulty(String from, String to, long sinceUs, long untilUs) {
+        return unavailable.getOrDefault(from + ">" + to, List.of()).stream().anyMatch(s -> s.fromUs <= untilUs && s.untilUs >= sinceUs);
     }
 
-    /** Whether something excuses that a new connection ended without an answer, none of its request having been sent on. */
-    boolean newConnection(Entry asked, long untilUs) {
-        return overlaps(away, asked, untilUs);
+    /** Returns whether a new connection may have ended without an answer, given that no attempt was sent for its request. */
+    boolean coversNewConnection(Entry asked, long untilUs) {
+        return overlaps(unavailable, asked, untilUs);
     }
 
     private void add(String who, long from, long until) {
-        spans.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, until));
+        excused.computeIfAbsent(who, w -> new ArrayList<>()).add(new Span(from, until));
     }
 
-    /** Whether something excuses that a request had no answer in time from when it was asked to a moment. */
-    boolean client(Entry asked, long untilUs) {
-        return overlaps(spans, asked, untilUs);
+    /** Returns whether a request may have received no answer in time, between its send and {@code untilUs}. */
+    boolean coversRequest(Entry asked, long untilUs) {
+        return overlaps(excused, asked, untilUs);
     }
 
     private static boolean overlaps(Map<String, List<Span>> in, Entry asked, long untilUs) {
         return in.getOrDefault(asked.whom(), List.of()).stream()
-                .anyMatch(s -> s.fromUs <= untilUs + TimeSlack.SEEN_US && s.untilUs >= asked.atUs() - TimeSlack.SEEN_US);
+                .anyMatch(s -> s.fromUs <= untilUs + TimeSlack.OBSERVATION_US && s.untilUs >= asked.atUs() - TimeSlack.OBSERVATION_US);
     }
 }
--- a/src/test/java/granitefold/standin/history/CheckerTest.java
+++ b/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
@@ -10,17 +10,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What of a history is a dispatcher's doing, and what is the relays' that its connections pass through. */
-class CheckerTest {
+/** Tests that the checker attributes an event to the dispatcher or to the relays between it and its clients and workers. */
+class HistoryCheckerTest {
     private static final long MS = 1_000, DEADLINE_MS = 1_500;
     private static final String CLIENT = "127.0.0.1:1", PEER = "127.0.0.1:2";
-    private static final Terms TERMS = new Terms(Map.of("job", new Terms.JobClass(Terms.Effect.SAFE, 0, DEADLINE_MS)), Map.of(), 2_000, 100,
+    private static final RuleTerms TERMS = new RuleTerms(Map.of("job", new RuleTerms.JobClass(RuleTerms.Effect.SAFE, 0, DEADLINE_MS)), Map.of(),
+            2_000, 100,
             true, true, true);
 
     private final List<Entry> entries = new ArrayList<>();
 
     @Test
-    void anAttemptThatTellsMoreThanIsLeftBreaksTheRule() {
+    void reportsAnAttemptThatStatesMoreTimeThanIsLeft() {
         asked(0);
         forwarded(10);
         attempt(400, 0, DEADLINE_MS - 10);
@@ -28,9 +29,9 @@
         assertEquals(List.of(Rule.OVERSTATED), rules());
     }
 
-    /** The relays, busy with others, read it late; the dispatcher may have sent it long before. */
+    /** A busy relay reads an attempt late; the dispatcher may have sent it long before. */
     @Test
-    void whatTheRelaysReadLateMayHaveBeenSentBefore() {
+    void allowsForAnAttemptThatTheRelayReadLate() {
         asked(0);
         forwarded(10);
         attempt(400, 380, DEADLINE_MS - 10);
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void anAttemptForAClientThatHasLongGoneBreaksTheRule() {
+    void reportsAnAttemptForADisconnectedClient() {
         asked(0);
         forwarded(10);
         left(100);
@@ -48,9 +49,9 @@
         assertEquals(List.of(Rule.GONE), rules());
     }
 
-    /** The relays, busy with others, had not passed the client's close on. */
+    /** A busy relay forwards the client's close after the attempt was sent. */
     @Test
-    void aCloseThatTheRelaysPassOnLateIsNotKnownBefore() {
+    void allowsForACloseThatTheRelayForwardedLate() {
         asked(0);
         forwarded(10);
         left(100);
@@ -59,9 +60,9 @@
         assertEquals(List.of(), rules());
     }
 
-    /** A later client with the same port closes much later: its close is not the one that counts. */
+    /** The first close after the disconnect counts, not that of a later client with the same port. */
     @Test
-    void anotherClientsCloseFromTheSamePortExcusesNothing() {
+    void ignoresTheCloseOfALaterClientWithTheSamePort() {
         asked(0);
         forwarded(10);
         left(100);
@@ -71,9 +72,9 @@
         assertEquals(List.of(Rule.GONE), rules());
     }
 
-    /** The port of an attempt's connection was in use towards another worker, and that connection closed before. */
+    /** The local port of an attempt's connection was also used for a connection to another worker, which was closed earlier. */
     @Test
-    void theCloseOfAConnectionToAnotherWorkerEndsNoAttempt() {
+    void ignoresTheCloseOfAConnectionToAnotherWorker() {
         closedTo("s1", 20);
         asked(100);
         forwarded(110);
@@ -83,9 +84,9 @@
         assertEquals(List.of(), rules());
     }
 
-    /** The port of an attempt's connection was used before towards the same worker. */
+    /** The local port of an attempt's connection was used before for a connection to the same worker. */
     @Test
-    void theCloseOfAFormerConnectionEndsNoAttempt() {
+    void ignoresTheCloseOfAPreviousConnection() {
         closedTo("s0", 20);
         asked(100);
         forwarded(110);
@@ -95,9 +96,9 @@
         assertEquals(List.of(), rules());
     }
 
-    /** The same fault of the checker hid that the first attempt was still out. */
+    /** Taking the close of a previous connection for the end of an attempt hid that the attempt was still in flight. */
     @Test
-    void aFormerConnectionsCloseDoesNotAllowASecondAttempt() {
+    void reportsASecondAttemptDespiteTheCloseOfAPreviousConnection() {
         closedTo("s0", 20);
         asked(100);
         forwarded(110);
@@ -109,9 +110,9 @@
         assertEquals(List.of(Rule.TWO_OUT), rules());
     }
 
-    /** What goes out on another connection from the same port says nothing of when an attempt was sent. */
+    /** Bytes on another connection from the same port do not change the time at which an attempt was sent. */
     @Test
-    void whatIsSentToAnotherWorkerFromTheSamePortMakesNoAttemptLate() {
+    void ignoresBytesSentToAnotherWorkerFromTheSamePort() {
         asked(0);
         forwarded(10);
         left(100);
@@ -123,16 +124,16 @@
     }
 
     @Test
-    void aRejectThatIsKeptBackBreaksTheRule() {
+    void reportsADelayedReject() {
         asked(100);
         forwarded(110);
         rejected(1_590);
         assertEquals(List.of(Rule.DELAYED), rules());
     }
 
-    /** Under load a process lived on for a while after its kill was asked for. */
+    /** On a busy machine a process runs on for a while after its kill was requested. */
     @Test
-    void aKillExcusesWhatIsOwedUntilTheProcessIsGone() {
+    void permitsLostRequestsFromAKillUntilTheProcessIsGone() {
         process(0, "killed");
         asked(100);
         forwarded(110);
@@ -143,7 +144,7 @@
     }
 
     @Test
-    void whatIsOwedAfterAKilledProcessHasGoneIsLost() {
+    void reportsRequestsLostAfterAKilledProcessIsGone() {
         process(0, "killed");
         process(10, "gone");
         asked(100);
@@ -155,7 +156,7 @@
 
     private List<Rule> rules() {
         entries.sort(Comparator.comparingLong(Entry::atUs));
-        return Checker.check(TERMS, entries).stream().map(Violation::rule).toList();
+        return HistoryChecker.check(TERMS, entries).stream().map(Violation::rule).toList();
     }
 
     private void asked(long ms) {
@@ -186,7 +187,7 @@
         entries.add(new Entry(ms * MS, What.CLOSED, "n0", worker, null, null, null, null, PEER, 0, null));
     }
 
-    /** An attempt that its worker never answers, sent from the port of all attempts. */
+    /** An attempt that its worker never answers; all attempts are sent from the same port. */
     private void hungAttempt(String worker, long ms) {
         sentTo(worker, ms);
         add(ms, What.BEGUN, worker, "n0", PEER, 0, null);
@@ -204,10 +205,10 @@
         entries.add(new Entry(ms * MS, What.CLOSE_FORWARDED, "clients", "n0", null, null, null, null, CLIENT, 0, null));
     }
 
-    /** Seen at a time, and sent up to so much earlier. */
-    private void attempt(long ms, long earlierMs, long toldMs) {
+    /** An attempt that the relay reads at {@code ms} and the dispatcher sent up to {@code earlierMs} before. */
+    private void attempt(long ms, long earlierMs, long statedMs) {
         entries.add(new Entry(ms * MS, What.SENT, "n0", "s0", null, null, null, null, PEER, earlierMs * MS, null));
-        add(ms, What.BEGUN, "s0", "n0", PEER, toldMs, null);
+        add(ms, What.BEGUN, "s0", "n0", PEER, statedMs, null);
         add(ms + 10, What.ENDED, "s0", "n0", PEER, 0, "done");
     }
 
