--- a/src/main/java/granitefold/Dispatcher.java
+++ b/src/main/java/granitefold/Dispatcher.java
@@ -141,7 +141,10 @@
     /** Returns the present numbers of workers. */
     WorkerCounts workerCounts(long now);
 
-    /** Another process of this instance serves from now on and takes over the slow-start budgets. */
+    /**
+     * Another process of this instance serves from now on and takes over the slow-start budgets: the requests left
+     * here go to no worker in slow start.
+     */
     void superseded();
 
     /** Returns what was learned and is worth keeping across a restart. */
--- a/src/main/java/granitefold/core/ClientConnections.java
+++ b/src/main/java/granitefold/core/ClientConnections.java
@@ -14,7 +14,7 @@
 final class ClientConnections {
     /**
      * The time for a whole request to arrive, from the connect or, on a kept connection, from its first byte. Slow lines take
-     * 2 s, and slower clients must be told within 3 s.
+     * 2 s, and a slower client must get the time-out answer within 3 s.
      */
     static final long REQUEST_TIMEOUT_US = 2_800_000;
     /** The time for a client to read its answer. */
@@ -90,7 +90,7 @@
         move(entries.get(client), State.RECEIVING, now);
     }
 
-    /** More of a request has arrived, but not its end: its timeout runs on, and it moves to the end of the order of silence. */
+    /** More of a request has arrived, but not its end: its timeout runs on, but its time of silence starts again. */
     void received(long client, long now) {
         Entry entry = entries.get(client);
         if (entry != null && (entry.state == State.CONNECTED || entry.state == State.RECEIVING)) {
--- a/src/main/java/granitefold/core/DiscoveryWatch.java
+++ b/src/main/java/granitefold/core/DiscoveryWatch.java
@@ -5,10 +5,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps a watch call to discovery open. A list that discovery offers is binding 6 s later, received or not. Once discovery is
- * reachable again, it takes at most {@link #SILENCE_TIMEOUT_US} to give up the pending call, or {@link #MAX_BACKOFF_US} to end
- * the backoff; a call that was open for longer than the backoff is followed by the next one at once. The last list is used
- * meanwhile.
+ * Keeps a watch call to discovery open. The dispatcher must comply with a list 6 s after discovery offers it, received or not,
+ * if discovery could be reached. Once it is reachable again, it takes at most {@link #SILENCE_TIMEOUT_US} to give up the pending
+ * call, or {@link #MAX_BACKOFF_US} to end the backoff; a call that was open for longer than the backoff is followed by the next
+ * one at once. The last list is used meanwhile.
  */
 final class DiscoveryWatch {
     /** A call without a message for this long is given up, in whatever state; heartbeats come every 2 s. */
@@ -17,8 +17,8 @@
     static final long INITIAL_BACKOFF_US = 50_000, MAX_BACKOFF_US = 1_000_000;
 
     /**
-     * The longest time that an agent may lag behind, since a list is binding after it. An agent that sends only older versions for
-     * longer is not lagging: discovery has restarted its version count, which is accepted then.
+     * The longest time that an agent may lag behind, since a list must be complied with after it. An agent that sends only older
+     * versions for longer is not lagging: discovery has restarted its version count, which is accepted then.
      */
     private static final long MAX_LAG_US = 6_000_000;
 
--- a/src/main/java/granitefold/core/Event.java
+++ b/src/main/java/granitefold/core/Event.java
@@ -103,7 +103,7 @@
     /** The saved state of a previous process has been read. */
     record StateRecovered(LearnedState learned) implements Event { }
 
-    /** The process that this one replaces has handed over its learned state. */
+    /** The process that this one replaces has handed over its learned state, which is current and needs no aging. */
     record StateInherited(LearnedState learned) implements Event { }
 
     /** A probe of a worker has ended. */
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -23,7 +23,7 @@
     static final long START_TIMEOUT_US = 500_000;
     /**
      * The longest time that requests wait for the first message of discovery. Its agent runs on this machine and answers at once,
-     * and its list binds a process from the start; while discovery is down no message comes.
+     * and a process must comply with its list from the start; while discovery is down no message comes.
      */
     static final long FIRST_LIST_TIMEOUT_US = 200_000;
     private static final long SWEEP_INTERVAL_US = 500_000;
--- a/src/main/java/granitefold/core/Requests.java
+++ b/src/main/java/granitefold/core/Requests.java
@@ -12,7 +12,7 @@
 
 /** The request contexts: each is owed one final answer by its deadline. */
 final class Requests {
-    /** The part of a client's time that is reserved for the transmission of its answer. */
+    /** The part of a client's time reserved for the transmission of its answer: the client counts from when it sent the request. */
     static final long ANSWER_MARGIN_US = 20_000;
 
     private final CoreContext core;
--- a/src/main/java/granitefold/figures/MetricsSnapshot.java
+++ b/src/main/java/granitefold/figures/MetricsSnapshot.java
@@ -9,7 +9,7 @@
  * @param dispatches attempts whose request was written completely to a worker
  * @param concurrent accepted requests without a fully written answer
  * @param targets workers in the list, including those that drain
- * @param targetsDisabled number of those that get no job while others have free slots
+ * @param targetsDisabled number of those that get no job while others have room
  * @param ready whether the process can serve: discovery has answered or the wait for it is over, and no shutdown was requested
  */
 public record MetricsSnapshot(List<Replies> replies, long dispatches, int concurrent, int targets, int targetsDisabled,
--- a/src/main/java/granitefold/policy/DispatchPolicy.java
+++ b/src/main/java/granitefold/policy/DispatchPolicy.java
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Cancels a job that nobody waits for. It is kept while attempts are open, for the load that they stand
-     * for.
+     * Cancels the open attempts of a job that nobody waits for, if the site permits that. The job is kept
+     * while attempts are open, for the load that they stand for.
      */
     private void release(Job job) {
         IntStream.range(0, state.settings.limits().cancel() ? job.attempts.size() : 0)
@@ -234,7 +234,7 @@
         gossip.reportLoad(worker, job.tenant, now);
     }
 
-    /** Gives the final answer of an admitted job: refused where that is permitted, else failed. */
+    /** Gives every final answer of the policy to an admitted job: refused where permitted, else failed. */
     private void finish(Job job, long now) {
         JobClass jobClass = job.jobClass(state.settings);
         if (jobClass.effect() == Effect.SAFE
--- a/src/main/java/granitefold/policy/WaitEstimator.java
+++ b/src/main/java/granitefold/policy/WaitEstimator.java
@@ -15,8 +15,8 @@
     /** Prior weight, in jobs: of its kind's speed for a worker, and of speed 1 for a kind. */
     static final double SPEED_PRIOR_JOBS = 5;
     /**
-     * Quotas count half as evidence of slots after this many hints, and half again after as many jobs of the
-     * kind.
+     * What quotas promise counts half as evidence of slots after this many hints, since they give the mean
+     * work. After as many jobs of the kind it is halved again, since those show the slots themselves.
      */
     static final double SLOTS_PRIOR_JOBS = 20;
     /** Maximum slots inferred from quotas, which may be absurd: each slot costs time in every estimate. */
@@ -57,8 +57,8 @@
 
     /**
      * Returns the slots seen on the worker or its kind, and at first those it needs for its part of what the
-     * quotas promise. A dispatcher that shares the worker with others sees fewer of the hints, and of the
-     * jobs that run at once and so reveal slots: its prior is that much smaller.
+     * quotas promise. One of several dispatchers that share the worker sees only its part of the hints, and
+     * of the jobs that run at once and so reveal slots: fewer hints and more jobs have the same effect there.
      */
     private int estimatedSlots(TrackedWorker worker) {
         SpeedEstimate kind = state.kindSpeeds.get(worker.kind);
--- a/src/main/java/granitefold/policy/WorkerSelector.java
+++ b/src/main/java/granitefold/policy/WorkerSelector.java
@@ -16,8 +16,8 @@
 
     /**
      * Returns the permitted worker with the least cost: expected time for the job, fetch, prices and a random
-     * share. Workers that recently refused come last, and those outside the subset, whose load nobody
-     * reports, are considered only if none within it is free of suspicion. Returns null if no worker may take
+     * share. Suspected outliers come last. Workers outside the subset, whose load nobody reports, are
+     * considered only if every candidate is suspected or not permitted. Returns null if no worker may take
      * the job.
      */
     TrackedWorker select(Job job, long now) {
--- a/src/main/java/granitefold/recovery/LearnedStateAging.java
+++ b/src/main/java/granitefold/recovery/LearnedStateAging.java
@@ -9,8 +9,8 @@
 
 /**
  * Ages a learned state by the time since it was saved and adapts it to a worker list that may have changed. It errs on
- * the safe side: values that are too old, that belong to a worker restarted since, or that come from the future are
- * dropped. Values that guard a rule (work sent to workers in slow start, keys that may have run) are kept for their whole
+ * the safe side: values that are too old or come from the future are dropped, and so are the kept keys of a worker
+ * restarted since. Values that guard a rule (work sent to workers in slow start, keys that may have run) are kept for their whole
  * validity. The counts of buckets only grow and are always kept; the dispatch policy refills the buckets' credit for the
  * time in between, up to their capacity.
  */
