--- a/src/main/java/granitefold/cli/rollout/SupervisorServer.java
+++ b/src/main/java/granitefold/cli/rollout/SupervisorServer.java
@@ -76,7 +76,10 @@
         thread.start();
     }
 
-    /** Finds the processes left by a previous supervisor: adopts the recorded serving process and terminates all others. */
+    /**
+     * Finds the processes left by a previous supervisor: adopts the recorded serving process and terminates all others, whose
+     * versions are unknown.
+     */
     private void adoptProcesses() throws InterruptedException {
         long previous = supervisor.previousServing();
         boolean alive = false;
--- a/src/main/java/granitefold/net/EventLoop.java
+++ b/src/main/java/granitefold/net/EventLoop.java
@@ -45,9 +45,9 @@
      * clients that are not counted yet, and for closed channels that are held until the next select.
      */
     private static final int RESERVED_DESCRIPTORS = 48;
-    public static final int OPS_DESCRIPTORS = 20; // 12 connections, and 8 of its own
+    public static final int OPS_DESCRIPTORS = 20; // 12 connections, and 8 of the endpoint itself
     private static final int SPARE_CLIENT_CONNECTIONS = 16; // client connections beyond those with a request in progress
-    /** The old version checks for a handover request four times a second, also while the new one is warming up. */
+    /** Time limit of the hand-over: the old version looks for the request four times a second, and it precedes the warm-up. */
     private static final long HANDOVER_TIMEOUT_MS = 700;
     /** Request bodies may take one part in this many of the heap, which must also hold their copies in transit. */
     private static final long HELD_BYTES_HEAP_DIVISOR = 5;
@@ -75,7 +75,7 @@
     private final OutboundConnections outbound;
     /** The processes that serve at the same address; null if there is no ops address, and so never a second process. */
     private final ProcessRegistry processes;
-    /** Null if there is no folder that is shared with other processes. */
+    /** Null without an ops address, or without a folder that is shared with other processes. */
     private final StateHandover handover;
     private volatile MetricsSnapshot figures;
 
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Starts the graceful shutdown and waits until it is complete or its time is up; called from a shutdown hook.
-     * Returns how much of that time is left, in microseconds.
+     * Starts the graceful shutdown and waits until it is complete or the platform is about to kill the process; called from a
+     * shutdown hook. Returns how much of that time is left, in microseconds.
      */
     public long terminate() throws InterruptedException {
         long startNs = System.nanoTime();
--- a/src/main/java/granitefold/net/JitWarmup.java
+++ b/src/main/java/granitefold/net/JitWarmup.java
@@ -76,7 +76,7 @@
             if (i % CONCURRENT_REQUESTS == CONCURRENT_REQUESTS - 1) {
                 nowUs += CONCURRENT_REQUESTS * REQUEST_INTERVAL_US;
                 process(new Event.Woken());
-                // sleeps as long as it has run: the serving process may have to share the same core
+                // sleeps as long as it has just run, so that a serving process on the same core gets every second time slice
                 LockSupport.parkNanos(System.nanoTime() - sliceStartNs);
                 sliceStartNs = System.nanoTime();
             }
--- a/src/main/java/granitefold/net/SelectorThread.java
+++ b/src/main/java/granitefold/net/SelectorThread.java
@@ -261,7 +261,7 @@
         }
     }
 
-    /** Never runs Jetty's timers: all time-outs are the reducer's. */
+    /** Never runs Jetty's timers: all time-outs are handled by the reducer. */
     private static final class InactiveScheduler extends AbstractLifeCycle implements Scheduler {
         @Override
         public Task schedule(Runnable task, long delay, TimeUnit units) {
--- a/src/main/java/granitefold/net/StateHandover.java
+++ b/src/main/java/granitefold/net/StateHandover.java
@@ -16,8 +16,8 @@
 
 /**
  * Transfers the learned state from the serving process to its successor during an upgrade, through files in a shared folder. The
- * successor writes a request file with a random token, and reads only a response file withSuffix after that token, so that files left by
- * earlier starts are never read. The response is a checksummed, versioned state file that is renamed into place atomically. Without
+ * successor writes a request file with a random token, and reads only a response file that is named after that token, so that files left
+ * by earlier starts are never read. The response is a checksummed, versioned state file that is renamed into place atomically. Without
  * a response in time the successor starts without inherited state.
  */
 final class StateHandover {
--- a/src/main/java/granitefold/net/checks/CheckEndpoints.java
+++ b/src/main/java/granitefold/net/checks/CheckEndpoints.java
@@ -253,8 +253,9 @@
     }
 
     /**
-     * Answers 200 if the dispatcher accepts new traffic, 404 (or the configured status) while it drains or is in
-     * maintenance, for HAProxy's {@code http-check disable-on-404}, else 503. Other balancers ignore the Envoy headers.
+     * Answers 200 if the dispatcher accepts new traffic; 404 (or the configured status) while an operator or the shutdown of
+     * the process drains it, or in maintenance, for HAProxy's {@code http-check disable-on-404}; else 503. Other balancers
+     * ignore the Envoy headers.
      */
     private HttpCheckConnection.Answer readiness(StatusReporter.PublishedReport latest, boolean verbose) {
         StatusReport report = latest == null ? null : latest.report();
--- a/src/main/java/granitefold/operator/OperatorSettings.java
+++ b/src/main/java/granitefold/operator/OperatorSettings.java
@@ -54,7 +54,7 @@
      * Client connections.
      *
      * @param proxySources addresses that may send a PROXY header; empty: any
-     * @param envoyHeaders whether Envoy is told by response headers when the dispatcher does not serve
+     * @param envoyHeaders whether response headers inform Envoy when the dispatcher does not serve
      * @param loadMetrics whether ORCA load metrics are sent to clients that ask for them
      */
     public record Clients(boolean proxyHeaderRequired, Set<InetAddress> proxySources, boolean envoyHeaders, boolean loadMetrics) { }
--- a/src/main/java/granitefold/rollout/Comparison.java
+++ b/src/main/java/granitefold/rollout/Comparison.java
@@ -13,13 +13,13 @@
  * cancels out. A block with too few answers in one group is extended.
  */
 public final class Comparison {
-    /** Answers that each group must have before a block is closed. */
+    /** Answers below which a group's mean says little; a block in which either group has fewer is extended. */
     static final int MIN_ANSWERS = 20;
     /** Number of blocks at which the confidence intervals are tightest. */
     private static final int TIGHTEST_AT_BLOCKS = 30;
     /** Answers of one group that close a block even if the other group has fewer than the minimum. */
     private static final int MAX_ANSWERS = 200;
-    /** Mean number of held requests from which a group's time is compared although it has few answers. */
+    /** Mean number of held requests from which a group with few answers is compared too: holding them without answering is a fault. */
     private static final int MIN_HELD = 5;
     /** Added to the mean number of held requests, so that the logarithm of an idle group's time is finite. */
     private static final double HELD_OFFSET = 0.1;
--- a/src/main/java/granitefold/rollout/ConfidenceSequence.java
+++ b/src/main/java/granitefold/rollout/ConfidenceSequence.java
@@ -12,7 +12,7 @@
     public static final int MIN_VALUES = 10;
 
     private final double alpha;
-    /** Squared scale of the mixture, chosen so that the interval is tightest at {@code tightestAt} values. */
+    /** Squared scale of the mixture, for which the interval is tightest at {@code tightestAt} values. */
     private final double rho2;
     private int n;
     private double mean;
--- a/src/main/java/granitefold/rollout/MetricResult.java
+++ b/src/main/java/granitefold/rollout/MetricResult.java
@@ -3,7 +3,8 @@
 import java.util.Locale;
 
 /**
- * Result for one metric of a {@link Comparison}: how much worse the new version is than the old one.
+ * Result for one metric of a {@link Comparison}: how much worse the new version is than the old one. The probability that the interval
+ * of any metric ever excludes the mean is at most {@link Margins#alpha}.
  *
  * @param metric name of the metric, followed by the job class if it is per class
  * @param degradation estimate in the metric's unit; positive is worse
--- a/src/main/java/granitefold/rollout/Supervisor.java
+++ b/src/main/java/granitefold/rollout/Supervisor.java
@@ -7,13 +7,14 @@
 /**
  * State machine of the supervisor ("keeper") of one dispatcher: (state, event, now) to actions. It keeps one process serving in the
  * version of the latest order and restarts it after a crash. A new version is started next to the old process, which is terminated once
- * the new one serves, or after the old process has exited where two cannot run at the same addresses. If a version does not start, the
- * previous one keeps serving or is started again. Each order is executed once; an order older than the latest one seen is ignored.
+ * the new one serves; where two processes cannot run at the same addresses, it is started after the old one has exited. If a version
+ * does not start, the previous one keeps serving or is started again. Each order is executed once; an order older than the latest one
+ * seen is ignored.
  */
 public final class Supervisor {
-    /** A terminated process is killed after this time: longer than the platform's longest deadline plus 0.7 s. */
+    /** A terminated process is killed after this time: the platform's longest deadline plus 0.7 s, with a margin. */
     static final long TERMINATION_TIMEOUT_US = 6_000_000;
-    /** Initial and longest delay before a crashed process is restarted; the delay doubles with each crash. */
+    /** Shortest and longest delay before a crashed process is restarted; the delay doubles with each crash. */
     static final long RESTART_DELAY_US = 200_000, MAX_RESTART_DELAY_US = 5_000_000;
     /** A process that has served for this time resets the restart delay. */
     static final long STABLE_AFTER_US = 10_000_000;
--- a/src/main/java/granitefold/wire/ProxyHeader.java
+++ b/src/main/java/granitefold/wire/ProxyHeader.java
@@ -29,7 +29,8 @@
 
     /**
      * Decodes the header at the buffer's position and moves the position past it. Returns null, and leaves the position,
-     * if the header is incomplete. Data that does not start with a header is rejected, as section 2 requires.
+     * if the header is incomplete. Data that does not start with a header is rejected: section 2 forbids guessing whether one
+     * is present.
      */
     public static ProxyHeader decode(ByteBuffer in) throws BadRequestException {
         byte[] prefix = in.get(in.position()) == V2_SIGNATURE[0] ? V2_SIGNATURE : V1_PREFIX;
