--- a/src/main/java/granitefold/cli/StateCommand.java
+++ b/src/main/java/granitefold/cli/StateCommand.java
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Returns a storage that refuses all writes, so that the store cannot move damaged files aside. */
+    /** Returns a storage that refuses all writes, so that the store cannot set files of other programs or newer versions aside. */
     private static granitefold.state.Storage readOnly(Path folder) {
         granitefold.state.Storage storage = DirectoryStorage.readOnly(folder);
         return new granitefold.state.Storage() {
--- a/src/main/java/granitefold/rollout/Rollout.java
+++ b/src/main/java/granitefold/rollout/Rollout.java
@@ -39,7 +39,7 @@
     private long compareFrom;
     private long compareUntil;
     private long lastComparedAt;
-    /** Number of consecutive rollback steps that failed and were put at the end of the queue. */
+    /** Consecutive failed rollback steps, each retried at the end of the queue; if more fail than are left, the rollout is held. */
     private int deferred;
     private final List<RolloutAction> actions = new ArrayList<>();
 
