--- a/src/main/java/granitefold/standin/soak/SoakCommand.java
+++ b/src/main/java/granitefold/standin/soak/SoakCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs the soak test for a range of seeds. Exit status: 0 if no rule was broken, 1 if one was, 2 for invalid options. */
+/** Runs the soak test for a range of seeds. Exit status: 0 if no rule is violated, 1 if one is, 2 for invalid options. */
 @Command(name = "soak", mixinStandardHelpOptions = true, exitCodeOnInvalidInput = SoakCommand.INVALID_OPTIONS,
         description = "Run fleets of real processes under random, overlapping faults, one test run per seed.")
 public final class SoakCommand implements Callable<Integer> {
@@ -74,7 +74,7 @@
             }
         }
         if (!print) {
-            spec.commandLine().getOut().printf("%d test runs; a rule was broken or the script failed in %d%n", seeds, failedRuns);
+            spec.commandLine().getOut().printf("%d test runs; a rule was violated or the script failed in %d%n", seeds, failedRuns);
         }
         return failedRuns == 0 ? 0 : RULE_BROKEN;
     }
@@ -102,7 +102,7 @@
                 all.count(RequestStatistics.Outcome.REJECTED), all.count(RequestStatistics.Outcome.FAILED),
                 all.count(RequestStatistics.Outcome.LOST), all.count(RequestStatistics.Outcome.LEFT),
                 testRun.scriptError() != null ? "the script failed: " + testRun.scriptError()
-                : testRun.violations().isEmpty() ? "no rule broken" : "rules broken: " + counts(testRun));
+                : testRun.violations().isEmpty() ? "no rule violated" : "rules violated: " + counts(testRun));
         testRun.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(v -> out.println("  " + v));
         out.flush();
     }
--- a/src/test/java/granitefold/real/InternalErrorIT.java
+++ b/src/test/java/granitefold/real/InternalErrorIT.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.ground.TestRun;
-import granitefold.standin.ground.Scenario;
 import granitefold.standin.ground.PatchedJar;
 import granitefold.standin.ground.PatchedJar.Patch;
+import granitefold.standin.ground.Scenario;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.history.Violation.Rule;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/granitefold/real/OpsIT.java
+++ b/src/test/java/granitefold/real/OpsIT.java
@@ -6,9 +6,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import granitefold.standin.Fleet;
 import granitefold.standin.ClosedLoopClients;
 import granitefold.standin.ClosedLoopClients.End;
+import granitefold.standin.Fleet;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -5,8 +5,8 @@
 
 import granitefold.standin.ground.PatchedJar;
 import granitefold.standin.ground.PatchedJar.Patch;
-import granitefold.standin.ground.TestRun;
 import granitefold.standin.ground.Scenario;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.history.Violation.Rule;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
     private static final Patch WITHOUT_ACTION_GUARD = new Patch("core/ActionGuard.java", "        return violated(rule, request.submission.name());", "        return true;");
 
     private static final Object[][] DEFECTS = {
-        {"a job on a silent cocinero is sent to a second one as well", Rule.TWO_OUT, LIGHT_LOAD + "steps = [ { do = hang, to = [s0], at = 500ms } ]",
+        {"a job on a silent worker is sent to a second one as well", Rule.TWO_OUT, LIGHT_LOAD + "steps = [ { do = hang, to = [s0], at = 500ms } ]",
             new Patch("policy/SendConstraints.java", "&& (job.openAttempts == 0 || state.settings.limits().secondCopies())", "&& job.openAttempts < 2"), WITHOUT_ACTION_GUARD},
         {"a result is replaced by another", Rule.MADE_UP, LIGHT_LOAD,
             new Patch("core/Attempts.java", "new FinalAnswer.Served(served.result())", "new FinalAnswer.Served(new byte[] {'x'})")},
@@ -53,11 +53,11 @@
         {"some requests are answered twice", Rule.ANSWERED_TWICE, LIGHT_LOAD,
             new Patch("net/ClientConnection.java", "() -> closeConnection(CloseReason.BROKEN)), message);", "() -> closeConnection(CloseReason.BROKEN)), message[0], message[1], message[0].duplicate(),\n"
                     + "                message[1].duplicate());")},
-        {"draining cocineros still get jobs", Rule.DRAIN, "for = 6s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
+        {"draining workers still get jobs", Rule.DRAIN, "for = 6s, dispatchers.count = 1, cocineros { count = 3, slots = 4 }, load.rate = 60\n"
                 + "steps = [ { do = drain, to = [s0], at = 500ms } ]",
             new Patch("core/WorkerRegistry.java", "worker.state = entry.state();", "worker.state = State.READY;"),
             new Patch("core/WorkerRegistry.java", "new Dispatcher.Worker(worker.id, entry.weight(), entry.state(),", "new Dispatcher.Worker(worker.id, entry.weight(), State.READY,")},
-        {"cocineros in slow start get as many jobs as others", Rule.COLD, "for = 5s, dispatchers.count = 2, load { rate = 300, retries = 0 }\n"
+        {"workers in slow start get as many jobs as others", Rule.COLD, "for = 5s, dispatchers.count = 2, load { rate = 300, retries = 0 }\n"
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
@@ -98,7 +98,7 @@
         {"restarts are slow", Rule.SLOW_START, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load.rate = 30\n"
                 + "steps = [ { do = kill, to = [n1], at = 500ms, lasts = 100ms } ]",
             new Patch("net/EventLoop.java", "        listener = new ClientListener(", "        Thread.sleep(10_500);\n        listener = new ClientListener(")},
-        {"each dispatcher uses the whole slow-start budget of a cocinero", Rule.COLD, "for = 5s, dispatchers.count = 8, load { rate = 400, retries = 0 }\n"
+        {"each dispatcher uses the whole slow-start budget of a worker", Rule.COLD, "for = 5s, dispatchers.count = 8, load { rate = 400, retries = 0 }\n"
                 + "classes.ficha { work = 40ms, on-time = 5s, deadline = 8s }\n"
                 + "cocineros { count = 3, slots = 6, queue = 500, cold-from = 0.1, cold-for = 20s, falls-at = 1, falls-within = 1s }\n"
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
--- a/src/test/java/granitefold/real/RolloutIT.java
+++ b/src/test/java/granitefold/real/RolloutIT.java
@@ -4,12 +4,12 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
 
+import granitefold.standin.ground.PatchedJar;
+import granitefold.standin.ground.PatchedJar.Patch;
 import granitefold.standin.ground.RolloutTestBed;
 import granitefold.standin.ground.RolloutTestBed.PlanParameters;
 import granitefold.standin.ground.RolloutTestBed.Result;
 import granitefold.standin.ground.Scenario;
-import granitefold.standin.ground.PatchedJar;
-import granitefold.standin.ground.PatchedJar.Patch;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
--- a/src/test/java/granitefold/real/SoakIT.java
+++ b/src/test/java/granitefold/real/SoakIT.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.ground.TestRun;
 import granitefold.standin.ground.Scenario;
+import granitefold.standin.ground.TestRun;
 import granitefold.standin.soak.SoakCommand;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/granitefold/real/UpgradeIT.java
+++ b/src/test/java/granitefold/real/UpgradeIT.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import granitefold.standin.Fleet;
 import granitefold.standin.ClosedLoopClients;
 import granitefold.standin.ClosedLoopClients.End;
+import granitefold.standin.Fleet;
 import java.io.IOException;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
