--- a/src/main/java/granitefold/standin/ground/RolloutExperiment.java
+++ b/src/main/java/granitefold/standin/ground/RolloutExperiment.java
@@ -52,7 +52,7 @@
     @Spec
     private CommandSpec spec;
 
-    /** One run. {@code lost}: the share of the requested value in the window that the served share before the rollout would have served in addition. */
+    /** One run. {@code lost}: the share of the requested value in the window that is missing compared with the served share before the rollout. */
     private record Outcome(long seed, Result result, double lost, int violations) { }
 
     @Override
--- a/src/main/java/granitefold/standin/history/HistoryChecker.java
+++ b/src/main/java/granitefold/standin/history/HistoryChecker.java
@@ -175,7 +175,7 @@
         }
     }
 
-    /** A request on a reused connection may have crossed its close, and the client resends it; on a new connection that takes a permitted fault. */
+    /** A request on a reused connection may have crossed its close, and the client resends it; on a new one this takes a permitted violation. */
     private boolean mayNotHaveBeenRead(Entry asked, Entry unheard) {
         return !"new".equals(unheard.text()) || !terms.recordsProcesses() || permitted.coversNewConnection(asked, unheard.atUs());
     }
--- a/src/test/java/granitefold/core/DiscoveryWatchTest.java
+++ b/src/test/java/granitefold/core/DiscoveryWatchTest.java
@@ -16,7 +16,7 @@
 
 /**
  * The watch on discovery on virtual time, against an agent with all kinds of failures. From any state, once the agent is reachable
- * and stays so, its list is received within the 6 s after which it is binding; after a change of address within 4 s.
+ * and stays so, its list is received within the 6 s after which it is binding; after SIGHUP with a new address within 4 s.
  */
 class DiscoveryWatchTest {
     private static final long MS = 1_000, SECOND = 1_000 * MS, BINDING_US = 6 * SECOND, ADDRESS_CHANGE_US = 4 * SECOND;
--- a/src/test/java/granitefold/core/ReducerTest.java
+++ b/src/test/java/granitefold/core/ReducerTest.java
@@ -76,7 +76,7 @@
         assertTrue(wake < now + SECOND, "only the sweep is left");
     }
 
-    /** A restarted process has its saved list, and clients wait for it. */
+    /** A restarted process serves with one ready worker of its saved list, since clients are waiting for it. */
     @Test
     void aKnownWorkerIsEnoughToServe() {
         play(new Event.SocketsOpened(list(State.DRAINING, true), "127.0.0.1:2"));
--- a/src/test/java/granitefold/policy/AdmissionProbeTest.java
+++ b/src/test/java/granitefold/policy/AdmissionProbeTest.java
@@ -47,7 +47,7 @@
         assertTrue(bed.sendTargets.size() > 0, "15 consecutive requests were refused without a probe");
     }
 
-    /** With two probes waiting, each further one takes at least 20 refusals; the first takes no more than 10. */
+    /** With two probes waiting, each further one takes at least 20 refusals; before the first one there are at most 10, in one second. */
     @Test
     void waitingProbesMakeFurtherProbesRarer() {
         int requests = 200;
--- a/src/test/java/granitefold/policy/AdmissionTest.java
+++ b/src/test/java/granitefold/policy/AdmissionTest.java
@@ -126,7 +126,7 @@
         assertEquals(0, bed.countActions("refuse"), "10 jobs of 1 s per second need 5 slots on each worker, of which 3 are assumed");
     }
 
-    /** Jobs of a class with a long allowance filled the queues, and all jobs of tighter classes were late. */
+    /** Jobs of a class with a long allowance filled the queues, and all jobs of tighter classes, which are worth less, were late. */
     @Test
     void noQueueExceedsWhatAMeanJobOfTheTightestClassBears() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0),
--- a/src/test/java/granitefold/policy/DispatchPolicyTest.java
+++ b/src/test/java/granitefold/policy/DispatchPolicyTest.java
@@ -31,7 +31,7 @@
         assertNotEquals(busy, bed.lastWorker());
     }
 
-    /** Jobs sent to workers without their key's data overloaded the store with fetches, and every job was late for valid. */
+    /** Jobs sent to workers without their key's data overloaded the store with fetches: every job was late, and the fleet did not recover. */
     @Test
     void aJobIsSentWhereItsKeyIsKeptUnlessThatWorkerIsFarBusier() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0), TestBed.worker(11, 0, 0));
@@ -60,6 +60,7 @@
         assertEquals(1, bed.countActions("refuse"), "its allowance with tolerance has passed, its deadline has not");
     }
 
+    /** No client waits for the result any more. */
     @Test
     void anAttemptIsCancelledWhenItsClientLeaves() {
         TestBed bed = new TestBed(1, false).updateList(ListUpdate.WHOLE, TestBed.worker(10, 0, 0));
--- a/src/test/java/granitefold/policy/LoadReportQueueTest.java
+++ b/src/test/java/granitefold/policy/LoadReportQueueTest.java
@@ -37,7 +37,7 @@
         assertEquals(0, send(), "reported once");
     }
 
-    /** Retries and ended jobs add no bytes: many of them must not cause a flood of datagrams. */
+    /** Retries and ended jobs add nothing to the byte budget: many of them must not cause a flood of datagrams. */
     @Test
     void reportsBeyondTheByteBudgetAreNotSent() {
         int sent = 0;
--- a/src/test/java/granitefold/policy/ManyDispatchersTest.java
+++ b/src/test/java/granitefold/policy/ManyDispatchersTest.java
@@ -259,7 +259,7 @@
         assertTrue(meanShare > MIN_MEAN_SHARE && leastShare > MIN_LEAST_SHARE, "known of all use: mean " + meanShare + ", least " + leastShare);
     }
 
-    /** Share of the fleet's use of a tenant that dispatchers know with a tenth of the messages lost: mean and minimum. */
+    /** Least share of the fleet's use of a tenant that dispatchers know with a tenth of the messages lost: on average, and for any one of them. */
     private static final double MIN_MEAN_SHARE = 0.45, MIN_LEAST_SHARE = 0.3;
 
     /**
--- a/src/test/java/granitefold/real/EndingsIT.java
+++ b/src/test/java/granitefold/real/EndingsIT.java
@@ -166,7 +166,7 @@
         assertTrue(ms >= 20, "the process exited " + ms + " ms after its last answer");
     }
 
-    /** A client closed to make room for another gets a 503, since a close without an answer could cross the rest of its request. */
+    /** A client closed to make room for another may just have sent a first byte. It gets a 503: a bare close could cross the rest of its request. */
     @Test
     public void clientClosedToMakeRoomGetsAnAnswer() throws Exception {
         fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
--- a/src/test/java/granitefold/real/UpgradeIT.java
+++ b/src/test/java/granitefold/real/UpgradeIT.java
@@ -13,7 +13,7 @@
 
 /** A new version started beside the running one, on the same addresses, under load. */
 public final class UpgradeIT {
-    /** {@code -Dupgrades=20} runs as many as the acceptance criterion asks for. */
+    /** Number of upgrades. Acceptance requires 20: {@code -Dupgrades=20}. */
     private static final int UPGRADES = Integer.getInteger("upgrades", 5);
     private static final int TIMEOUT_S = 30;
 
