--- a/src/main/java/granitefold/standin/Fleet.java
+++ b/src/main/java/granitefold/standin/Fleet.java
@@ -4,7 +4,6 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -33,6 +32,8 @@
         private int incarnations;
         /** Kept across restarts, so that clients and checks find the dispatcher again. */
         private int port;
+        /** Holds the port where several processes listen on it in turn; null where it has none. */
+        private ReservedPort reservedPort;
         private int agentPort;
         private int httpPort;
         /** Port of the ops address of the current process; 0 where it has none. */
@@ -63,9 +64,8 @@
             Process previous = process;
             if (port == 0) {
                 // both processes must be configured with the same address
-                try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                    port = free.getLocalPort();
-                }
+                reservedPort = new ReservedPort(InetAddress.getLoopbackAddress());
+                port = reservedPort.port();
             }
             launch("\"ops\":\"127.0.0.1:0\",");
             opsPort = portIn("checks: ops on ");
@@ -190,8 +190,11 @@
         }
 
         @Override
-        public void close() {
+        public void close() throws IOException {
             processes.forEach(Process::destroyForcibly);
+            if (reservedPort != null) {
+                reservedPort.close();
+            }
         }
     }
 
@@ -243,7 +246,9 @@
 
     @Override
     public void close() throws IOException {
-        dispatchers.forEach(Dispatcher::close);
+        for (Dispatcher dispatcher : dispatchers) {
+            dispatcher.close();
+        }
         discovery.close();
         for (StubWorker worker : workers) {
             worker.close();
--- a/src/main/java/granitefold/standin/ground/DispatcherUnderTest.java
+++ b/src/main/java/granitefold/standin/ground/DispatcherUnderTest.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import granitefold.standin.HttpConnection;
+import granitefold.standin.ReservedPort;
 import granitefold.standin.faults.SystemCallFaults;
 import granitefold.standin.history.Entry.What;
 import granitefold.standin.history.History;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -17,8 +17,8 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * One dispatcher of the test bed, over all its successive processes. It has its own loopback address, so that no other process
- * takes its ports while it is down.
+ * One dispatcher of the test bed, over all its successive processes. It has its own loopback address, which test beds that run
+ * at the same time share, and reserves its ports there, so that no other process takes them while it is down.
  */
 public final class DispatcherUnderTest {
     static final long TIMEOUT_S = 30;
@@ -35,6 +35,7 @@
     private final String operatorSettings;
     private final boolean secondAddress;
     private final boolean hasKeeper;
+    private final List<ReservedPort> reservedPorts = new ArrayList<>();
     /** Null if no faults are injected into its system calls. */
     final SystemCallFaults faults;
     /** Held while a process is stopped and its successor is started. */
@@ -89,9 +90,9 @@
         hasKeeper = settings.hasKeeper();
         faults = settings.faults() ? SystemCallFaults.create(library(folder), this.folder.resolve("faults")) : null;
         InetAddress own = InetAddress.getByAddress(new byte[] {127, 20, 0, (byte) (index + 1)});
-        listenAddress = free(own);
-        siblingAddress = free(own);
-        keeperAddress = free(own);
+        listenAddress = reserve(own);
+        siblingAddress = reserve(own);
+        keeperAddress = reserve(own);
         operatorSettings = "control.socket = \"" + socket() + "\"\n"
                 + (settings.persistentState() ? "state.dir = \"" + Files.createDirectories(stateFolder()) + "\"\nstate.every = 200ms\n" : "")
                 + settings.operator();
@@ -106,10 +107,10 @@
         }
     }
 
-    private static InetSocketAddress free(InetAddress own) throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, own)) {
-            return (InetSocketAddress) s.getLocalSocketAddress();
-        }
+    private InetSocketAddress reserve(InetAddress own) throws IOException {
+        ReservedPort port = new ReservedPort(own);
+        reservedPorts.add(port);
+        return port.address();
     }
 
     static String format(InetSocketAddress a) {
@@ -362,8 +363,8 @@
         }
     }
 
-    /** Kills all processes that still run. */
-    void close() {
+    /** Kills all processes that still run, and releases the dispatcher's ports. */
+    void close() throws IOException {
         for (Incarnation l : incarnations) {
             l.endExpected = true;
             l.process.destroyForcibly();
@@ -380,5 +381,8 @@
                 Thread.currentThread().interrupt();
             }
         }
+        for (ReservedPort port : reservedPorts) {
+            port.close();
+        }
     }
 }
--- a/src/main/java/granitefold/standin/ground/TestBed.java
+++ b/src/main/java/granitefold/standin/ground/TestBed.java
@@ -280,7 +280,9 @@
     public void close() throws IOException {
         closed = true;
         loadGenerator.stop();
-        fleet.forEach(DispatcherUnderTest::close);
+        for (DispatcherUnderTest dispatcher : fleet) {
+            dispatcher.close();
+        }
         for (Registry.Agent a : agents) {
             a.close();
         }
--- a/src/test/java/granitefold/real/QuietListIT.java
+++ b/src/test/java/granitefold/real/QuietListIT.java
@@ -4,6 +4,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import granitefold.standin.ReservedPort;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -77,40 +78,38 @@
     /** Descriptors for discovery and workers are reserved before clients are accepted. */
     @Test
     public void idleClientsDoNotTakeTheDescriptorsOfDiscovery() throws Exception {
-        int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-        }
-        fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
-        fields.put("discovery", "\"127.0.0.1:" + port + "\"");
-        workerB.status = "up";
-        program = new RealProgram(fields, workerA);
-        InetSocketAddress address = program.addressIn(" listening on ");
-        program.awaitLog("discovery: watch ended");
-        List<Exchange> idle = new ArrayList<>();
-        for (int i = 0; i < 150; i++) {
-            idle.add(program.connect(address, null));
-        }
-        // Some have sent a request, so that they are not the first to be closed.
-        for (Exchange e : idle.subList(120, 150)) {
-            e.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        }
-        assertEquals(idle.get(149).readStatus(), 200);
-        try (ServerSocket discovery = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
-            discovery.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
-            Exchange watch = new Exchange(discovery.accept());
-            watch.read();
-            watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            workerA.status = "draining";
-            watch.writeLines(list(2, true, workerA, workerB));
-            program.awaitLog("discovery: list 2");
-            Exchange client = program.connect(address, null).write(RealProgram.request("/ficha", "t1", TIME, "soup"));
-            workerB.accept().startAnswer("done").endAnswer();
-            assertEquals(client.readStatus(), 200);
-            watch.close();
-        }
-        for (Exchange e : idle) {
-            e.close();
+        try (ReservedPort discoveryPort = new ReservedPort(InetAddress.getLoopbackAddress())) {
+            fields.put("limits", "{\"cores\":1.0,\"memory_mb\":192,\"sockets\":100}");
+            fields.put("discovery", "\"127.0.0.1:" + discoveryPort.port() + "\"");
+            workerB.status = "up";
+            program = new RealProgram(fields, workerA);
+            InetSocketAddress address = program.addressIn(" listening on ");
+            program.awaitLog("discovery: watch ended");
+            List<Exchange> idle = new ArrayList<>();
+            for (int i = 0; i < 150; i++) {
+                idle.add(program.connect(address, null));
+            }
+            // Some have sent a request, so that they are not the first to be closed.
+            for (Exchange e : idle.subList(120, 150)) {
+                e.write("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+            }
+            assertEquals(idle.get(149).readStatus(), 200);
+            try (ServerSocket discovery = new ServerSocket(discoveryPort.port(), 50, InetAddress.getLoopbackAddress())) {
+                discovery.setSoTimeout(RealProgram.TIMEOUT_S * 1000);
+                Exchange watch = new Exchange(discovery.accept());
+                watch.read();
+                watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                workerA.status = "draining";
+                watch.writeLines(list(2, true, workerA, workerB));
+                program.awaitLog("discovery: list 2");
+                Exchange client = program.connect(address, null).write(RealProgram.request("/ficha", "t1", TIME, "soup"));
+                workerB.accept().startAnswer("done").endAnswer();
+                assertEquals(client.readStatus(), 200);
+                watch.close();
+            }
+            for (Exchange e : idle) {
+                e.close();
+            }
         }
     }
 }
