--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -81,8 +81,8 @@
             new Patch("wire/HttpMessages.java", "        head.put(HttpHeader.HOST, address);\n        head.put(ClientRequest",
                     "        head.put(HttpHeader.HOST, address);\n        head.remove(\"Idempotency-Key\");\n        head.put(ClientRequest")},
         {"quotas are not enforced", Rule.QUOTA, "for = 14s, dispatchers.count = 2, cocineros { count = 3, slots = 4 }, load { rate = 75, retries = 0 }\n"
-                + "classes.ficha { work = 160ms, on-time = 1200ms, deadline = 8s }\n"
-                + "tenants { acme { share = 0.6, usage = 0.9 }, otro { share = 0.4, usage = 8 } }",
+                + "classes.ficha { work = 160ms, on-time = 3s, deadline = 8s }\n"
+                + "tenants { acme { share = 0.6, usage = 0.5 }, otro { share = 0.4, usage = 8 } }",
             new Patch("policy/Admission.java", "if (tenant < 0 ||", "if (tenant < Integer.MAX_VALUE ||")},
         {"the process exits by itself", Rule.CRASHED, LIGHT_LOAD,
             new Patch("core/Requests.java", "        if (owed.size() >= core.bounds.requests()) {", "        if (lastId == 50) {\n            Runtime.getRuntime().halt(3);\n"
