--- a/src/main/java/granitefold/standin/history/Entry.java
+++ b/src/main/java/granitefold/standin/history/Entry.java
@@ -64,7 +64,10 @@
          * stopped, continued, terminated or exited; or a finding that begins with crashed, not ready, reports or ended by the kill.
          */
         PROCESS,
-        /** The test bed itself was delayed; number: microseconds. */
+        /**
+         * The test bed itself was delayed, or a dispatcher's event loop was ready to run and got no processor; number: microseconds;
+         * text: for a dispatcher, the length of the interval, in microseconds, that ends now and in which the wait ended.
+         */
         LATE,
         /** A fault began, or ended; text: the fault, or {@code none}. */
         FAULT
--- a/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
+++ b/src/test/java/granitefold/standin/history/HistoryCheckerTest.java
@@ -39,6 +39,40 @@
         assertEquals(List.of(), rules());
     }
 
+    /** The kernel gave the dispatcher no processor for most of the time between the request's arrival and the attempt. */
+    @Test
+    void allowsForTheTimeInWhichADispatcherHadNoProcessor() {
+        asked(0);
+        forwarded(10);
+        waitedForProcessor(150, 90, 20);
+        waitedForProcessor(390, 100, 20);
+        attempt(400, 0, DEADLINE_MS - 10);
+        answered(500);
+        assertEquals(List.of(), rules());
+    }
+
+    /** Of a wait that overlaps the request's time in part, only the overlap can have delayed the request. */
+    @Test
+    void doesNotCountWaitsBeforeARequestAndAfterItsAttempt() {
+        asked(0);
+        forwarded(210);
+        waitedForProcessor(230, 200, 20);
+        attempt(600, 0, DEADLINE_MS - 10);
+        waitedForProcessor(810, 180, 20);
+        answered(900);
+        assertEquals(List.of(Rule.OVERSTATED), rules());
+    }
+
+    @Test
+    void doesNotCountTheWaitsOfAnotherDispatcher() {
+        asked(0);
+        forwarded(10);
+        entries.add(new Entry(390 * MS, What.LATE, "n1", null, null, null, null, null, null, 300 * MS, Long.toString(380 * MS)));
+        attempt(400, 0, DEADLINE_MS - 10);
+        answered(500);
+        assertEquals(List.of(Rule.OVERSTATED), rules());
+    }
+
     @Test
     void reportsAnAttemptForADisconnectedClient() {
         asked(0);
@@ -175,6 +209,10 @@
         entries.add(Entry.of(ms * MS, What.PROCESS, "n0", what));
     }
 
+    private void waitedForProcessor(long ms, long waitMs, long intervalMs) {
+        entries.add(new Entry(ms * MS, What.LATE, "n0", null, null, null, null, null, null, waitMs * MS, Long.toString(intervalMs * MS)));
+    }
+
     private void answered(long ms) {
         add(ms, What.ANSWERED, "client", "n0", null, 200, "made");
     }
