--- a/src/main/java/granitefold/Dispatcher.java
+++ b/src/main/java/granitefold/Dispatcher.java
@@ -21,7 +21,7 @@
     enum State { READY, DRAINING, GONE }
 
     /** What a piece of list news is: changes, the whole list, the list of a former life, or a failed call. */
-    enum ListNews { CHANGES, WHOLE, SAVED, FAILED }
+    enum ListUpdate { CHANGES, WHOLE, SAVED, FAILED }
 
     /** How an attempt ended. */
     enum Outcome {
@@ -42,39 +42,39 @@
 
     /**
      * A class of jobs. An answer is on time within {@code onTimeUs} plus {@code stretch} times the job's own
-     * work; {@code keepUs} is how long a KEYED job's group remembers it, from the first send that may have run;
+     * work; {@code dedupWindowUs} is how long a KEYED job's group remembers it, from the first send that may have run;
      * {@code kind} is the only kind of worker that runs it, or -1.
      */
-    record JobClass(Effect effect, Group group, long keepUs, long onTimeUs, long deadlineUs, double stretch,
+    record JobClass(Effect effect, Group group, long dedupWindowUs, long onTimeUs, long deadlineUs, double stretch,
             int kind, double worth, double lateWorth) { }
 
     /** A tenant: its share of the service and what that is in jobs a second, over all dispatchers. */
     record Tenant(double share, double quotaPerS) { }
 
     /** What the site allows. {@code maxAttempts} counts all attempts of a request. */
-    record Limits(int maxAttempts, boolean secondCopies, boolean cancel, boolean siblings, boolean retryAfter,
+    record Limits(int maxAttempts, boolean secondCopies, boolean cancel, boolean siblingMessages, boolean retryAfter,
             long maxRetryAfterUs) { }
 
     /**
-     * The figures of the rules. A worker starts at {@code coldFrom} of its capacity or more and is warm after
-     * {@code coldUs}; it falls over when sent more than {@code fallMultiple} times its present capacity for
-     * {@code fallUs}. {@code askWithinUs}: a dispatcher that has not asked for that long counts as told.
+     * The figures of the rules. A worker starts at {@code slowStartFrom} of its capacity or more and is warm after
+     * {@code slowStartUs}; it falls over when sent more than {@code overloadMultiple} times its present capacity for
+     * {@code overloadWindowUs}. {@code askWithinUs}: a dispatcher that has not asked for that long counts as told.
      */
-    record Rules(long drainGraceUs, long graceToAnswerUs, double coldFrom, long coldUs, double fallMultiple,
-            long fallUs, long askWithinUs) { }
+    record Rules(long drainGraceUs, long graceToAnswerUs, double slowStartFrom, long slowStartUs, double overloadMultiple,
+            long overloadWindowUs, long askWithinUs) { }
 
     /**
      * What is taken off the result, as a share of a mean request's worth: for each attempt that crosses zones, for
      * each new connection. A connection carries one attempt at a time and closes when idle for {@code idleUs}.
      */
-    record Prices(double crossing, double handshake, long idleUs) { }
+    record Prices(double crossZone, double handshake, long idleUs) { }
 
     /**
-     * All that an instance is told at its start. {@code me} is its number among {@code siblings} dispatchers;
-     * {@code mustAsk}: list news comes only after {@link Actions#watch}; {@code tickUs}: the host's time step.
+     * All that an instance is told at its start. {@code selfIndex} is its number among {@code siblings} dispatchers;
+     * {@code mustWatch}: list news comes only after {@link Actions#watch}; {@code tickUs}: the host's time step.
      */
-    record Settings(List<JobClass> classes, List<Tenant> tenants, int me, int siblings, int zone,
-            boolean mustAsk, boolean tellsStart, long progressUs, long tickUs, Limits limits, Rules rules,
+    record Settings(List<JobClass> classes, List<Tenant> tenants, int selfIndex, int siblings, int zone,
+            boolean mustWatch, boolean tellsStart, long progressUs, long tickUs, Limits limits, Rules rules,
             Prices prices) { }
 
     /** A worker in the list; {@code startedAtUs} is 0 for long ago, {@code size} has no unit. */
@@ -96,7 +96,7 @@
     void start(long now);
 
     /** News of the list. WHOLE and SAVED replace what was known; for FAILED there are no entries. */
-    void listed(long now, ListNews news, List<Worker> entries);
+    void listUpdated(long now, ListUpdate news, List<Worker> entries);
 
     /** A request has landed and is owed exactly one final answer. */
     void requested(long now, Request request);
@@ -117,25 +117,25 @@
     void elapsed(long now, long token);
 
     /** A message from another dispatcher; it may be anything at all. */
-    void heard(long now, int from, byte[] message);
+    void messageReceived(long now, int from, byte[] message);
 
     /**
-     * What the module takes to be owed against what workers can do: {@code ready} workers, {@code full} of them that
+     * What the module takes to be owed against what workers can do: {@code ready} workers, {@code refusing} of them that
      * lately refused, the time before a job would start at the one that is best off, and the tightest class's allowance.
      */
-    record Pressure(int ready, int full, double waitUs, double boundUs) { }
+    record Pressure(int ready, int refusing, double waitUs, double boundUs) { }
 
     /** How hard pressed the module takes its workers to be. */
     Pressure pressure(long now);
 
     /** Workers in the list, and of them those that get no job while others have room: told to drain, or suspect. */
-    record Choice(int listed, int avoided) { }
+    record WorkerCounts(int listed, int avoided) { }
 
-    /** What {@link Choice} says, as of now. */
-    Choice choice(long now);
+    /** What {@link WorkerCounts} says, as of now. */
+    WorkerCounts workerCounts(long now);
 
     /** Another process of this instance serves from now on: what is left here leaves the cold budgets to it. */
-    void relieved();
+    void superseded();
 
     /** What was learned and is worth keeping past this life. */
     Learned learned(long now);
@@ -182,7 +182,7 @@
         void timer(long afterUs, long token);
 
         /** Send a message of at most 256 bytes to one other dispatcher. */
-        void tell(int sibling, byte[] message);
+        void sendToSibling(int sibling, byte[] message);
 
         /** Ask for list news from now on. */
         void watch();
--- a/src/main/java/granitefold/benchlink/Instance.java
+++ b/src/main/java/granitefold/benchlink/Instance.java
@@ -1,6 +1,6 @@
 package granitefold.benchlink;
 
-import granitefold.policy.Decide;
+import granitefold.policy.DispatchPolicy;
 import granitefold.Dispatcher;
 import granitefold.Dispatcher.Report;
 import granitefold.Dispatcher.Request;
@@ -34,7 +34,7 @@
                 default -> -1;
             };
         }
-        module = new Decide(settings, seed, this);
+        module = new DispatchPolicy(settings, seed, this);
     }
 
     /** The next action is the first of a reply's part: no comma before it. */
@@ -50,8 +50,8 @@
         switch (e.verb) {
             case "PowerOn" -> module.start(now);
             case "Members" -> {
-                Dispatcher.ListNews news = Words.news(e.how == null ? "" : e.how);
-                module.listed(now, news, news == Dispatcher.ListNews.FAILED ? List.of() : lists.get(e.list));
+                Dispatcher.ListUpdate news = Words.news(e.how == null ? "" : e.how);
+                module.listUpdated(now, news, news == Dispatcher.ListUpdate.FAILED ? List.of() : lists.get(e.list));
             }
             case "Ingress" -> module.requested(now, new Request(e.request(), e.category, e.clientGroup,
                     Math.round(e.timeLeftMs * 1000), e.expectedMs * 1000, e.needs, e.ramUnits,
@@ -66,7 +66,7 @@
             case "Response" -> module.ended(now, e.request(), e.trial, e.ended, Words.outcome(e.code), report(e));
             case "Expired" -> module.expired(now, e.request());
             case "Elapsed" -> module.elapsed(now, e.label);
-            case "FromPeer" -> module.heard(now, e.src, e.body == null ? new byte[0] : e.body);
+            case "FromPeer" -> module.messageReceived(now, e.src, e.body == null ? new byte[0] : e.body);
             default -> { }
         }
     }
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public void tell(int sibling, byte[] message) {
+    public void sendToSibling(int sibling, byte[] message) {
         if (message != told) {
             // the same message goes to many siblings
             told = message;
--- a/src/main/java/granitefold/core/Attendance.java
+++ b/src/main/java/granitefold/core/Attendance.java
@@ -132,7 +132,7 @@
         double share = rejects / Math.max(1, answers);
         Availability.State next = machine.next(state, new Signals(life(), wish, confirmed, now - Math.max(listedAt, heardAt),
                 now - heardAt, pressure.ready(), reached, missed, share,
-                (double) pressure.full() / Math.max(1, pressure.ready()), wait, reducer.clientShare(),
+                (double) pressure.refusing() / Math.max(1, pressure.ready()), wait, reducer.clientShare(),
                 resources.descriptorShare(), resources.heapShare(), resources.lagUs(), now - startedAt), now);
         log(state.standing(), next);
         state = next;
--- a/src/main/java/granitefold/core/Bookkeeper.java
+++ b/src/main/java/granitefold/core/Bookkeeper.java
@@ -32,8 +32,8 @@
     /** Tells how things stand now, out of turn where something of weight has changed. */
     void publish() {
         if (tally != null) {
-            Dispatcher.Choice choice = reducer.choice();
-            Figures f = tally.figures(reducer.owed(), choice.listed(), choice.avoided(), reducer.ready());
+            Dispatcher.WorkerCounts counts = reducer.workerCounts();
+            Figures f = tally.figures(reducer.owed(), counts.listed(), counts.avoided(), reducer.ready());
             effects.add(new Effect.Count(f));
         }
     }
--- a/src/main/java/granitefold/core/Lifecycle.java
+++ b/src/main/java/granitefold/core/Lifecycle.java
@@ -82,7 +82,7 @@
         core.endsAt = core.now + ending.finishUs();
         core.closesAt = core.now + ending.closeUs();
         if (relieved) {
-            core.module.relieved();
+            core.module.superseded();
             core.effects.add(new Effect.LeaveSiblings());
         } else {
             siblings.leave(core.now);
--- a/src/main/java/granitefold/core/Recollection.java
+++ b/src/main/java/granitefold/core/Recollection.java
@@ -77,7 +77,7 @@
     /** An attempt of the request is about to be written: from now on it may run. */
     void sent(Submission s, long now) {
         if (s.repeatKey() != null) {
-            long until = now + classes.get(s.jobClass()).keepUs();
+            long until = now + classes.get(s.jobClass()).dedupWindowUs();
             sent.merge(hash(s), until, Math::max);
             Iterator<Long> oldest = sent.keySet().iterator();
             while (sent.size() > KEYS_MOST) {
--- a/src/main/java/granitefold/core/Reducer.java
+++ b/src/main/java/granitefold/core/Reducer.java
@@ -1,11 +1,11 @@
 package granitefold.core;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Settings;
 import granitefold.Dispatcher.State;
 import granitefold.logging.LogEvent;
-import granitefold.policy.Decide;
+import granitefold.policy.DispatchPolicy;
 import granitefold.recovery.Learned;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -66,7 +66,7 @@
         core.attendance = new Attendance(extras.availability(), bounds.clientConnections(), this, core.timers, core.effects);
         core.books = new Bookkeeper(extras.figures(), settings.classes().size(), this, core.timers, core.effects);
         core.health = extras.health() == null ? null : new WorkerHealth(extras.health(), seed, core.timers, core.effects);
-        core.module = new Decide(settings, seed, new Sink(core, requests, attempts));
+        core.module = new DispatchPolicy(settings, seed, new Sink(core, requests, attempts));
         core.recollection = extras.memory() == null ? null
                 : new Recollection(extras.memory(), settings.classes(), core.module, core.timers, core.effects);
     }
@@ -80,8 +80,8 @@
         return core.module.pressure(core.now);
     }
 
-    Dispatcher.Choice choice() {
-        return core.module.choice(core.now);
+    Dispatcher.WorkerCounts workerCounts() {
+        return core.module.workerCounts(core.now);
     }
 
     /** Whether this process can serve, as far as it knows. */
@@ -205,7 +205,7 @@
             Watch.Heed heed = watch.heard(e.list(), !core.workers.isEmpty(), core.now);
             core.attendance.heard(heed == Watch.Heed.ALL, core.now);
             if (heed == Watch.Heed.ALL) {
-                list.listed(e.list().whole() ? ListNews.WHOLE : ListNews.CHANGES, e.list());
+                list.listed(e.list().whole() ? ListUpdate.WHOLE : ListUpdate.CHANGES, e.list());
             } else if (heed == Watch.Heed.DRAINS) {
                 list.drained(e.list());
             }
@@ -216,7 +216,7 @@
             watch.move(e.address(), core.now);
         } else if (event instanceof Event.SiblingSaid e) {
             if (!siblings.heard(e.from(), e.message(), core.now)) {
-                core.module.heard(core.now, e.from(), e.message());
+                core.module.messageReceived(core.now, e.from(), e.message());
             }
         } else if (event instanceof Event.Terminated e) {
             lifecycle.terminated(e.relieved());
@@ -242,7 +242,7 @@
     private void opened(WorkerList known, String discovery) {
         core.module.start(core.now);
         core.attendance.opened(core.now);
-        list.listed(ListNews.SAVED, known);
+        list.listed(ListUpdate.SAVED, known);
         watch = new Watch(discovery, known.version(), seed, core.timers, core.effects);
         watch.open(core.now);
         if (core.workers.values().stream().anyMatch(p -> p.state == State.READY)) {
--- a/src/main/java/granitefold/core/Siblings.java
+++ b/src/main/java/granitefold/core/Siblings.java
@@ -31,8 +31,8 @@
 
     Siblings(Settings settings, Timers timers, List<Effect> effects) {
         leavesUs = Ending.of(settings.classes()).killedUs();
-        on = settings.limits().siblings();
-        me = settings.me();
+        on = settings.limits().siblingMessages();
+        me = settings.selfIndex();
         count = settings.siblings();
         this.timers = timers;
         this.effects = effects;
--- a/src/main/java/granitefold/core/Sink.java
+++ b/src/main/java/granitefold/core/Sink.java
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void tell(int worker, byte[] message) {
+    public void sendToSibling(int worker, byte[] message) {
         core.effects.add(new Effect.Tell(worker, message));
     }
 
--- a/src/main/java/granitefold/core/WorkerRegistry.java
+++ b/src/main/java/granitefold/core/WorkerRegistry.java
@@ -1,6 +1,6 @@
 package granitefold.core;
 
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher;
 import granitefold.health.HealthBoard;
@@ -18,9 +18,9 @@
         core = parts;
     }
 
-    void listed(ListNews news, WorkerList list) {
+    void listed(ListUpdate news, WorkerList list) {
         List<Dispatcher.Worker> workers = new ArrayList<>();
-        if (news != ListNews.CHANGES) {
+        if (news != ListUpdate.CHANGES) {
             core.workers.values().forEach(p -> p.state = State.GONE);
         } else {
             // what an older list made us doubt holds again, unless this one says otherwise
@@ -42,7 +42,7 @@
         }
         core.workers.values().stream().filter(p -> p.state != State.READY).forEach(core.pool::closeIdle);
         core.workers.values().removeIf(p -> p.state == State.GONE && p.open == 0);
-        core.module.listed(core.now, news, workers);
+        core.module.listUpdated(core.now, news, workers);
         core.effects.add(new Effect.Log(LogEvent.DISCOVERY_LIST, list.version(), news,
                 core.workers.values().stream().filter(p -> p.state == State.READY).count()));
         if (core.health != null) {
@@ -66,7 +66,7 @@
             }
         }
         if (!workers.isEmpty()) {
-            core.module.listed(core.now, ListNews.CHANGES, workers);
+            core.module.listUpdated(core.now, ListUpdate.CHANGES, workers);
         }
     }
 
@@ -81,7 +81,7 @@
             }
         }
         if (!workers.isEmpty()) {
-            core.module.listed(core.now, ListNews.CHANGES, workers);
+            core.module.listUpdated(core.now, ListUpdate.CHANGES, workers);
         }
     }
 }
--- a/src/main/java/granitefold/policy/AdmissionProbe.java
+++ b/src/main/java/granitefold/policy/AdmissionProbe.java
@@ -21,7 +21,7 @@
 
     AdmissionProbe(Knowledge k) {
         this.k = k;
-        boolean gossip = k.set.limits().siblings() && k.siblings > 1;
+        boolean gossip = k.set.limits().siblingMessages() && k.siblings > 1;
         recentUs = gossip ? Gossip.WORD_US : Math.max(Gossip.GOSSIP_US, Math.min(Gossip.WORD_US, k.tightest));
         spread();
     }
@@ -45,7 +45,7 @@
 
     private void spread() {
         refusals = 0;
-        needed = REFUSALS + (int) Long.remainderUnsigned(Node.mix(k.set.me(), sends), REFUSALS);
+        needed = REFUSALS + (int) Long.remainderUnsigned(Node.mix(k.set.selfIndex(), sends), REFUSALS);
     }
 
     private int waiting() {
--- a/src/main/java/granitefold/policy/ColdBudget.java
+++ b/src/main/java/granitefold/policy/ColdBudget.java
@@ -8,14 +8,14 @@
     static final double COLD_SAFETY = 0.5;
 
     boolean isCold(Node n, long now) {
-        return n.youngestStart() != 0 && now - n.youngestStart() < k.set.rules().coldUs();
+        return n.youngestStart() != 0 && now - n.youngestStart() < k.set.rules().slowStartUs();
     }
 
     /** Share of its capacity that a worker has by its age, at the least. */
     double warmth(Node n, long now) {
-        double from = k.set.rules().coldFrom();
+        double from = k.set.rules().slowStartFrom();
         double age = Math.max(0, now - n.youngestStart());
-        return isCold(n, now) ? from + (1 - from) * age / k.set.rules().coldUs() : 1;
+        return isCold(n, now) ? from + (1 - from) * age / k.set.rules().slowStartUs() : 1;
     }
 
     /** Jobs a second that are a worker's part, by its size, of what quotas promise; 0 where none are told. */
@@ -29,11 +29,12 @@
      */
     private double coldJobs(Node n, long now) {
         double perUs = promised(n) > 0 ? promised(n) / 1e6 : 1 / k.meanWork;
-        return COLD_SAFETY * k.set.rules().fallMultiple() * k.set.rules().fallUs() * perUs * warmth(n, now);
+        return COLD_SAFETY * k.set.rules().overloadMultiple() * k.set.rules().overloadWindowUs()
+                * perUs * warmth(n, now);
     }
 
     double sent(Node n, long now) {
-        return n.coldSends.stream().filter(s -> s[0] > now - k.set.rules().fallUs())
+        return n.coldSends.stream().filter(s -> s[0] > now - k.set.rules().overloadWindowUs())
                 .mapToDouble(s -> s[1]).sum();
     }
 
@@ -55,7 +56,7 @@
 
     private boolean owns(Node n, long now) {
         if (n.rank < 0) {
-            long own = Node.mix(n.id, k.set.me());
+            long own = Node.mix(n.id, k.set.selfIndex());
             n.rank = (int) IntStream.range(0, k.siblings).filter(s -> Node.mix(n.id, s) < own).count();
         }
         return !k.relieved && n.rank < owners(n, now);
--- a/src/main/java/granitefold/policy/Decide.java
+++ b/src/main/java/granitefold/policy/DispatchPolicy.java
@@ -11,7 +11,7 @@
  * The decisions of a dispatcher, one file a matter: this one takes events and brings each job to its end. Why
  * things are so is told in docs/DESIGN.md. What is not under {@code policy} in the deploy file is data.
  */
-public final class Decide implements Dispatcher {
+public final class DispatchPolicy implements Dispatcher {
     /** A held request is looked at again after this long. */
     static final long HOLD_US = 40_000;
     static final long TIMER_GOSSIP = 1, TIMER_ASK = 2, TIMER_JOB = 3;
@@ -28,7 +28,7 @@
     private final AdmissionProbe probe;
 
     /** A fresh instance, which knows nothing yet; the seed is its only source of chance. */
-    public Decide(Settings settings, long seed, Actions actions) {
+    public DispatchPolicy(Settings settings, long seed, Actions actions) {
         k = new Knowledge(settings, seed, actions);
         cold = new ColdBudget(k);
         waits = new Waits(k, cold);
@@ -42,7 +42,7 @@
 
     @Override
     public void start(long now) {
-        if (k.set.mustAsk()) {
+        if (k.set.mustWatch()) {
             k.out.watch();
         }
     }
@@ -61,7 +61,7 @@
             return;
         }
         if (b != null) {
-            b.use(k.set.me(), 1);
+            b.use(k.set.selfIndex(), 1);
         }
         k.words.earn();
         gossip.soon(now);
@@ -152,12 +152,12 @@
     }
 
     @Override
-    public Choice choice(long now) {
-        return Outlook.choice(k, now);
+    public WorkerCounts workerCounts(long now) {
+        return Outlook.workerCounts(k, now);
     }
 
     @Override
-    public void relieved() {
+    public void superseded() {
         k.relieved = true;
     }
 
@@ -216,7 +216,7 @@
         n.sentKey(job.key);
         n.connections = Math.max(n.connections, n.out.size());
         if (cold.isCold(n, now)) {
-            n.coldSends.removeIf(s -> s[0] <= now - k.set.rules().fallUs());
+            n.coldSends.removeIf(s -> s[0] <= now - k.set.rules().overloadWindowUs());
             n.coldSends.addLast(new double[] {now, job.work});
         }
         k.out.send(job.id, n.id, 0, window);
@@ -237,12 +237,12 @@
     }
 
     @Override
-    public void listed(long now, ListNews news, List<Worker> entries) {
+    public void listUpdated(long now, ListUpdate news, List<Worker> entries) {
         subset.listed(now, news, entries);
     }
 
     @Override
-    public void heard(long now, int from, byte[] m) {
+    public void messageReceived(long now, int from, byte[] m) {
         gossip.heard(now, from, m);
     }
 
--- a/src/main/java/granitefold/policy/FormerLife.java
+++ b/src/main/java/granitefold/policy/FormerLife.java
@@ -49,7 +49,7 @@
             Bucket b = admission.bucket(old.tenant(), now);
             for (int owner = 0; b != null && owner < Math.min(b.used.length, old.used().size()); owner++) {
                 // our own use of this life comes on top, as where gossip brings the former one back
-                b.merge(owner, old.used().get(owner) + (owner == k.set.me() ? b.sinceStart : 0), 0);
+                b.merge(owner, old.used().get(owner) + (owner == k.set.selfIndex() ? b.sinceStart : 0), 0);
             }
             if (b != null) {
                 double since = Math.max(0, now - old.refilledAt()) / 1e6;
--- a/src/main/java/granitefold/policy/Gossip.java
+++ b/src/main/java/granitefold/policy/Gossip.java
@@ -15,14 +15,14 @@
     void soon(long now) {
         if (k.gossipAt == 0) {
             k.gossipAt = now + GOSSIP_US;
-            k.out.timer(GOSSIP_US, Decide.TIMER_GOSSIP);
+            k.out.timer(GOSSIP_US, DispatchPolicy.TIMER_GOSSIP);
         }
     }
 
     /** Tells what has become of our work at workers, and what changed in buckets to one sibling at random. */
     void round(long now) {
         k.gossipAt = 0;
-        k.words.tell(k.set.me(), -1, null, k.random, k.out);
+        k.words.tell(k.set.selfIndex(), -1, null, k.random, k.out);
         for (Node n : k.nodes.values()) {
             if (n.told && now > n.toldUntil) {
                 tell(n, -1, now);
@@ -31,7 +31,7 @@
                 soon(now);
             }
         }
-        if (!k.set.limits().siblings() || k.siblings < 2 || k.words.relay < MESSAGE_LEAST) {
+        if (!k.set.limits().siblingMessages() || k.siblings < 2 || k.words.relay < MESSAGE_LEAST) {
             return;
         }
         byte[] m = SiblingMessage.begin();
@@ -51,7 +51,8 @@
         }
         if (at > SiblingMessage.MAGIC.length) {
             int sibling = k.random.nextInt(k.siblings - 1);
-            k.out.tell(sibling < k.set.me() ? sibling : sibling + 1, SiblingMessage.end(m, at));
+            k.out.sendToSibling(sibling < k.set.selfIndex() ? sibling : sibling + 1,
+                    SiblingMessage.end(m, at));
             k.words.relay -= at + 1;
         }
     }
@@ -66,14 +67,14 @@
         double work = n.out.stream().mapToDouble(a -> waits.left(a, speed, now) * speed * a.job.slots).sum();
         n.told = held > 0;
         n.toldUntil = now + (held > 0 ? life(work / held / speed, n.wait) : 0);
-        if (k.set.limits().siblings() && !n.sharers.isEmpty()) {
+        if (k.set.limits().siblingMessages() && !n.sharers.isEmpty()) {
             k.words.due(n, work);
             soon(now);
         }
         Bucket b = admission.bucket(tenant, now);
-        if (tenant >= 0 && k.words.tell(k.set.me(), tenant, b, k.random, k.out) == k.siblings - 1
+        if (tenant >= 0 && k.words.tell(k.set.selfIndex(), tenant, b, k.random, k.out) == k.siblings - 1
                 && b != null) {
-            b.dirty[k.set.me()] = false;
+            b.dirty[k.set.selfIndex()] = false;
         }
     }
 
@@ -83,7 +84,7 @@
     }
 
     void heard(long now, int from, byte[] m) {
-        long[] e = from < 0 || from >= k.siblings || from == k.set.me() ? null
+        long[] e = from < 0 || from >= k.siblings || from == k.set.selfIndex() ? null
                 : SiblingMessage.read(m, k.set.tenants().size(), k.siblings);
         for (int i = 0; e != null && i < e.length; i += 4) {
             if (e[i] < 0) {
@@ -96,7 +97,7 @@
             Bucket b = admission.bucket((int) e[i], now);
             int owner = (int) e[i + 1];
             // a larger count of ours is of a former life: what was used since the restart comes on top
-            boolean former = b != null && owner == k.set.me() && e[i + 2] > b.used[owner];
+            boolean former = b != null && owner == k.set.selfIndex() && e[i + 2] > b.used[owner];
             if (b != null && b.merge(owner, e[i + 2] + (former ? b.sinceStart : 0), e[i + 3])) {
                 soon(now);
             }
--- a/src/main/java/granitefold/policy/Knowledge.java
+++ b/src/main/java/granitefold/policy/Knowledge.java
@@ -72,7 +72,7 @@
         double share = set.tenants().stream().mapToDouble(t -> Math.max(0, t.share())).sum();
         tightest = set.classes().stream().mapToLong(JobClass::onTimeUs).min().orElse(0);
         slack = set.classes().stream().mapToDouble(JobClass::onTimeUs).toArray();
-        hearsay = siblings > 1 && (set.limits().siblings() || set.classes().stream().anyMatch(c -> !(c.lateWorth() > 0)));
+        hearsay = siblings > 1 && (set.limits().siblingMessages() || set.classes().stream().anyMatch(c -> !(c.lateWorth() > 0)));
         fleetRate = share > 0 ? quota / share : quota;
     }
 }
--- a/src/main/java/granitefold/policy/Node.java
+++ b/src/main/java/granitefold/policy/Node.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker as a dispatcher knows it: data only, what it means is judged in {@link Decide}. */
+/** A worker as a dispatcher knows it: data only, what it means is judged in {@link DispatchPolicy}. */
 final class Node {
     /** Keys remembered of each worker: more than one keeps. */
     private static final int KEYS = 64;
--- a/src/main/java/granitefold/policy/Outlook.java
+++ b/src/main/java/granitefold/policy/Outlook.java
@@ -1,6 +1,6 @@
 package granitefold.policy;
 
-import granitefold.Dispatcher.Choice;
+import granitefold.Dispatcher.WorkerCounts;
 import granitefold.Dispatcher.Pressure;
 import granitefold.Dispatcher.State;
 import java.util.List;
@@ -22,9 +22,9 @@
         return new Pressure(ready, full, ready == 0 ? 0 : least, k.tightest);
     }
 
-    static Choice choice(Knowledge k, long now) {
+    static WorkerCounts workerCounts(Knowledge k, long now) {
         List<Node> listed = k.nodes.values().stream().filter(n -> n.state != State.GONE).toList();
-        return new Choice(listed.size(), (int) listed.stream()
+        return new WorkerCounts(listed.size(), (int) listed.stream()
                 .filter(n -> n.state != State.READY || Suspicion.suspect(n, now)).count());
     }
 }
--- a/src/main/java/granitefold/policy/Pick.java
+++ b/src/main/java/granitefold/policy/Pick.java
@@ -34,7 +34,7 @@
 
     /** What a send costs beside the worker's time: a crossing of zones, a connection to be opened. */
     private double extras(Node n) {
-        return (n.zone == k.set.zone() ? 0 : CROSSING_US + PRICE_US * k.set.prices().crossing())
+        return (n.zone == k.set.zone() ? 0 : CROSSING_US + PRICE_US * k.set.prices().crossZone())
                 + (n.out.size() < n.connections ? 0 : PRICE_US * k.set.prices().handshake());
     }
 }
--- a/src/main/java/granitefold/policy/SendGate.java
+++ b/src/main/java/granitefold/policy/SendGate.java
@@ -44,7 +44,7 @@
     /** Time in which a repeat must be under way, to come within the window of all that may have run. */
     long window(Job job, long now) {
         JobClass type = job.type(k.set);
-        long keep = type.effect() == Effect.KEYED ? type.keepUs() - WAY_US : Long.MAX_VALUE / 2;
+        long keep = type.effect() == Effect.KEYED ? type.dedupWindowUs() - WAY_US : Long.MAX_VALUE / 2;
         return job.attempts.stream().filter(Attempt::mayHaveRun).mapToLong(a -> a.sentAt + keep - now).min()
                 .orElse(Long.MAX_VALUE);
     }
--- a/src/main/java/granitefold/policy/SiblingMessage.java
+++ b/src/main/java/granitefold/policy/SiblingMessage.java
@@ -7,7 +7,7 @@
  * number begins a bucket's entry (twice the tenant, then owner, count, credit), a 1 begins a worker's (id, the
  * sender's queued work there, slots held). Another odd number begins an entry of a later version, of four numbers as well:
  * it is skipped, so that neighbours of two versions go on hearing the rest. What is in a message is chosen and used by
- * {@link Decide}.
+ * {@link DispatchPolicy}.
  */
 final class SiblingMessage {
     static final byte[] MAGIC = {(byte) 0xE2};
--- a/src/main/java/granitefold/policy/Subset.java
+++ b/src/main/java/granitefold/policy/Subset.java
@@ -1,6 +1,6 @@
 package granitefold.policy;
 
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher.Worker;
 import java.util.ArrayList;
@@ -14,18 +14,19 @@
     /** First and longest pause before asking for the list again after a failed call. */
     static final long ASK_FIRST_US = 200_000, ASK_MOST_US = 3_000_000;
 
-    void listed(long now, ListNews news, List<Worker> entries) {
-        if (news == ListNews.FAILED) {
+    void listed(long now, ListUpdate news, List<Worker> entries) {
+        if (news == ListUpdate.FAILED) {
             // a dropped or failed subscription: ask anew, with growing pauses, or the old list turns stale
             long pause = k.askPause + k.random.nextLong(k.askPause);
             k.askPause = Math.min(ASK_MOST_US, k.askPause * 2);
-            k.out.timer(Math.min(pause, Math.max(1, k.set.rules().askWithinUs() / 2)), Decide.TIMER_ASK);
+            k.out.timer(Math.min(pause, Math.max(1, k.set.rules().askWithinUs() / 2)),
+                    DispatchPolicy.TIMER_ASK);
             return;
         }
-        if (news != ListNews.SAVED) {
+        if (news != ListUpdate.SAVED) {
             k.askPause = ASK_FIRST_US;
         }
-        if (news != ListNews.CHANGES) {
+        if (news != ListUpdate.CHANGES) {
             k.nodes.values().forEach(n -> n.state = State.GONE);
         }
         for (Worker w : entries) {
@@ -62,8 +63,8 @@
                 all.sort(Comparator.comparingLong(n -> n.order));
             }
             Node n = all.get(i % count);
-            n.mine |= i / each == k.set.me();
-            if (i / each != k.set.me()) {
+            n.mine |= i / each == k.set.selfIndex();
+            if (i / each != k.set.selfIndex()) {
                 n.sharers.add(i / each);
             }
         }
--- a/src/main/java/granitefold/policy/Words.java
+++ b/src/main/java/granitefold/policy/Words.java
@@ -56,7 +56,7 @@
             if (bytes < at + 1) {
                 break;
             }
-            out.tell(to, SiblingMessage.end(m, at));
+            out.sendToSibling(to, SiblingMessage.end(m, at));
             bytes -= at + 1;
         }
         due.clear();
--- a/src/main/java/granitefold/standin/model/ModelDispatcher.java
+++ b/src/main/java/granitefold/standin/model/ModelDispatcher.java
@@ -1,12 +1,12 @@
 package granitefold.standin.model;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.Request;
 import granitefold.Dispatcher.Settings;
 import granitefold.Dispatcher.Worker;
-import granitefold.policy.Decide;
+import granitefold.policy.DispatchPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,7 +20,7 @@
     private final FleetModel fleet;
     private final VirtualTime time;
     private final int number;
-    private final Decide decisions;
+    private final DispatchPolicy decisions;
     private final StarvationMeter starvation;
     /** Requests that wait for an answer. */
     private final Map<Long, ClientRequest> waiting = new HashMap<>();
@@ -31,13 +31,13 @@
         this.fleet = fleet;
         this.time = time;
         this.number = number;
-        decisions = new Decide(settings, seed, this);
+        decisions = new DispatchPolicy(settings, seed, this);
         starvation = new StarvationMeter(time.nowUs());
     }
 
     void start(List<Worker> workers) {
         decisions.start(time.nowUs());
-        decisions.listed(time.nowUs(), ListNews.WHOLE, workers);
+        decisions.listUpdated(time.nowUs(), ListUpdate.WHOLE, workers);
     }
 
     void ask(ClientRequest request) {
@@ -68,7 +68,7 @@
     }
 
     void heard(int from, byte[] message) {
-        decisions.heard(time.nowUs(), from, message);
+        decisions.messageReceived(time.nowUs(), from, message);
     }
 
     /** The longest span without an attempt, at the end of the run. */
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void tell(int sibling, byte[] message) {
+    public void sendToSibling(int sibling, byte[] message) {
         fleet.tell(number, sibling, message);
     }
 
--- a/src/main/java/granitefold/wire/Config.java
+++ b/src/main/java/granitefold/wire/Config.java
@@ -31,7 +31,7 @@
 
     /** What places in the settings stand for, for a state file. */
     public Places places() {
-        return new Places(name, words.key(), words.settings().me(), words.settings().siblings(), Vocabulary.names(words.tenants()),
+        return new Places(name, words.key(), words.settings().selfIndex(), words.settings().siblings(), Vocabulary.names(words.tenants()),
                 Vocabulary.names(words.kinds()));
     }
 
@@ -154,7 +154,7 @@
         if (listen == null || discovery == null) {
             throw new BadWire("the configuration needs listen and discovery");
         }
-        return new Config(name, listen, discovery, seed, sockets, words.settings().limits().siblings() ? siblingListen
+        return new Config(name, listen, discovery, seed, sockets, words.settings().limits().siblingMessages() ? siblingListen
                 : null, List.copyOf(siblings), known, words, setup.connectTimeoutUs(), setup.idleCloseUs(), cores > 0 ? cores : 1,
                 setup.probing(), ops);
     }
--- a/src/main/java/granitefold/wire/Words.java
+++ b/src/main/java/granitefold/wire/Words.java
@@ -2,7 +2,7 @@
 
 import granitefold.Dispatcher.Effect;
 import granitefold.Dispatcher.Group;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 
@@ -41,12 +41,12 @@
         };
     }
 
-    public static ListNews news(String word) {
+    public static ListUpdate news(String word) {
         return switch (word) {
-            case "INCREMENTAL" -> ListNews.CHANGES;
-            case "FULL" -> ListNews.WHOLE;
-            case "SAVED" -> ListNews.SAVED;
-            case "FAILED" -> ListNews.FAILED;
+            case "INCREMENTAL" -> ListUpdate.CHANGES;
+            case "FULL" -> ListUpdate.WHOLE;
+            case "SAVED" -> ListUpdate.SAVED;
+            case "FAILED" -> ListUpdate.FAILED;
             default -> throw new BadWire("unknown list news " + word);
         };
     }
--- a/src/test/java/granitefold/bench/FleetBench.java
+++ b/src/test/java/granitefold/bench/FleetBench.java
@@ -1,6 +1,6 @@
 package granitefold.bench;
 
-import granitefold.policy.Decide;
+import granitefold.policy.DispatchPolicy;
 import granitefold.Dispatcher;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,8 +31,8 @@
     public int workers;
 
     private final List<byte[]> words = new ArrayList<>();
-    private Decide module;
-    private Decide sibling;
+    private DispatchPolicy module;
+    private DispatchPolicy sibling;
     private long now = 1_000_000_000;
     private long ids;
     private int next;
@@ -54,7 +54,7 @@
         public void timer(long afterUs, long token) { }
 
         @Override
-        public void tell(int worker, byte[] message) {
+        public void sendToSibling(int worker, byte[] message) {
             told.add(message);
         }
 
@@ -80,8 +80,8 @@
         }
     }
 
-    private Decide module(int me, List<byte[]> told) {
-        Decide d = new Decide(new Dispatcher.Settings(List.of(new Dispatcher.JobClass(Dispatcher.Effect.SAFE,
+    private DispatchPolicy module(int me, List<byte[]> told) {
+        DispatchPolicy d = new DispatchPolicy(new Dispatcher.Settings(List.of(new Dispatcher.JobClass(Dispatcher.Effect.SAFE,
                 Dispatcher.Group.ALL, 0, 300_000_000, 600_000_000, 2, -1, 1, 0)), List.of(new Dispatcher.Tenant(1, 5 * workers)), me,
                 SIBLINGS, 0, false, true, 0, 5_000, new Dispatcher.Limits(4, false, true, true, false, 2_000_000),
                 new Dispatcher.Rules(3_000_000, 20_000, 0.3, 9_000_000, 3, 2_000_000, 0),
@@ -91,11 +91,11 @@
             list.add(new Dispatcher.Worker(1L << 30 | i, 6, Dispatcher.State.READY, 0, 0, 0, i % 2));
         }
         d.start(now);
-        d.listed(now, Dispatcher.ListNews.WHOLE, list);
+        d.listUpdated(now, Dispatcher.ListUpdate.WHOLE, list);
         return d;
     }
 
-    private void request(Decide d, long id) {
+    private void request(DispatchPolicy d, long id) {
         d.requested(now, new Dispatcher.Request(id, 0, 0, 500_000_000, 600_000, 1, 1, 1 + id % 50));
     }
 
@@ -112,6 +112,6 @@
     @Benchmark
     public void word() {
         next = (next + 1) % words.size();
-        module.heard(now, 1, words.get(next));
+        module.messageReceived(now, 1, words.get(next));
     }
 }
--- a/src/test/java/granitefold/policy/AdmissionProbeTest.java
+++ b/src/test/java/granitefold/policy/AdmissionProbeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher.Worker;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
         for (int i = 0; i < WORKERS; i++) {
             listed[i] = new Worker(1000 + 7 * i, 1, State.READY, 0, 0, 0, 0);
         }
-        bench.list(ListNews.WHOLE, listed);
+        bench.list(ListUpdate.WHOLE, listed);
     }
 
     /** Every sibling says once more that it has much work at every worker. */
@@ -29,7 +29,7 @@
         for (int i = 0; i < WORKERS; i++) {
             at = SiblingMessage.putWork(m, at, 1000 + 7 * i, (double) WORK_UNITS * SiblingMessage.WORK_UNIT, JOBS);
         }
-        bench.module.heard(bench.now, 1, SiblingMessage.end(m, at));
+        bench.module.messageReceived(bench.now, 1, SiblingMessage.end(m, at));
     }
 
     private void ask(int requests, long apartMs) {
--- a/src/test/java/granitefold/policy/AdmissionTest.java
+++ b/src/test/java/granitefold/policy/AdmissionTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.Request;
 import org.junit.jupiter.api.Test;
@@ -14,7 +14,7 @@
 
     @Test
     void emptyBucketGoesAndCountsWithoutStrainAndIsRefusedUnderStrain() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         for (int i = 0; i < 30; i++) {
             long id = b.request(Bench.SAFE, 0, 1, 9_000);
             b.end(id, 0, Outcome.SERVED);
@@ -31,7 +31,7 @@
 
     @Test
     void underStrainWhatCannotBeOnTimeIsRefused() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         for (int i = 0; i < 200 && b.count("refuse") == 0; i++) {
             b.request(Bench.SAFE, 0, 8_000, 9_900);
         }
@@ -44,7 +44,7 @@
     @Test
     void anErringWorkersEmptyQueueIsNoRoom() {
         // of what the quotas promise, next to nothing is the part of these two
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0),
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0),
                 new Dispatcher.Worker(12, 1_000, Dispatcher.State.DRAINING, 0, 0, 0, 0));
         long id = b.request(Bench.SAFE, 0, 8_000, 30_000);
         b.end(id, 0, Outcome.ERROR);
@@ -55,7 +55,7 @@
     /** The same in strain: where no worker but an erring one is free, a tenant past its share is refused. */
     @Test
     void anErringWorkerIsNoEndOfStrain() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         for (int i = 0; i < 30; i++) {
             b.end(b.request(Bench.SAFE, 0, 1, 9_000), 0, Outcome.SERVED);
         }
@@ -66,7 +66,7 @@
 
     @Test
     void whereAllAreSuspectAWorkerIsTakenAllTheSame() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         b.end(b.request(Bench.SAFE, 0, 10, 9_000), 0, Outcome.FULL);
         b.request(Bench.SAFE, 1, 10, 9_000);
         assertEquals(0, b.count("refuse"));
@@ -77,7 +77,7 @@
     @Test
     void anAllColdFleetHoldsWhatItsBudgetDoesNotReachFor() {
         Bench b = new Bench(1, false);
-        b.list(ListNews.WHOLE, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, b.now, 0, 0, 0));
+        b.list(ListUpdate.WHOLE, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, b.now, 0, 0, 0));
         for (int i = 0; i < 20 && b.count("send") == i; i++) {
             b.end(b.request(Bench.SAFE, i % 2, 100, 9_000), 0, Outcome.SERVED);
         }
@@ -92,11 +92,11 @@
     @Test
     void aColdWorkerWithoutBudgetIsNoRoom() {
         Bench b = new Bench(1, false);
-        b.list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        b.list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         for (int i = 0; i < 200 && b.count("refuse") == 0; i++) {
             b.request(Bench.SAFE, 1, 100, 9_000);
         }
-        b.list(ListNews.CHANGES, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, b.now, 0, 0, 0));
+        b.list(ListUpdate.CHANGES, new Dispatcher.Worker(11, 1, Dispatcher.State.READY, b.now, 0, 0, 0));
         int sent = 0;
         for (; b.count("refuse") == 1 && sent < 20; sent++) {
             b.request(Bench.SAFE, 0, 100, 9_000);
@@ -109,7 +109,7 @@
     /** Each of many dispatchers has few jobs on one worker: it took all to have one slot, and rejected what it had room for. */
     @Test
     void slotsThatTheQuotasNeedAreThereBeforeAnyWereSeen() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         for (int i = 0; i < 40; i++) {
             b.end(b.request(Bench.SAFE, i % 2, 1_000, 9_000), 0, Outcome.SERVED);
         }
@@ -123,7 +123,7 @@
     /** Jobs of a class that bears long waits filled the queues, and those of tighter ones, worth less, were all late. */
     @Test
     void noWaitPassesWhatAMeanJobOfTheTightestClassBears() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0),
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0),
                 new Dispatcher.Worker(12, 1_000, Dispatcher.State.DRAINING, 0, 0, 0, 0));
         for (int i = 0; i < 4; i++) {
             b.request(Bench.SAFE, i % 2, 2_000, 60_000);
@@ -134,7 +134,7 @@
     /** A roomy job waits for its slots to run free together: that is no queue, and such jobs are worth the most. */
     @Test
     void aRoomyJobMayWaitForItsSlotsWhereThereIsNoQueue() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         for (int i = 0; i < 20; i++) {
             b.end(b.request(Bench.SAFE, i % 2, 1_000, 9_000), 0, Outcome.SERVED);
         }
@@ -148,7 +148,7 @@
 
     @Test
     void absurdQuotasMakeNoAbsurdSlots() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         for (int i = 0; i < 300; i++) {
             b.request(Bench.SAFE, i % 2, 600_000, 3_000_000);
         }
--- a/src/test/java/granitefold/policy/Bench.java
+++ b/src/test/java/granitefold/policy/Bench.java
@@ -5,7 +5,7 @@
 import granitefold.Dispatcher.Group;
 import granitefold.Dispatcher.JobClass;
 import granitefold.Dispatcher.Limits;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.Prices;
 import granitefold.Dispatcher.Request;
@@ -32,16 +32,16 @@
     final List<Integer> toldTo = new ArrayList<>();
     final List<Long> sentTo = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    final Decide module;
+    final DispatchPolicy module;
     long now = 1_000_000_000L;
     private long ids = 1;
 
-    Bench(int siblings, boolean mustAsk) {
-        this(siblings, mustAsk, true, 7);
+    Bench(int siblings, boolean mustWatch) {
+        this(siblings, mustWatch, true, 7);
     }
 
-    Bench(int siblings, boolean mustAsk, boolean copies, long seed) {
-        this(0, siblings, mustAsk, copies, seed, true, 0.2);
+    Bench(int siblings, boolean mustWatch, boolean copies, long seed) {
+        this(0, siblings, mustWatch, copies, seed, true, 0.2);
     }
 
     /** Siblings are there and may not speak; late jobs are worth so much. */
@@ -54,15 +54,15 @@
         return new Bench(me, siblings, false, true, 7 + me, true, 0.2);
     }
 
-    private Bench(int me, int siblings, boolean mustAsk, boolean copies, long seed, boolean talk, double lateWorth) {
+    private Bench(int me, int siblings, boolean mustWatch, boolean copies, long seed, boolean talk, double lateWorth) {
         List<JobClass> classes = new ArrayList<>();
         classes.add(type(Effect.SAFE, Group.ALL, lateWorth));
         classes.add(type(Effect.KEYED, Group.ALL, lateWorth));
         classes.add(type(Effect.KEYED, Group.ZONE, lateWorth));
         classes.add(type(Effect.KEYED, Group.CELL, lateWorth));
         classes.add(type(Effect.UNSAFE, Group.ALL, lateWorth));
-        module = new Decide(new Settings(classes, List.of(new Tenant(0.5, 5), new Tenant(0.5, 5)), me, siblings, 0,
-                mustAsk, true, 0, 1_000, new Limits(4, copies, true, talk, true, 2_000_000),
+        module = new DispatchPolicy(new Settings(classes, List.of(new Tenant(0.5, 5), new Tenant(0.5, 5)), me, siblings, 0,
+                mustWatch, true, 0, 1_000, new Limits(4, copies, true, talk, true, 2_000_000),
                 new Rules(2_000_000, 16_000, 0.25, 10_000_000, 4, 1_000_000, 10_000_000),
                 new Prices(0, 0, 0)), seed, this);
         module.start(now);
@@ -76,14 +76,14 @@
         return new Worker(id, 1, State.READY, 0, zone, cell, 0);
     }
 
-    Bench list(ListNews news, Worker... workers) {
-        module.listed(now, news, Arrays.asList(workers));
+    Bench list(ListUpdate news, Worker... workers) {
+        module.listUpdated(now, news, Arrays.asList(workers));
         return this;
     }
 
     /** Two workers in zone 0 and cells 0 and 1, and one in zone 1 and cell 2. */
     Bench three() {
-        return list(ListNews.WHOLE, worker(10, 0, 0), worker(11, 0, 1), worker(12, 1, 2));
+        return list(ListUpdate.WHOLE, worker(10, 0, 0), worker(11, 0, 1), worker(12, 1, 2));
     }
 
     long request(int type, int tenant, double workMs, long leftMs) {
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void tell(int sibling, byte[] message) {
+    public void sendToSibling(int sibling, byte[] message) {
         log.add("tell " + sibling);
         told.add(message);
         toldTo.add(sibling);
--- a/src/test/java/granitefold/policy/ColdFleetTest.java
+++ b/src/test/java/granitefold/policy/ColdFleetTest.java
@@ -8,7 +8,7 @@
 import granitefold.Dispatcher.Group;
 import granitefold.Dispatcher.JobClass;
 import granitefold.Dispatcher.Limits;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.Prices;
 import granitefold.Dispatcher.Request;
@@ -158,7 +158,7 @@
     private static final class Process implements Dispatcher.Actions {
         final Day day;
         final int me;
-        final Decide module;
+        final DispatchPolicy module;
         final List<Double> works = new ArrayList<>();
         final Map<Long, Integer> attempts = new HashMap<>();
         boolean alive = true;
@@ -168,7 +168,7 @@
         Process(Day day, int me) {
             this.day = day;
             this.me = me;
-            module = new Decide(day.settings(me), day.random.nextLong(), this);
+            module = new DispatchPolicy(day.settings(me), day.random.nextLong(), this);
             day.processes.add(this);
         }
 
@@ -187,12 +187,12 @@
             if (before) {
                 list.add(worker(NEW, 0));
             }
-            module.listed(t, ListNews.SAVED, list);
-            module.listed(t, ListNews.CHANGES, List.of());
+            module.listUpdated(t, ListUpdate.SAVED, list);
+            module.listUpdated(t, ListUpdate.CHANGES, List.of());
             day.at(Math.max(t, day.began) + day.random.nextLong(knows ? SECOND / 5 : 2 * SECOND), x -> {
                 if (alive) {
                     told = true;
-                    module.listed(x, ListNews.CHANGES, List.of(worker(NEW, day.began)));
+                    module.listUpdated(x, ListUpdate.CHANGES, List.of(worker(NEW, day.began)));
                 }
             });
         }
@@ -200,7 +200,7 @@
         void replaced(long t, boolean beside) {
             if (beside) {
                 relieved = true;
-                module.relieved();
+                module.superseded();
             } else {
                 alive = false;
             }
@@ -250,9 +250,9 @@
         }
 
         @Override
-        public void tell(int sibling, byte[] message) {
+        public void sendToSibling(int sibling, byte[] message) {
             day.at(day.now + day.random.nextLong(2_300, 31_000), t -> day.processes.stream().filter(p -> p.me == sibling && p.alive)
-                    .forEach(p -> p.module.heard(t, me, message)));
+                    .forEach(p -> p.module.messageReceived(t, me, message)));
         }
 
         @Override
--- a/src/test/java/granitefold/policy/DecideTest.java
+++ b/src/test/java/granitefold/policy/DispatchPolicyTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.Request;
 import java.util.Arrays;
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path and its exceptions. */
-class DecideTest {
+class DispatchPolicyTest {
 
     @Test
     void picksTheWorkerWithTheLeastQueuedWork() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         b.request(Bench.SAFE, 0, 1_000, 9_000);
         long heavy = b.lastWorker();
         b.request(Bench.SAFE, 0, 10, 9_000);
@@ -34,7 +34,7 @@
     /** Fetches took whole days down: a busy store made every job late, and none of them came back. */
     @Test
     void aJobGoesWhereItsKeyIsKeptUnlessThatWorkerIsFarBusier() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         long[] homes = new long[4];
         for (int i = 0; i < 40; i++) {
             long id = b.request(Bench.SAFE, 0, 20, 9_000, 1 + i % 4);
@@ -51,9 +51,9 @@
     /** What can no longer be of use is told so at once; it was held until its client's deadline. */
     @Test
     void aJobThatNoWorkerTakesIsHeldOnlyWhileItIsOfUse() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         long id = b.request(Bench.SAFE, 0, 100, 9_000);
-        b.list(ListNews.WHOLE);
+        b.list(ListUpdate.WHOLE);
         b.end(id, 0, Outcome.FULL);
         assertEquals(0, b.count("refuse"), "a worker may come back in time");
         b.pass(1_000);
@@ -63,7 +63,7 @@
     /** Nobody waits for it any more. */
     @Test
     void aTryIsCancelledWhenItsClientLeaves() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         long id = b.request(Bench.SAFE, 0, 100, 9_000);
         b.module.expired(b.now, id);
         assertEquals(1, b.count("cancel"));
@@ -72,7 +72,7 @@
     @Test
     void refusingOrErringWorkersArePassedOverUnlessAllAre() {
         for (Outcome why : List.of(Outcome.FULL, Outcome.UNREACHABLE, Outcome.ERROR)) {
-            Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+            Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
             long id = b.request(Bench.SAFE, 0, 10, 9_000);
             long full = b.lastWorker();
             b.end(id, 0, why);
@@ -86,11 +86,11 @@
 
     @Test
     void oldJobsServedDoNotEndTheirWorkersBeingPassedOver() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         long old = b.request(Bench.SAFE, 0, 10, 9_000);
         b.pass(1);
         long refused = b.request(Bench.SAFE, 0, 10, 9_000);
-        b.list(ListNews.CHANGES, Bench.worker(11, 0, 0));
+        b.list(ListUpdate.CHANGES, Bench.worker(11, 0, 0));
         b.end(refused, 0, Outcome.FULL);
         b.end(old, 0, Outcome.SERVED);
         b.request(Bench.SAFE, 0, 10, 9_000);
@@ -99,7 +99,7 @@
 
     @Test
     void silentWorkersJobsAreCopiedAndTheLoserCancelled() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0),
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0),
                 Bench.worker(12, 0, 0), Bench.worker(13, 0, 0));
         long id = b.request(Bench.SAFE, 0, 100, 9_000);
         long first = b.lastWorker();
@@ -120,7 +120,7 @@
         assertEquals(1, b.count("watch"));
         long last = 0;
         for (int i = 0; i < 12; i++) {
-            b.list(ListNews.FAILED);
+            b.list(ListUpdate.FAILED);
             long pause = b.timers.get(b.timers.size() - 1)[0] - b.now;
             assertTrue(pause <= 5_000_000, "within half of the time to ask");
             last = pause;
@@ -128,8 +128,8 @@
             assertEquals(2 + i, b.count("watch"));
         }
         assertTrue(last >= 3_000_000);
-        b.list(ListNews.CHANGES);
-        b.list(ListNews.FAILED);
+        b.list(ListUpdate.CHANGES);
+        b.list(ListUpdate.FAILED);
         assertTrue(b.timers.get(b.timers.size() - 1)[0] - b.now < 500_000, "short again after news");
     }
 
@@ -146,7 +146,7 @@
         assertEquals(2, a.told.size());
         Bench b = new Bench(2, false).three();
         for (int i = 0; i < 20; i++) {
-            b.module.heard(b.now, 1, a.told.get(0));
+            b.module.messageReceived(b.now, 1, a.told.get(0));
         }
         b.end(b.request(Bench.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
         b.end(b.request(Bench.UNSAFE, 1, 100, 9_000), 0, Outcome.SERVED);
@@ -166,7 +166,7 @@
     @Test
     void allOfALargeFleetHearOfASendAtOnceAndOfRoomWithTheNext() {
         Bench b = Bench.numbered(0, 14);
-        b.list(ListNews.WHOLE, IntStream.range(0, 60).mapToObj(i -> Bench.worker(10 + i, 0, 0))
+        b.list(ListUpdate.WHOLE, IntStream.range(0, 60).mapToObj(i -> Bench.worker(10 + i, 0, 0))
                 .toArray(Dispatcher.Worker[]::new));
         long id = b.request(Bench.SAFE, 0, 100, 9_000);
         assertEquals(13, b.toldTo.stream().distinct().count());
@@ -182,14 +182,14 @@
 
     @Test
     void whatSiblingsHaveQueuedIsCounted() {
-        Bench a = new Bench(2, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench a = new Bench(2, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         a.request(Bench.SAFE, 0, 1_000, 9_000);
         long busy = a.lastWorker();
         a.pass(150);
         for (long seed = 0; seed < 20; seed++) {
-            Bench b = new Bench(2, false, true, seed).list(ListNews.WHOLE, Bench.worker(10, 0, 0),
+            Bench b = new Bench(2, false, true, seed).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0),
                     Bench.worker(11, 0, 0));
-            b.module.heard(b.now, 1, a.told.get(0));
+            b.module.messageReceived(b.now, 1, a.told.get(0));
             b.request(Bench.SAFE, 0, 10, 9_000);
             assertNotEquals(busy, b.lastWorker());
         }
@@ -198,7 +198,7 @@
     @Test
     void ownZoneIsTakenAmongEquals() {
         for (long seed = 0; seed < 20; seed++) {
-            Bench b = new Bench(1, false, true, seed).list(ListNews.WHOLE, Bench.worker(12, 1, 2),
+            Bench b = new Bench(1, false, true, seed).list(ListUpdate.WHOLE, Bench.worker(12, 1, 2),
                     Bench.worker(10, 0, 0));
             b.request(Bench.SAFE, 0, 10, 9_000);
             assertEquals(10, b.lastWorker());
@@ -218,7 +218,7 @@
         }
         for (int i = 0; i < 2; i++) {
             // siblings hold the last count only; the ninth word carries it
-            now.module.heard(now.now, 1, former.told.get(8));
+            now.module.messageReceived(now.now, 1, former.told.get(8));
         }
         now.request(Bench.SAFE, 0, 1, 9_000);
         long[] e = SiblingMessage.read(now.told.get(now.told.size() - 1), 2, 2);
@@ -245,9 +245,9 @@
         for (int i = 0; i < 2_000; i++) {
             byte[] m = new byte[r.nextInt(300)];
             r.nextBytes(m);
-            b.module.heard(b.now, r.nextInt(5) - 1, m);
+            b.module.messageReceived(b.now, r.nextInt(5) - 1, m);
         }
-        b.module.heard(b.now, 9, good);
+        b.module.messageReceived(b.now, 9, good);
         b.pass(1_000);
         assertEquals(0, b.told.size(), "nothing changed, nothing to tell");
     }
@@ -276,7 +276,7 @@
     /** Counted at once, a start came on top of the job whose end made room for it, and waits seemed half as long. */
     @Test
     void aStartThatOvertakesAnEndAddsNoSlot() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         for (int i = 0; i < 4; i++) {
             b.module.started(b.now, b.request(Bench.SAFE, 0, 10, 9_000), 0);
         }
@@ -307,7 +307,7 @@
     /** A restart forgot the tenant's use and all speeds, under full load. */
     @Test
     void aFormerLifeIsTakenInAndCountsOnlyOnce() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         for (int i = 0; i < 30; i++) {
             long id = b.request(Bench.SAFE, 0, 40, 9_000, 1 + i % 3);
             b.module.started(b.now, id, 0);
@@ -318,7 +318,7 @@
         long used = old.buckets().get(0).used().get(0);
         assertEquals(30, used);
         assertTrue(old.workers().stream().anyMatch(p -> p.weight() > 0 && !p.kept().isEmpty()), old.toString());
-        Bench next = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
+        Bench next = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0), Bench.worker(11, 0, 0));
         next.request(Bench.SAFE, 0, 40, 9_000);
         next.module.restore(next.now, old);
         granitefold.recovery.Learned now = next.module.learned(next.now);
--- a/src/test/java/granitefold/policy/ManyDispatchersTest.java
+++ b/src/test/java/granitefold/policy/ManyDispatchersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher.Worker;
@@ -23,7 +23,7 @@
         List<Bench> all = new ArrayList<>();
         for (int me = 0; me < dispatchers; me++) {
             Bench b = Bench.numbered(me, dispatchers);
-            all.add(b.list(ListNews.WHOLE, workers(b, workers, cold)));
+            all.add(b.list(ListUpdate.WHOLE, workers(b, workers, cold)));
         }
         return all;
     }
@@ -132,7 +132,7 @@
 
     private static long refusedAfterLateStarts(double lateWorth) {
         Bench b = Bench.mute(lateWorth);
-        b.list(ListNews.WHOLE, workers(b, 12, false));
+        b.list(ListUpdate.WHOLE, workers(b, 12, false));
         for (int i = 0; i < 3; i++) {
             b.request(Bench.SAFE, i % 2, 100, 9_000);
         }
@@ -232,7 +232,7 @@
                 for (int i = 0; i < b.told.size(); i++) {
                     Bench to = all.get(b.toldTo.get(i));
                     if (chance.nextInt(10) > 0) {
-                        to.module.heard(to.now, me, b.told.get(i));
+                        to.module.messageReceived(to.now, me, b.told.get(i));
                     }
                 }
                 assertTrue(b.told.size() > 0, "never silent");
@@ -283,7 +283,7 @@
     /** A later send to the same worker that has started shows at once that the first is not waiting. */
     @Test
     void whatWasOvertakenTellsOfNoQueue() {
-        Bench b = Bench.numbered(0, 2).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = Bench.numbered(0, 2).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         b.request(Bench.SAFE, 0, 100, 9_000);
         b.pass(100);
         long next = b.request(Bench.SAFE, 0, 100, 9_000);
@@ -298,7 +298,7 @@
     /** Without such a sign lateness tells of work that nobody told us of. */
     @Test
     void whatWaitsUnheardTellsOfAQueue() {
-        Bench b = Bench.numbered(0, 2).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = Bench.numbered(0, 2).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         b.request(Bench.SAFE, 0, 100, 9_000);
         b.pass(650);
         b.request(Bench.SAFE, 1, 100, 9_000);
--- a/src/test/java/granitefold/policy/RulesTest.java
+++ b/src/test/java/granitefold/policy/RulesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import granitefold.Dispatcher;
-import granitefold.Dispatcher.ListNews;
+import granitefold.Dispatcher.ListUpdate;
 import granitefold.Dispatcher.Outcome;
 import granitefold.Dispatcher.State;
 import granitefold.Dispatcher.Worker;
@@ -46,7 +46,7 @@
     @Test
     void keyedIsNotResentPastItsWindowAndThenFailsUnlessAnyoneMayRepeat() {
         for (int type : new int[] {Bench.KEYED_ALL, Bench.KEYED_ZONE}) {
-            Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+            Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
             long id = b.request(type, 0, 100, 9_000);
             b.now += (Bench.KEEP_MS + 1) * 1000;
             b.end(id, 0, Outcome.ERROR);
@@ -104,16 +104,16 @@
     @Test
     void nothingGoesToADrainingOrGoneOrUnlistedWorker() {
         Bench b = new Bench(1, false).three();
-        b.list(ListNews.CHANGES, new Worker(10, 1, State.DRAINING, 0, 0, 0, 0),
+        b.list(ListUpdate.CHANGES, new Worker(10, 1, State.DRAINING, 0, 0, 0, 0),
                 new Worker(11, 1, State.GONE, 0, 0, 1, 0));
         for (int i = 0; i < 5; i++) {
             b.request(Bench.SAFE, 0, 100, 9_000);
             assertEquals(12, b.lastWorker());
         }
-        b.list(ListNews.WHOLE, Bench.worker(11, 0, 1));
+        b.list(ListUpdate.WHOLE, Bench.worker(11, 0, 1));
         b.request(Bench.SAFE, 0, 100, 9_000);
         assertEquals(11, b.lastWorker());
-        b.list(ListNews.WHOLE);
+        b.list(ListUpdate.WHOLE);
         int sent = b.sentTo.size();
         b.request(Bench.SAFE, 0, 100, 500);
         b.pass(600);
@@ -127,7 +127,7 @@
         for (int many = 0; many < 2; many++) {
             Bench b = new Bench(many == 0 ? 1 : 4, false);
             // warm capacity as judged: 10 jobs a second x 50 ms = half a core
-            b.list(ListNews.WHOLE, new Worker(10, 1, State.READY, b.now - 1, 0, 0, 0));
+            b.list(ListUpdate.WHOLE, new Worker(10, 1, State.READY, b.now - 1, 0, 0, 0));
             for (int i = 0; i < 100; i++) {
                 b.request(Bench.SAFE, 0, 50, 9_000);
             }
@@ -141,7 +141,7 @@
     @Test
     void rejectedSendsSpendTheColdBudgetUntilTheSpanIsOver() {
         Bench b = new Bench(1, false);
-        b.list(ListNews.WHOLE, new Worker(10, 1, State.READY, b.now - 1, 0, 0, 0));
+        b.list(ListUpdate.WHOLE, new Worker(10, 1, State.READY, b.now - 1, 0, 0, 0));
         for (int i = 0; i < 20; i++) {
             long id = b.request(Bench.SAFE, i % 2, 50, 200);
             for (int attempt = 0; attempt < 4; attempt++) {
@@ -157,16 +157,16 @@
 
     @Test
     void oneHeavyJobDoesNotGoToAColdWorker() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         b.request(Bench.SAFE, 0, 50, 9_000);
-        b.list(ListNews.CHANGES, new Worker(20, 1, State.READY, b.now - 1, 0, 0, 0));
+        b.list(ListUpdate.CHANGES, new Worker(20, 1, State.READY, b.now - 1, 0, 0, 0));
         b.request(Bench.SAFE, 0, 5_000, 9_900);
         assertNotEquals(20, b.lastWorker());
     }
 
     @Test
     void workerThatCouldNotBeReachedIsTakenAsColdFromThen() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         long id = b.request(Bench.SAFE, 0, 50, 200);
         b.end(id, 0, Outcome.UNREACHABLE);
         b.pass(2_500);
@@ -180,7 +180,7 @@
 
     @Test
     void fullConnectionTableIsNotTakenForARestart() {
-        Bench b = new Bench(1, false).list(ListNews.WHOLE, Bench.worker(10, 0, 0));
+        Bench b = new Bench(1, false).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0));
         long running = b.request(Bench.SAFE, 0, 50, 9_000);
         long turnedAway = b.request(Bench.SAFE, 0, 50, 200);
         b.end(turnedAway, 0, Outcome.UNREACHABLE);
@@ -196,7 +196,7 @@
     @Test
     void withoutSecondCopiesNoTwoAttemptsAreOut() {
         for (boolean copies : new boolean[] {false, true}) {
-            Bench b = new Bench(1, false, copies, 7).list(ListNews.WHOLE, Bench.worker(10, 0, 0),
+            Bench b = new Bench(1, false, copies, 7).list(ListUpdate.WHOLE, Bench.worker(10, 0, 0),
                     Bench.worker(11, 0, 0), Bench.worker(12, 0, 0), Bench.worker(13, 0, 0));
             b.request(Bench.SAFE, 0, 100, 9_000);
             b.pass(5_000);
@@ -208,13 +208,13 @@
     @Test
     void aRelievedProcessSendsNothingToAColdWorker() {
         Bench b = new Bench(1, false);
-        b.list(ListNews.WHOLE, new Dispatcher.Worker(10, 1, Dispatcher.State.READY, b.now - 1_000_000, 0, 0, 0),
+        b.list(ListUpdate.WHOLE, new Dispatcher.Worker(10, 1, Dispatcher.State.READY, b.now - 1_000_000, 0, 0, 0),
                 Bench.worker(11, 0, 0));
         for (int i = 0; i < 9 && !b.sentTo.contains(10L); i++) {
             b.request(Bench.SAFE, 0, 20, 9_000);
         }
         assertTrue(b.sentTo.contains(10L), "else this test shows nothing");
-        b.module.relieved();
+        b.module.superseded();
         b.sentTo.clear();
         for (int i = 0; i < 6; i++) {
             b.request(Bench.SAFE, i % 2, 20, 9_000);
--- a/src/test/java/granitefold/real/PlantedIT.java
+++ b/src/test/java/granitefold/real/PlantedIT.java
@@ -62,7 +62,7 @@
                 + "steps = [ { do = replace, to = [s0, s1], at = 1s } ]",
             new Patch("policy/ColdBudget.java", "        if (!isCold(n, now)) {\n            return true;\n        }",
                     "        if (now >= 0) {\n            return true;\n        }"),
-            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().coldUs() : 1;", "return 1;")},
+            new Patch("policy/ColdBudget.java", "return isCold(n, now) ? from + (1 - from) * age / k.set.rules().slowStartUs() : 1;", "return 1;")},
         {"rejects do not say when to come again", Rule.NO_RETRY_AFTER, BUSY,
             new Patch("wire/HttpMessages.java", "if (rejected.retryAfterUs() > 0) {", "if (rejected.retryAfterUs() < 0) {")},
         {"rejects are kept back until time is nearly over", Rule.DELAYED, BUSY,
@@ -75,7 +75,7 @@
                 + "classes.guardar { work = 50ms, effect = keyed, window = 500ms, on-time = 750ms, deadline = 8s }\n"
                 + "steps = [ { do = hang, to = [s0], at = 1s }, { do = die, to = [s0], at = 3s } ]",
             new Patch("policy/SendGate.java", "window(job, now) <= 0", "now < 0"),
-            new Patch("policy/Decide.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
+            new Patch("policy/DispatchPolicy.java", "long window = gate.window(job, now);", "long window = Long.MAX_VALUE;")},
         {"keys are not passed on", Rule.RAN_TWICE, SMALL + CLASSES + "steps = [ { do = truncate, to = [s0], at = 500ms } ]",
             new Patch("wire/HttpMessages.java", "        head.put(HttpHeader.HOST, address);\n        head.put(ClientRequest",
                     "        head.put(HttpHeader.HOST, address);\n        head.remove(\"Idempotency-Key\");\n        head.put(ClientRequest")},
